--- a/appledock/core/admin.py
+++ b/appledock/core/api/admin.py
@@ -11,13 +11,13 @@
 from typing import TYPE_CHECKING, Any
 
 from appledock import constants as c
-from appledock.core.budget import Priority
-from appledock.core.console_feed import ConsoleFeed
+from appledock.core.api.capacity_api import SharesApi
+from appledock.core.api.console_feed import ConsoleFeed
 from appledock.core.events import Admin, Put, Reply, SetLogLevel, StoreReply, TxnPlan
-from appledock.core.jobs import Attempt, Job
-from appledock.core.quota import NOTHING
-from appledock.core.replica import SETTINGS
-from appledock.core.shares_api import SharesApi
+from appledock.core.jobs.record import Attempt, Job
+from appledock.core.quota.quota import NOTHING
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import SETTINGS
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/shares_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -8,9 +8,9 @@
 from appledock import constants as c
 from appledock.capacity.apportion import apportion
 from appledock.capacity.settings import CapacityError, Shares, check_shares
-from appledock.core.budget import Priority
-from appledock.core.capacity_records import AGREED
 from appledock.core.events import Admin, Put, Reply, StoreReply, TxnPlan
+from appledock.core.store.capacity_records import AGREED
+from appledock.core.store.rate_limiter import Priority
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -16,7 +16,7 @@
     TeamRow,
     WorkerRow,
 )
-from appledock.core.placement import Room
+from appledock.core.scheduling.placement import Room
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/requests.py
+++ b/appledock/core/api/user_requests.py
@@ -16,11 +16,12 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import placement, quota
-from appledock.core.budget import Priority
 from appledock.core.events import Cancel, Drop, Poll, Put, Reply, StoreReply, Submit, TxnPlan
-from appledock.core.jobs import Job
-from appledock.core.replica import FINAL, JOBS
+from appledock.core.jobs.record import Job
+from appledock.core.quota import quota
+from appledock.core.scheduling import placement
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import FINAL, JOBS
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- /dev/null
+++ b/appledock/core/capacity/__init__.py
@@ -0,0 +1,1 @@
+"""Partitions of the fleet: ownership of machines, changes by draining, preferred controllers."""
--- a/appledock/core/share_drains.py
+++ b/appledock/core/capacity/drains.py
@@ -9,8 +9,8 @@
 from appledock.rebalancing.planner import Proposal
 
 if TYPE_CHECKING:
+    from appledock.core.capacity.partitions import CapacityShares
     from appledock.core.engine import Engine
-    from appledock.core.shares import CapacityShares
 
 
 class Drains:
--- a/appledock/core/share_holders.py
+++ b/appledock/core/capacity/ownership.py
@@ -13,15 +13,15 @@
 from appledock.capacity.holdings import Bucket, Holding, bucket_of
 from appledock.capacity.lending import Lenders, lent
 from appledock.capacity.settings import Pool
-from appledock.core.budget import Priority
-from appledock.core.capacity_records import HOLDINGS
 from appledock.core.events import Put, StoreReply, TxnPlan
 from appledock.core.fleet.demand import queued_demand
+from appledock.core.store.capacity_records import HOLDINGS
+from appledock.core.store.rate_limiter import Priority
 from appledock.rebalancing.picture import task_share
 
 if TYPE_CHECKING:
+    from appledock.core.capacity.partitions import CapacityShares
     from appledock.core.engine import Engine
-    from appledock.core.shares import CapacityShares
 
 log = logging.getLogger(__name__)
 
--- a/appledock/core/shares.py
+++ b/appledock/core/capacity/partitions.py
@@ -26,11 +26,11 @@
 from appledock.capacity.assignment import MachineUse
 from appledock.capacity.holdings import bucket_of
 from appledock.capacity.settings import Capacity, Shares
-from appledock.core.capacity_records import HOLDINGS
-from appledock.core.jobs import Attempt, Job
-from appledock.core.rooms import Entry
-from appledock.core.share_drains import Drains
-from appledock.core.share_holders import Holders
+from appledock.core.capacity.drains import Drains
+from appledock.core.capacity.ownership import Holders
+from appledock.core.jobs.record import Attempt, Job
+from appledock.core.scheduling.capacity_index import Entry
+from appledock.core.store.capacity_records import HOLDINGS
 from appledock.core.workers import Worker
 
 if TYPE_CHECKING:
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -15,24 +15,24 @@
 from appledock.capacity.settings import Capacity
 from appledock.core import events as ev
 from appledock.core import messages
-from appledock.core.admin import AdminApi
-from appledock.core.budget import Bucket, Budget, Priority, Waiting
-from appledock.core.cancels import Cancels
+from appledock.core.api.admin import AdminApi
+from appledock.core.api.user_requests import Requests
+from appledock.core.capacity.partitions import CapacityShares
 from appledock.core.fleet import Fleet
-from appledock.core.heartbeats import Heartbeats
-from appledock.core.jobs import Job
-from appledock.core.membership import Membership
-from appledock.core.moves import Moves
-from appledock.core.objectives import Objectives
-from appledock.core.queue_order import QueueOrder
-from appledock.core.quota import Quota
-from appledock.core.rebalancer import Rebalancer
-from appledock.core.replica import Replica, View, key_kind
-from appledock.core.requests import Requests
-from appledock.core.rooms import Rooms
-from appledock.core.shares import CapacityShares
-from appledock.core.state_reader import StateReader
-from appledock.core.steps import Steps
+from appledock.core.jobs.cancellation import Cancels
+from appledock.core.jobs.record import Job
+from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.membership import Membership
+from appledock.core.quota.quota import Quota
+from appledock.core.rebalancing.rebalancer import Rebalancer
+from appledock.core.scheduling.capacity_index import Rooms
+from appledock.core.scheduling.moves import Moves
+from appledock.core.scheduling.objectives import Objectives
+from appledock.core.scheduling.queue_order import QueueOrder
+from appledock.core.scheduling.reconciler import Steps
+from appledock.core.store.rate_limiter import Bucket, Budget, Priority, Waiting
+from appledock.core.store.reader import StateReader
+from appledock.core.store.replica import Replica, View, key_kind
 from appledock.core.workers import Worker, Workers
 from appledock.rebalancing.settings import Rebalancing
 from appledock.settings import Settings
--- a/appledock/core/fleet/catalogue.py
+++ b/appledock/core/fleet/catalogue.py
@@ -10,10 +10,10 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.budget import Priority
 from appledock.core.events import CloudReply, Put, StoreReply, TxnPlan
 from appledock.core.fleet.cloud import CloudCalls
-from appledock.core.replica import CATALOGUE
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import CATALOGUE
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/fleet/cordons.py
+++ b/appledock/core/fleet/cordons.py
@@ -9,7 +9,7 @@
 from appledock import constants as c
 from appledock.core.events import PeerSend
 from appledock.core.fleet.model import DRAIN, FAULTY, IDLE, OPERATOR
-from appledock.core.jobs import Attempt
+from appledock.core.jobs.record import Attempt
 from appledock.core.messages import MachineCordoned
 from appledock.core.workers import Worker
 
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -7,11 +7,12 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import placement, quota
+from appledock.core.fleet.forecast import Forecast, left_by_estimate_s
 from appledock.core.fleet.model import Demand
-from appledock.core.forecast import Forecast, left_by_estimate_s
-from appledock.core.jobs import Job
-from appledock.core.placement import Room
+from appledock.core.jobs.record import Job
+from appledock.core.quota import quota
+from appledock.core.scheduling import placement
+from appledock.core.scheduling.placement import Room
 from appledock.core.workers import Worker
 
 if TYPE_CHECKING:
--- a/appledock/core/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -12,8 +12,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import placement
-from appledock.core.jobs import Attempt, Job
+from appledock.core.jobs.record import Attempt, Job
+from appledock.core.scheduling import placement
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/fleet/headroom.py
+++ b/appledock/core/fleet/headroom.py
@@ -7,9 +7,9 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import placement
 from appledock.core.fleet.demand import boot_and_fetch_s
-from appledock.core.jobs import Job
+from appledock.core.jobs.record import Job
+from appledock.core.scheduling import placement
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -17,7 +17,7 @@
 from appledock.core.fleet.planning import Planner
 from appledock.core.fleet.rental import Rental
 from appledock.core.fleet.returns import Returns
-from appledock.core.jobs import Job
+from appledock.core.jobs.record import Job
 from appledock.core.messages import FleetMessage, MachineCordoned, MachinesRented
 
 if TYPE_CHECKING:
--- a/appledock/core/fleet/model.py
+++ b/appledock/core/fleet/model.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from appledock import wire
-from appledock.core.jobs import Job
-from appledock.core.placement import Room
+from appledock.core.jobs.record import Job
+from appledock.core.scheduling.placement import Room
 
 NEVER_CAME_UP = "never came up"
 SILENT = "silent"
--- a/appledock/core/fleet/offers.py
+++ b/appledock/core/fleet/offers.py
@@ -7,8 +7,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import placement
 from appledock.core.fleet.model import MachineKind
+from appledock.core.scheduling import placement
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/fleet/planning.py
+++ b/appledock/core/fleet/planning.py
@@ -8,14 +8,14 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import placement
 from appledock.core.fleet.demand import soon_free
 from appledock.core.fleet.machines import Machines, late_after_s
 from appledock.core.fleet.model import BootingMachine, Demand, MachineKind
 from appledock.core.fleet.offers import Offers
 from appledock.core.fleet.rental import Rental
 from appledock.core.fleet.supply import Supply
-from appledock.core.jobs import Job
+from appledock.core.jobs.record import Job
+from appledock.core.scheduling import placement
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/fleet/returns.py
+++ b/appledock/core/fleet/returns.py
@@ -8,7 +8,6 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import placement
 from appledock.core.events import CloudReply
 from appledock.core.fleet.cloud import CloudCalls
 from appledock.core.fleet.cordons import Cordons
@@ -29,6 +28,7 @@
 )
 from appledock.core.fleet.silence import SilenceDetector
 from appledock.core.fleet.summary import Summary
+from appledock.core.scheduling import placement
 from appledock.core.workers import Worker
 
 if TYPE_CHECKING:
--- a/appledock/core/fleet/supply.py
+++ b/appledock/core/fleet/supply.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from appledock import wire
-from appledock.core import placement
-from appledock.core.placement import Room
+from appledock.core.scheduling import placement
+from appledock.core.scheduling.placement import Room
 
 RoomClass = tuple[str, str, bool, float, float, float]
 """machine type, zone, spot, and the cores, cards and memory that are free"""
--- /dev/null
+++ b/appledock/core/jobs/__init__.py
@@ -0,0 +1,1 @@
+"""Jobs: their records, dependencies, settled attempts, conditional writes and cancellation."""
--- a/appledock/core/cancels.py
+++ b/appledock/core/jobs/cancellation.py
@@ -22,9 +22,9 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.events import CloudCall, CloudReply, PeerSend, WorkerCall, WorkerReply
-from appledock.core.jobs import Attempt, Job, split_task
+from appledock.core.jobs.record import Attempt, Job, split_task
 from appledock.core.messages import JobCancelled
-from appledock.core.replica import FINAL, JOBS
+from appledock.core.store.replica import FINAL, JOBS
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/dependencies.py
+++ b/appledock/core/jobs/dependencies.py
@@ -16,7 +16,7 @@
 from appledock import wire
 
 if TYPE_CHECKING:
-    from appledock.core.jobs import Job
+    from appledock.core.jobs.record import Job
 
 
 class Dependencies:
--- a/appledock/core/jobs.py
+++ b/appledock/core/jobs/record.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from appledock import wire
-from appledock.core import compact
-from appledock.core.intervals import IntervalSet
+from appledock.core.jobs import attempt_groups as compact
+from appledock.core.jobs.intervals import IntervalSet
 
 
 @dataclass(slots=True)
--- a/appledock/core/settlement.py
+++ b/appledock/core/jobs/settlement.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from appledock.core.jobs import Job
+from appledock.core.jobs.record import Job
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/job_writer.py
+++ b/appledock/core/jobs/writer.py
@@ -9,12 +9,12 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import placement
-from appledock.core.budget import Priority, Waiting
 from appledock.core.events import Drop, Put, StoreReply, TxnPlan
-from appledock.core.jobs import Job
-from appledock.core.replica import FINAL, JOBS, TEAMS, Team
-from appledock.core.rooms import Entry
+from appledock.core.jobs.record import Job
+from appledock.core.scheduling import placement
+from appledock.core.scheduling.capacity_index import Entry
+from appledock.core.store.rate_limiter import Priority, Waiting
+from appledock.core.store.replica import FINAL, JOBS, TEAMS, Team
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/membership.py
+++ b/appledock/core/membership/membership.py
@@ -13,9 +13,9 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.budget import Priority
 from appledock.core.events import Put, StoreReply, TxnPlan
-from appledock.core.replica import FORMAT, MEMBERS, VIEW, View
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import FORMAT, MEMBERS, VIEW, View
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
@@ -25,7 +25,7 @@
 NEWEST_FORMAT = 2
 """Of records that this version reads and writes. 1: as the versions before dependencies
 wrote them, which refuse a description with a field unknown to them. 2: descriptions may
-name needed jobs, and open attempts stand in groups (`core/compact`)."""
+name needed jobs, and open attempts stand in groups (`core/jobs/attempt_groups`)."""
 
 
 class Membership:
--- /dev/null
+++ b/appledock/core/quota/__init__.py
@@ -0,0 +1,1 @@
+"""Quota of the teams and its allocation to the controllers."""
--- a/appledock/core/quota.py
+++ b/appledock/core/quota/quota.py
@@ -25,8 +25,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs import Job
-from appledock.core.replica import Team
+from appledock.core.jobs.record import Job
+from appledock.core.store.replica import Team
 from appledock.settings import Team as TeamLimits
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/appledock/core/rebalancing/__init__.py
@@ -0,0 +1,1 @@
+"""Attachment of the rebalancing policy: snapshots, proposals and their pacing."""
--- a/appledock/core/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -8,8 +8,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs import Job
-from appledock.core.placement import Room
+from appledock.core.jobs.record import Job
+from appledock.core.scheduling.placement import Room
 from appledock.rebalancing.locality import DataSets, Place, situation
 from appledock.rebalancing.picture import Load, MachineLoad, RunningTask, means
 from appledock.rebalancing.planner import Plan, Planner, Proposal
--- a/appledock/core/rooms.py
+++ b/appledock/core/scheduling/capacity_index.py
@@ -10,7 +10,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.placement import Room, allowed_on
+from appledock.core.scheduling.placement import Room, allowed_on
 from appledock.core.workers import Worker
 from appledock.rebalancing.picture import Load, task_share
 
--- a/appledock/core/handoff.py
+++ b/appledock/core/scheduling/handoff.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from appledock import constants as c
-from appledock.core import placement
-from appledock.core.jobs import Job
-from appledock.core.placement import Room
+from appledock.core.jobs.record import Job
+from appledock.core.scheduling import placement
+from appledock.core.scheduling.placement import Room
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -19,12 +19,12 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import placement
 from appledock.core.events import PeerSend
-from appledock.core.jobs import Attempt, Job
+from appledock.core.jobs.record import Attempt, Job
 from appledock.core.messages import MoveEnded, MoveHeld, MoveMessage, MoveOrder, MoveRequested
-from appledock.core.placement import Room, Sampling
-from appledock.core.rooms import Entry
+from appledock.core.scheduling import placement
+from appledock.core.scheduling.capacity_index import Entry
+from appledock.core.scheduling.placement import Room, Sampling
 from appledock.rebalancing.settings import Moves as MoveRules
 
 if TYPE_CHECKING:
--- a/appledock/core/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from appledock import constants as c
-from appledock.core.budget import Priority
-from appledock.core.jobs import Job
+from appledock.core.jobs.record import Job
+from appledock.core.store.rate_limiter import Priority
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -14,9 +14,10 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import placement, quota
-from appledock.core.jobs import Job
-from appledock.core.placement import Room
+from appledock.core.jobs.record import Job
+from appledock.core.quota import quota
+from appledock.core.scheduling import placement
+from appledock.core.scheduling.placement import Room
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from appledock import constants as c
-from appledock.core.jobs import Job
+from appledock.core.jobs.record import Job
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/steps.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -7,17 +7,17 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import placement
-from appledock.core.budget import Priority
 from appledock.core.events import PeerSend
-from appledock.core.handoff import HandOff
-from appledock.core.job_writer import JobWriter
-from appledock.core.jobs import Attempt, Job
+from appledock.core.jobs.record import Attempt, Job
+from appledock.core.jobs.settlement import Settlement
+from appledock.core.jobs.writer import JobWriter
 from appledock.core.messages import StopTasks
-from appledock.core.pacing import Pacing
-from appledock.core.placement import Room, Sampling
-from appledock.core.preemption import Preemption
-from appledock.core.settlement import Settlement
+from appledock.core.scheduling import placement
+from appledock.core.scheduling.handoff import HandOff
+from appledock.core.scheduling.pacing import Pacing
+from appledock.core.scheduling.placement import Room, Sampling
+from appledock.core.scheduling.preemption import Preemption
+from appledock.core.store.rate_limiter import Priority
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- /dev/null
+++ b/appledock/core/store/__init__.py
@@ -0,0 +1,1 @@
+"""The consensus-backed key-value store as this controller sees it: client, replica and reader."""
--- a/appledock/core/state_reader.py
+++ b/appledock/core/store/reader.py
@@ -8,9 +8,9 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.budget import Priority
 from appledock.core.events import StoreReply
-from appledock.core.replica import LIVE
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import LIVE
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
--- a/appledock/core/replica.py
+++ b/appledock/core/store/replica.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from appledock import constants as c
-from appledock.core.capacity_records import CAPACITY, CapacityRecords
-from appledock.core.dependencies import Dependencies
-from appledock.core.jobs import Attempt, Job, decode
+from appledock.core.jobs.dependencies import Dependencies
+from appledock.core.jobs.record import Attempt, Job, decode
+from appledock.core.store.capacity_records import CAPACITY, CapacityRecords
 
 log = logging.getLogger(__name__)
 
--- a/appledock/core/workers/commands.py
+++ b/appledock/core/workers/commands.py
@@ -6,7 +6,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs import Attempt, Job
+from appledock.core.jobs.record import Attempt, Job
 from appledock.core.workers.record import TaskKey, Worker
 
 if TYPE_CHECKING:
--- a/appledock/core/workers/evidence.py
+++ b/appledock/core/workers/evidence.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from appledock import wire
-from appledock.core.jobs import Attempt, Job
+from appledock.core.jobs.record import Attempt, Job
 from appledock.core.workers.record import TaskKey, Worker
 from appledock.core.workers.table import WorkerTable
 
--- a/appledock/core/workers/liveness.py
+++ b/appledock/core/workers/liveness.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
-    from appledock.core.replica import View
+    from appledock.core.store.replica import View
 
 log = logging.getLogger(__name__)
 
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -6,7 +6,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs import Attempt, Job
+from appledock.core.jobs.record import Attempt, Job
 from appledock.core.messages import WorkerMessage
 from appledock.core.workers.answers import Answers
 from appledock.core.workers.commands import Commands
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
-    from appledock.core.replica import View
+    from appledock.core.store.replica import View
 
 
 class Workers(WorkerTable):
--- a/appledock/core/workers/reports.py
+++ b/appledock/core/workers/reports.py
@@ -7,7 +7,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs import split_task
+from appledock.core.jobs.record import split_task
 from appledock.core.workers.record import ReportNumber, TaskKey, Worker
 from appledock.core.workers.table import WorkerTable
 
--- a/appledock/rebalancing/scoring.py
+++ b/appledock/rebalancing/scoring.py
@@ -7,7 +7,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.placement import Room, fetch_s, misplaced, tightness
+from appledock.core.scheduling.placement import Room, fetch_s, misplaced, tightness
 from appledock.rebalancing.locality import DataSets
 from appledock.rebalancing.picture import Means, task_share
 from appledock.rebalancing.settings import ClassWeights, Rebalancing
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -8,13 +8,13 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import quota
-from appledock.core.cancels import Cancels
+from appledock.core.api.user_requests import Requests
 from appledock.core.engine import Engine
-from appledock.core.jobs import Attempt, Job
-from appledock.core.replica import JOBS
-from appledock.core.requests import Requests
-from appledock.core.steps import Steps
+from appledock.core.jobs.cancellation import Cancels
+from appledock.core.jobs.record import Attempt, Job
+from appledock.core.quota import quota
+from appledock.core.scheduling.reconciler import Steps
+from appledock.core.store.replica import JOBS
 from appledock.core.workers import Worker, Workers
 
 Patch = pytest.MonkeyPatch
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -16,11 +16,11 @@
 from functools import partial
 from typing import Any
 
+from appledock.core.api.user_requests import Requests
 from appledock.core.engine import Engine
 from appledock.core.fleet import Fleet
-from appledock.core.replica import FINAL, TEAMS
-from appledock.core.requests import Requests
-from appledock.core.steps import Steps
+from appledock.core.scheduling.reconciler import Steps
+from appledock.core.store.replica import FINAL, TEAMS
 from appledock.core.workers import Workers
 from tests.standins import deployment
 from tests.standins.world import World
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -159,6 +159,12 @@
 class PresentCode(Code):
     """The code of this checkout: the one adapter that follows its names."""
 
+    MODULES: ClassVar[dict[str, str]] = {
+        **Code.MODULES,
+        "jobs": "core.jobs.record",
+        "replica": "core.store.replica",
+    }
+
     def controller(
         self,
         settings_file: bytes,
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -10,8 +10,8 @@
 from appledock import constants as c
 from appledock.app import App
 from appledock.core import events as ev
-from appledock.core.budget import Priority
 from appledock.core.events import StoreCall
+from appledock.core.store.rate_limiter import Priority
 from tests.standins.deployment import settings
 from tests.test_launches import NOW, leading
 
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -8,10 +8,10 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.dependencies import Dependencies
-from appledock.core.jobs import Attempt, Job
-from appledock.core.replica import FINAL, FORMAT, JOBS, Replica
-from appledock.core.requests import Requests
+from appledock.core.api.user_requests import Requests
+from appledock.core.jobs.dependencies import Dependencies
+from appledock.core.jobs.record import Attempt, Job
+from appledock.core.store.replica import FINAL, FORMAT, JOBS, Replica
 from tests.standins.chains import (
     DEEP,
     DIAMONDS,
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -12,7 +12,7 @@
 from appledock.core import events as ev
 from appledock.core.engine import Engine
 from appledock.core.fleet import Returning
-from appledock.core.replica import CATALOGUE
+from appledock.core.store.replica import CATALOGUE
 from tests.test_launches import NOW, leading, report
 
 IDLE = {"kind": "cordon", "worker": "vm-1", "why": "idle"}
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -9,9 +9,9 @@
 import pytest
 
 from appledock import constants as c
-from appledock.core.jobs import Job
-from appledock.core.settlement import Settlement
-from appledock.core.steps import Steps
+from appledock.core.jobs.record import Job
+from appledock.core.jobs.settlement import Settlement
+from appledock.core.scheduling.reconciler import Steps
 from appledock.core.workers import Workers
 from tests.standins import load
 from tests.standins.world import World
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -12,15 +12,16 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core import placement, preemption, quota
-from appledock.core.budget import Bucket, Budget, Priority, Waiting
 from appledock.core.fleet import MachineKind
 from appledock.core.fleet.model import BootingMachine
-from appledock.core.jobs import Attempt, Job, decode
+from appledock.core.jobs.record import Attempt, Job, decode
 from appledock.core.messages import Heartbeat
-from appledock.core.objectives import Objectives
-from appledock.core.placement import Room, Sampling
-from appledock.core.replica import JOBS, TEAMS, Replica, View
+from appledock.core.quota import quota
+from appledock.core.scheduling import placement, preemption
+from appledock.core.scheduling.objectives import Objectives
+from appledock.core.scheduling.placement import Room, Sampling
+from appledock.core.store.rate_limiter import Bucket, Budget, Priority, Waiting
+from appledock.core.store.replica import JOBS, TEAMS, Replica, View
 from appledock.settings import Objective
 from tests.test_grown import owner_of_nothing
 from tests.test_requests import engine, spec
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from appledock import wire
-from appledock.core.jobs import Job
-from appledock.core.replica import FINAL, JOBS, Replica
+from appledock.core.jobs.record import Job
+from appledock.core.store.replica import FINAL, JOBS, Replica
 from tests.test_requests import spec
 
 NAMES = [f"job-{number}" for number in range(8)]
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -9,10 +9,10 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.budget import Priority
+from appledock.core.fleet.forecast import Forecast
 from appledock.core.fleet.model import Demand
-from appledock.core.forecast import Forecast
-from appledock.core.jobs import Job
+from appledock.core.jobs.record import Job
+from appledock.core.store.rate_limiter import Priority
 from tests.standins import chains
 from tests.standins.world import World
 from tests.test_grown import owner_of_nothing, report
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -13,13 +13,13 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core import events as ev
+from appledock.core.api.user_requests import Requests
 from appledock.core.engine import Engine
-from appledock.core.heartbeats import Heartbeats
-from appledock.core.jobs import Attempt, Job, decode
+from appledock.core.jobs.record import Attempt, Job, decode
+from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.messages import Heartbeat
-from appledock.core.replica import JOBS, VIEW
-from appledock.core.requests import Requests
-from appledock.core.steps import Steps
+from appledock.core.scheduling.reconciler import Steps
+from appledock.core.store.replica import JOBS, VIEW
 from appledock.core.workers import Worker, Workers
 from tests.standins.world import World
 from tests.test_requests import engine, spec
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -4,7 +4,7 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.replica import VIEW
+from appledock.core.store.replica import VIEW
 from tests.test_requests import engine
 
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -5,11 +5,12 @@
 import pytest
 
 from appledock import wire
-from appledock.core import placement, quota
-from appledock.core.cancels import Cancels
-from appledock.core.jobs import Attempt, Job
-from appledock.core.membership import Membership
-from appledock.core.requests import Requests
+from appledock.core.api.user_requests import Requests
+from appledock.core.jobs.cancellation import Cancels
+from appledock.core.jobs.record import Attempt, Job
+from appledock.core.membership.membership import Membership
+from appledock.core.quota import quota
+from appledock.core.scheduling import placement
 from appledock.core.workers import Workers
 from tests.guards import absence_settles, no_job_version, silence_settles
 from tests.standins.world import World
--- a/tests/test_launches.py
+++ b/tests/test_launches.py
@@ -7,8 +7,8 @@
 from appledock import wire
 from appledock.core import events as ev
 from appledock.core.engine import Engine
-from appledock.core.jobs import Attempt, Job
-from appledock.core.replica import MEMBERS, VIEW
+from appledock.core.jobs.record import Attempt, Job
+from appledock.core.store.replica import MEMBERS, VIEW
 from tests.test_requests import engine, spec
 
 NOW = 200.0
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -7,7 +7,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.jobs import Job
+from appledock.core.jobs.record import Job
 from tests.standins.world import World
 from tests.test_grown import owner_of_nothing
 from tests.test_requests import spec
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -14,9 +14,9 @@
 
 from appledock import constants as c
 from appledock.core.messages import MoveHeld, MoveOrder, MoveRequested
-from appledock.core.moves import Moves, Outcome
-from appledock.core.replica import JOBS
-from appledock.core.rooms import Rooms
+from appledock.core.scheduling.capacity_index import Rooms
+from appledock.core.scheduling.moves import Moves, Outcome
+from appledock.core.store.replica import JOBS
 from appledock.rebalancing.settings import Rebalancing
 from tests.guards import silence_settles
 from tests.standins import machines
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -6,8 +6,9 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core import placement, quota
 from appledock.core.fleet import Fleet
+from appledock.core.quota import quota
+from appledock.core.scheduling import placement
 from tests.standins.world import World
 from tests.test_launches import NOW, leading
 from tests.test_requests import spec
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -18,7 +18,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.cli import main
-from appledock.core.placement import Room, Sampling, place
+from appledock.core.scheduling.placement import Room, Sampling, place
 from appledock.rebalancing.locality import DataSets
 from appledock.rebalancing.picture import Load, MachineLoad, Means, RunningTask, means
 from appledock.rebalancing.planner import Obstacle, Plan, Planner
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -10,10 +10,10 @@
 from appledock import wire
 from appledock.adapters import users
 from appledock.core import events as ev
-from appledock.core.budget import Priority
 from appledock.core.engine import Engine
-from appledock.core.jobs import Job
-from appledock.core.replica import FINAL, FORMAT, JOBS, TEAMS
+from appledock.core.jobs.record import Job
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import FINAL, FORMAT, JOBS, TEAMS
 from tests.standins.deployment import settings
 
 SPEC = {
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,9 +9,9 @@
 import msgspec
 import pytest
 
-from appledock.core.dependencies import Dependencies
-from appledock.core.membership import Membership
-from appledock.core.replica import FORMAT
+from appledock.core.jobs.dependencies import Dependencies
+from appledock.core.membership.membership import Membership
+from appledock.core.store.replica import FORMAT
 from tests.standins.chains import pipeline, spec
 from tests.standins.deployment import NEXT
 from tests.standins.versions import Code, present, production, served
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -15,10 +15,10 @@
 
 from appledock import constants as c
 from appledock.capacity.apportion import apportion
-from appledock.core.capacity_records import CAPACITY
-from appledock.core.membership import Membership
-from appledock.core.share_drains import Drains
-from appledock.core.shares import CapacityShares
+from appledock.core.capacity.drains import Drains
+from appledock.core.capacity.partitions import CapacityShares
+from appledock.core.membership.membership import Membership
+from appledock.core.store.capacity_records import CAPACITY
 from tests.standins.sharing import MACHINES, Shared, shares
 from tests.standins.spreading import outcomes
 from tests.standins.spreading import rules as spreading
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -15,13 +15,13 @@
 
 from appledock import constants as c
 from appledock.core import events as ev
-from appledock.core import quota
-from appledock.core.budget import Priority
 from appledock.core.engine import Engine
 from appledock.core.events import TxnPlan
-from appledock.core.jobs import Attempt, Job, decode
-from appledock.core.quota import Amounts, Quota
-from appledock.core.replica import JOBS, MEMBERS, TEAMS, VIEW, Team
+from appledock.core.jobs.record import Attempt, Job, decode
+from appledock.core.quota import quota
+from appledock.core.quota.quota import Amounts, Quota
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import JOBS, MEMBERS, TEAMS, VIEW, Team
 from tests.standins.deployment import settings
 from tests.test_grown import owner_of_nothing
 from tests.test_requests import spec
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,9 +11,9 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core import membership
-from appledock.core.jobs import Attempt, Job
-from appledock.core.replica import FORMAT, JOBS, MEMBERS, VIEW, Replica, View
+from appledock.core.jobs.record import Attempt, Job
+from appledock.core.membership import membership
+from appledock.core.store.replica import FORMAT, JOBS, MEMBERS, VIEW, Replica, View
 from appledock.settings import SettingsError, parse
 from tests.standins.chains import pipeline
 from tests.standins.deployment import NEXT, settings_file
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -5,10 +5,10 @@
 import pytest
 
 from appledock import wire
-from appledock.core import placement
 from appledock.core.fleet.planning import Planner
-from appledock.core.jobs import Job
-from appledock.core.placement import Room
+from appledock.core.jobs.record import Job
+from appledock.core.scheduling import placement
+from appledock.core.scheduling.placement import Room
 from tests.standins.world import World
 from tests.test_decisions import room
 from tests.test_grown import owner_of_nothing
