--- a/appledock/adapters/cloud.py
+++ b/appledock/adapters/cloud.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from appledock import wire
-from appledock.core.events import CloudCall, CloudReply
+from appledock.core.events import CloudCall, CloudOutcome, CloudReply
 from appledock.net.http import Client, NoAnswer, NotSent
 
 log = logging.getLogger(__name__)
@@ -24,32 +24,32 @@
         """Carry out a call; its outcome says whether it was executed."""
         method, path, body = request(call)
         try:
-            status, answer = await self.client.request(method, path, body, call.timeout)
+            status, answer = await self.client.request(method, path, body, call.timeout_s)
         except NotSent as error:
             log.info("cloud: %s", error)
-            return CloudReply(call.tag, "refused")
+            return CloudReply(call.call_id, CloudOutcome.REFUSED)
         except NoAnswer as error:
             log.info("cloud: %s: %s", call.op, error)
-            return CloudReply(call.tag, "unknown")
-        return CloudReply(call.tag, *classify(call, status, answer))
+            return CloudReply(call.call_id, CloudOutcome.UNKNOWN)
+        return CloudReply(call.call_id, *classify(call, status, answer))
 
 
-def classify(call: CloudCall, status: int, answer: bytes) -> tuple[str, Any]:
+def classify(call: CloudCall, status: int, answer: bytes) -> tuple[CloudOutcome, Any]:
     """Outcome and data of an answer; a malformed one counts as unknown."""
     ok = ANSWERS.get(call.op)
     if status == 200:
         try:
-            return "ok", msgspec.json.decode(answer, type=ok) if ok else None
+            return CloudOutcome.OK, msgspec.json.decode(answer, type=ok) if ok else None
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             log.error("malformed answer of the cloud to %s: %s", call.op, error)
-            return "unknown", None
+            return CloudOutcome.UNKNOWN, None
     if status == 503 and call.op == "rent" and b"no capacity" in answer:
-        return "full", None
+        return CloudOutcome.NO_CAPACITY, None
     if status in (429, 503):
         log.info("cloud: %d to %s", status, call.op)
-        return "refused", None
+        return CloudOutcome.REFUSED, None
     log.error("cloud answered %d to %s: %s", status, call.op, answer[:200])
-    return "invalid" if status == 400 else "unknown", None
+    return CloudOutcome.INVALID if status == 400 else CloudOutcome.UNKNOWN, None
 
 
 ANSWERS: dict[str, Any] = {
--- a/appledock/adapters/workers.py
+++ b/appledock/adapters/workers.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from appledock import wire
-from appledock.core.events import WorkerCall, WorkerReply
+from appledock.core.events import WorkerCall, WorkerOutcome, WorkerReply
 from appledock.net.http import Client, NoAnswer, NotSent
 from appledock.settings import split_address
 
@@ -40,22 +40,24 @@
         try:
             client = self._client(call.addr)
             if call.orders is None:
-                status, body = await client.request("GET", wire.PATH_SHOW, b"", call.timeout)
+                status, body = await client.request("GET", wire.PATH_SHOW, b"", call.timeout_s)
             else:
                 status, body = await client.request(
-                    "POST", wire.PATH_ORDERS, wire.encode(call.orders), call.timeout
+                    "POST", wire.PATH_ORDERS, wire.encode(call.orders), call.timeout_s
                 )
             if status not in (200, 409):
                 log.error("worker %s answered %d: %s", call.addr, status, body[:200])
-                return WorkerReply(call.tag, "unknown")
+                return WorkerReply(call.call_id, WorkerOutcome.UNKNOWN)
             report = msgspec.json.decode(body, type=wire.Report)
-            return WorkerReply(call.tag, "ok" if status == 200 else "stale", report)
+            return WorkerReply(
+                call.call_id, WorkerOutcome.OK if status == 200 else WorkerOutcome.STALE, report
+            )
         except (NotSent, ValueError) as error:
             if isinstance(error, msgspec.DecodeError | UnicodeDecodeError):
                 log.error("malformed answer of worker %s: %s", call.addr, error)
-                return WorkerReply(call.tag, "unknown")
+                return WorkerReply(call.call_id, WorkerOutcome.UNKNOWN)
             log.info("worker %s: %s", call.addr, error)
-            return WorkerReply(call.tag, "not_sent")
+            return WorkerReply(call.call_id, WorkerOutcome.NOT_SENT)
         except NoAnswer as error:
             log.info("worker %s: %s", call.addr, error)
-            return WorkerReply(call.tag, "unknown")
+            return WorkerReply(call.call_id, WorkerOutcome.UNKNOWN)
--- a/appledock/app.py
+++ b/appledock/app.py
@@ -14,11 +14,12 @@
 from appledock import wire
 from appledock.adapters import users
 from appledock.adapters.cloud import Cloud
-from appledock.adapters.store import Store
+from appledock.adapters.store import Store, operation
 from appledock.adapters.workers import WorkerCalls
 from appledock.capacity.settings import Capacity
 from appledock.core import events as ev
 from appledock.core.engine import Engine
+from appledock.core.store.calls import UnknownOutcome, WatchKeys
 from appledock.metrics import Metrics
 from appledock.net.http import Answer, Server
 from appledock.net.peers import PeerLink, PeerServer, frame
@@ -129,8 +130,8 @@
                 wire.encode(
                     {
                         **self.metrics.summary(),
-                        "conflicts": self.engine.conflicts,
-                        "refusals": self.engine.refusals,
+                        "conflicts": self.engine.client.conflicts,
+                        "refusals": self.engine.client.refusals,
                         "moves": self.engine.moves.outcomes,
                         "connections": {
                             "open": len(self.server.connections),
@@ -154,9 +155,9 @@
     def _carry_out(self, effect: ev.Effect) -> None:
         match effect:
             case ev.Reply():
-                answer = self.answers.pop(effect.ask, None)
+                answer = self.answers.pop(effect.request_id, None)
                 if answer is not None:
-                    kind, since = self.started.pop(effect.ask)
+                    kind, since = self.started.pop(effect.request_id)
                     self.metrics.took(f"request.{kind}", self.loop.time() - since)
                     answer(effect.status, wire.encode(effect.body), effect.headers)
             case ev.StoreCall():
@@ -175,19 +176,27 @@
 
     async def _store(self, call: ev.StoreCall) -> None:
         since = self.loop.time()
-        reply = await self._outcome(self.store.run(call), ev.StoreReply(call.tag, "unknown"))
-        if call.op != "watch":
-            self.metrics.took(f"state.{call.op}", self.loop.time() - since)
+        reply = await self._outcome(
+            self.store.run(call), ev.StoreReply(call.call_id, UnknownOutcome())
+        )
+        if not isinstance(call.request, WatchKeys):
+            self.metrics.took(f"state.{operation(call.request)}", self.loop.time() - since)
         self.push(reply)
 
     async def _cloud(self, call: ev.CloudCall) -> None:
         since = self.loop.time()
-        reply = await self._outcome(self.cloud.run(call), ev.CloudReply(call.tag, "unknown"))
+        reply = await self._outcome(
+            self.cloud.run(call), ev.CloudReply(call.call_id, ev.CloudOutcome.UNKNOWN)
+        )
         self.metrics.took(f"cloud.{call.op}", self.loop.time() - since)
         self.push(reply)
 
     async def _worker(self, call: ev.WorkerCall) -> None:
-        self.push(await self._outcome(self.workers.run(call), ev.WorkerReply(call.tag, "unknown")))
+        self.push(
+            await self._outcome(
+                self.workers.run(call), ev.WorkerReply(call.call_id, ev.WorkerOutcome.UNKNOWN)
+            )
+        )
 
     @staticmethod
     async def _outcome(answer: Awaitable[Called], unknown: Called) -> Called:
--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -13,11 +13,12 @@
 from appledock import constants as c
 from appledock.core.api.capacity_api import SharesApi
 from appledock.core.api.console_feed import ConsoleFeed
-from appledock.core.events import Admin, Put, Reply, SetLogLevel, StoreReply, TxnPlan
+from appledock.core.events import Admin, Reply, SetLogLevel
 from appledock.core.jobs.record import Attempt, Job
 from appledock.core.quota.quota import NOTHING
+from appledock.core.store.calls import Committed, Conflict, Put, StoreOutcome, Transaction
+from appledock.core.store.keys import SETTINGS
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import SETTINGS
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
@@ -131,7 +132,7 @@
 
     def _answer(self, cmd: Admin, body: Any, status: int = 200) -> None:
         headers = {"Retry-After": str(c.RETRY_AFTER_S)} if status == 503 else None
-        self.engine.emit(Reply(cmd.ask, status, body, headers))
+        self.engine.emit(Reply(cmd.request_id, status, body, headers))
 
     # --- reading ----------------------------------------------------------
     def status(self) -> dict[str, Any]:
@@ -326,22 +327,22 @@
             self._answer(cmd, {"error": str(error)}, 400)
             return
 
-        def done(reply: StoreReply) -> None:
-            if reply.outcome == "ok":
-                self.engine.replica.put(SETTINGS, new, reply.data.revision)
-                self.apply()
-                self._answer(cmd, self.settings())
-            elif reply.outcome == "conflict":
-                self.engine.reader.read_keys([SETTINGS])
-                self._answer(cmd, {"error": "the settings were changed meanwhile"}, 409)
-            else:
-                self._answer(cmd, {"error": "state service does not answer"}, 503)
+        def on_outcome(outcome: StoreOutcome) -> None:
+            match outcome:
+                case Committed():
+                    self.engine.replica.put(SETTINGS, new, outcome.revision)
+                    self.apply()
+                    self._answer(cmd, self.settings())
+                case Conflict():
+                    self.engine.reader.read_keys([SETTINGS])
+                    self._answer(cmd, {"error": "the settings were changed meanwhile"}, 409)
+                case _:
+                    self._answer(cmd, {"error": "state service does not answer"}, 503)
 
         self.engine.store(
-            "txn",
-            (TxnPlan({SETTINGS: asked}, [Put(SETTINGS, new)]),),
+            Transaction({SETTINGS: asked}, [Put(SETTINGS, new)]),
             Priority.USER,
-            done,
+            on_outcome,
             c.REQUEST_DEADLINE_S,
         )
 
--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -8,7 +8,15 @@
 from appledock import constants as c
 from appledock.capacity.apportion import apportion
 from appledock.capacity.settings import CapacityError, Shares, check_shares
-from appledock.core.events import Admin, Put, Reply, StoreReply, TxnPlan
+from appledock.core.events import Admin, Reply
+from appledock.core.store.calls import (
+    Committed,
+    Conflict,
+    Put,
+    StoreOutcome,
+    Transaction,
+    UnknownOutcome,
+)
 from appledock.core.store.capacity_records import AGREED
 from appledock.core.store.rate_limiter import Priority
 
@@ -53,7 +61,7 @@
 
     def _answer(self, cmd: Admin, body: Any, status: int = 200) -> None:
         headers = {"Retry-After": str(c.RETRY_AFTER_S)} if status == 503 else None
-        self.engine.emit(Reply(cmd.ask, status, body, headers))
+        self.engine.emit(Reply(cmd.request_id, status, body, headers))
 
     # --- checking ---------------------------------------------------------
     def _change(self, body: Any) -> Change:
@@ -145,18 +153,19 @@
             "before": engine.shares.targets(),
             "stop_at": stop_at,
         }
-        plan = TxnPlan({AGREED: present}, [Put(AGREED, record)])
-
-        def done(reply: StoreReply) -> None:
-            if reply.outcome == "ok":
-                engine.replica.put(AGREED, record, reply.data.revision)
-                self._answer(cmd, engine.shares.summary())
-            elif reply.outcome in ("conflict", "unknown"):
-                self._read_and_answer(cmd, change)
-            else:
-                self._answer(cmd, {"error": "state service does not answer"}, 503)
-
-        engine.store("txn", (plan,), Priority.USER, done, c.REQUEST_DEADLINE_S)
+        plan = Transaction({AGREED: present}, [Put(AGREED, record)])
+
+        def on_outcome(outcome: StoreOutcome) -> None:
+            match outcome:
+                case Committed():
+                    engine.replica.put(AGREED, record, outcome.revision)
+                    self._answer(cmd, engine.shares.summary())
+                case Conflict() | UnknownOutcome():
+                    self._read_and_answer(cmd, change)
+                case _:
+                    self._answer(cmd, {"error": "state service does not answer"}, 503)
+
+        engine.store(plan, Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
 
     def _read_and_answer(self, cmd: Admin, change: Change) -> None:
         """Somebody else's change came first, or it is not known whether ours did: read it."""
--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -16,12 +16,21 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import Cancel, Drop, Poll, Put, Reply, StoreReply, Submit, TxnPlan
+from appledock.core.events import Cancel, Poll, Reply, Submit
 from appledock.core.jobs.record import Job
 from appledock.core.quota import quota
 from appledock.core.scheduling import placement
+from appledock.core.store.calls import (
+    Committed,
+    Conflict,
+    Delete,
+    Put,
+    Rejected,
+    StoreOutcome,
+    Transaction,
+)
+from appledock.core.store.keys import FINAL, JOBS
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import FINAL, JOBS
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
@@ -33,7 +42,7 @@
 class Asked:
     """A user's request that waits for the state service."""
 
-    ask: int
+    request_id: int
     job: str
     deadline: float
     spec: wire.JobSpec | None = None
@@ -62,15 +71,15 @@
         """needed job whose outcome could not be read -> when it is tried again"""
 
     # --- answers ----------------------------------------------------------
-    def answer(self, ask: int, status: int, body: Any) -> None:
+    def answer(self, request_id: int, status: int, body: Any) -> None:
         """The one final answer of a request."""
-        if self.open.pop(ask, None) is None:
+        if self.open.pop(request_id, None) is None:
             return
         headers = {"Retry-After": str(c.RETRY_AFTER_S)} if status in (429, 503) else None
-        self.e.emit(Reply(ask, status, body, headers))
+        self.e.emit(Reply(request_id, status, body, headers))
 
-    def refuse(self, ask: int, why: str, status: int = 503) -> None:
-        self.answer(ask, status, {"error": why})
+    def refuse(self, request_id: int, why: str, status: int = 503) -> None:
+        self.answer(request_id, status, {"error": why})
 
     def state(self, job_id: str) -> wire.JobState | None:
         """The job as this controller knows it."""
@@ -87,21 +96,21 @@
             job_id, wire.RUNNING if running else wire.PENDING, len(job.done), running
         )
 
-    def _admit(self, ask: int) -> bool:
+    def _admit(self, request_id: int) -> bool:
         """Bounded: beyond the bound users are refused at once."""
-        self.open[ask] = self.e.now + c.REQUEST_DEADLINE_S
+        self.open[request_id] = self.e.now + c.REQUEST_DEADLINE_S
         if not self.e.reader.loaded:
-            self.refuse(ask, "starting")
+            self.refuse(request_id, "starting")
             return False
         if len(self.open) > c.PENDING_USERS_MAX:
-            self.refuse(ask, "too many requests", 429)
+            self.refuse(request_id, "too many requests", 429)
             return False
         return True
 
     def tick(self) -> None:
         now = self.e.now
-        for ask in [a for a, deadline in self.open.items() if deadline <= now]:
-            self.refuse(ask, "state service does not answer")
+        for request_id in [key for key, deadline in self.open.items() if deadline <= now]:
+            self.refuse(request_id, "state service does not answer")
         if self.polls and not self.proving and now >= self.next_proof:
             self._prove()
         self._tell_lagging()
@@ -110,7 +119,7 @@
     def _tell_lagging(self) -> None:
         lagging, self.lagging = self.lagging, []
         for asked, revision in lagging:
-            if asked.ask in self.open:
+            if asked.request_id in self.open:
                 self._tell_current(asked, revision)
 
     def _tell_current(self, asked: Asked, revision: int) -> None:
@@ -152,16 +161,16 @@
 
     # --- submit -----------------------------------------------------------
     def submit(self, cmd: Submit) -> None:
-        if not self._admit(cmd.ask):
+        if not self._admit(cmd.request_id):
             return
         spec = cmd.spec
-        asked = Asked(cmd.ask, spec.id, self.open[cmd.ask], spec)
+        asked = Asked(cmd.request_id, spec.id, self.open[cmd.request_id], spec)
         if spec.id in self.e.replica.finals or spec.id in self.e.replica.jobs:
             self._poll(asked)
             return
         refusal = self.verdict(spec)
         if refusal == "":
-            self.refuse(cmd.ask, "machine types are not known yet")
+            self.refuse(cmd.request_id, "machine types are not known yet")
         elif refusal:
             # It may have been accepted when the types were others.
             asked.refusal = refusal
@@ -177,7 +186,7 @@
         spec = asked.spec
         assert spec is not None
         if spec.needs and self.e.replica.format[1] < 2:
-            self.refuse(asked.ask, "not every controller knows jobs that need others yet")
+            self.refuse(asked.request_id, "not every controller knows jobs that need others yet")
             return
         while unread and self._accepted(unread[0]):
             unread.pop(0)
@@ -193,7 +202,7 @@
                 self._poll(asked)
 
         self._read_job(
-            unread[0], read, lambda: self.refuse(asked.ask, "state service does not answer")
+            unread[0], read, lambda: self.refuse(asked.request_id, "state service does not answer")
         )
 
     def _read_job(self, job_id: str, then: Callable[[], None], failed: Callable[[], None]) -> None:
@@ -257,13 +266,13 @@
         assert spec is not None
         job = Job(spec, self.e.wall)
         job.handoff = self._first_owner(job)
-        plan = TxnPlan(
+        plan = Transaction(
             {JOBS + spec.id: 0, FINAL + spec.id: 0}, [Put(JOBS + spec.id, self.e.record(job))]
         )
 
-        def done(reply: StoreReply) -> None:
-            if reply.outcome == "ok":
-                job.version = reply.data.revision
+        def on_outcome(outcome: StoreOutcome) -> None:
+            if isinstance(outcome, Committed):
+                job.version = outcome.revision
                 self.e.replica.set_job(job)
                 self.e.queue_dirty = True
                 log.info(
@@ -279,26 +288,26 @@
                     self._read(asked)
                     return
                 self.answer(
-                    asked.ask,
+                    asked.request_id,
                     201,
                     wire.JobState(
                         spec.id,
                         (wire.CANCELLED if self.e.replica.withdrawn(spec.id) else wire.PENDING),
                     ),
                 )
-            elif reply.outcome == "conflict":
+            elif isinstance(outcome, Conflict):
                 self._read(asked)
-            elif reply.outcome == "invalid":
-                self.answer(asked.ask, 400, {"error": "refused by the state service"})
+            elif isinstance(outcome, Rejected):
+                self.answer(asked.request_id, 400, {"error": "refused by the state service"})
             else:
-                self.refuse(asked.ask, "state service does not answer")
+                self.refuse(asked.request_id, "state service does not answer")
 
-        self.e.store("txn", (plan,), Priority.USER, done, c.REQUEST_DEADLINE_S)
+        self.e.store(plan, Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
 
     # --- poll -------------------------------------------------------------
     def poll(self, cmd: Poll) -> None:
-        if self._admit(cmd.ask):
-            self._poll(Asked(cmd.ask, cmd.job, self.open[cmd.ask]))
+        if self._admit(cmd.request_id):
+            self._poll(Asked(cmd.request_id, cmd.job, self.open[cmd.request_id]))
 
     def _poll(self, asked: Asked) -> None:
         """What is final is told at once, in an outage too: a committed cancellation
@@ -314,15 +323,15 @@
         is not here yet: `no such job` would be wrong."""
         state = self.state(asked.job)
         if state is not None:
-            self.answer(asked.ask, 200, state)
+            self.answer(asked.request_id, 200, state)
         elif not absent:
             self._read(asked)
         elif asked.refusal is not None:
-            self.answer(asked.ask, asked.status, {"error": asked.refusal})
+            self.answer(asked.request_id, asked.status, {"error": asked.refusal})
         elif asked.spec is not None:
             self._with_needs(asked, list(asked.spec.needs or ()))
         else:
-            self.answer(asked.ask, 404, {"error": "no such job"})
+            self.answer(asked.request_id, 404, {"error": "no such job"})
 
     def _prove(self) -> None:
         """One compare-only transaction for all the polls that wait."""
@@ -332,7 +341,7 @@
         rest: list[Asked] = []
         most = min(c.PROOF_MAX, 4 * self.e.settings.cluster.state.txn_ops)
         for asked in self.polls:
-            if asked.ask not in self.open:
+            if asked.request_id not in self.open:
                 continue
             if asked.job in self.e.replica.finals:
                 self._tell(asked, False)
@@ -350,25 +359,26 @@
             return
         self.proving = True
 
-        def done(reply: StoreReply) -> None:
+        def on_outcome(outcome: StoreOutcome) -> None:
             self.proving = False
-            if reply.outcome == "ok":
-                for asked in batch:
-                    self._tell_proven(asked, FINAL + asked.job in conditions, reply.data.revision)
-            elif reply.outcome == "conflict":
-                failed = set(reply.data.failed)
-                for asked in batch:
-                    if JOBS + asked.job in failed or FINAL + asked.job in failed:
-                        self._read(asked)
-                    else:
-                        self._tell_proven(
-                            asked, FINAL + asked.job in conditions, reply.data.revision
-                        )
-            else:
-                for asked in batch:
-                    self.refuse(asked.ask, "state service does not answer")
-
-        self.e.store("txn", (TxnPlan(conditions),), Priority.USER, done, c.REQUEST_DEADLINE_S)
+            match outcome:
+                case Committed():
+                    for asked in batch:
+                        self._tell_proven(asked, FINAL + asked.job in conditions, outcome.revision)
+                case Conflict():
+                    failed = set(outcome.failed)
+                    for asked in batch:
+                        if JOBS + asked.job in failed or FINAL + asked.job in failed:
+                            self._read(asked)
+                        else:
+                            self._tell_proven(
+                                asked, FINAL + asked.job in conditions, outcome.revision
+                            )
+                case _:
+                    for asked in batch:
+                        self.refuse(asked.request_id, "state service does not answer")
+
+        self.e.store(Transaction(conditions), Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
 
     def _tell_proven(self, asked: Asked, absent: bool, revision: int) -> None:
         if asked.job in self.e.replica.needs.waiting:
@@ -386,47 +396,47 @@
                 self._tell(asked, True)
 
         self._read_job(
-            asked.job, read, lambda: self.refuse(asked.ask, "state service does not answer")
+            asked.job, read, lambda: self.refuse(asked.request_id, "state service does not answer")
         )
 
     # --- cancel -----------------------------------------------------------
     def cancel(self, cmd: Cancel) -> None:
-        if self._admit(cmd.ask):
-            asked = Asked(cmd.ask, cmd.job, self.open[cmd.ask])
+        if self._admit(cmd.request_id):
+            asked = Asked(cmd.request_id, cmd.job, self.open[cmd.request_id])
             if cmd.job in self.e.replica.finals or cmd.job in self.e.replica.jobs:
                 self._cancel(asked)
             else:
                 self._read_job(
                     cmd.job,
                     lambda: self._cancel(asked),
-                    lambda: self.refuse(cmd.ask, "state service does not answer"),
+                    lambda: self.refuse(cmd.request_id, "state service does not answer"),
                 )
 
     def _cancel(self, asked: Asked) -> None:
         """Committed first, then answered, then carried out: the record's version
         makes every later start fail."""
-        if asked.ask not in self.open:
+        if asked.request_id not in self.open:
             return
         final = self.e.replica.finals.get(asked.job)
         job = self.e.replica.jobs.get(asked.job)
         if final is not None:
-            self.answer(asked.ask, 200, wire.JobState(asked.job, final))
+            self.answer(asked.request_id, 200, wire.JobState(asked.job, final))
             return
         if job is None:
-            self.answer(asked.ask, 404, {"error": "no such job"})
+            self.answer(asked.request_id, 404, {"error": "no such job"})
             return
         new = job.copy()
         new.cancelled, new.cancelled_at = True, self.e.wall
         over = not job.attempts
-        plan = TxnPlan({JOBS + job.id: job.version})
+        plan = Transaction({JOBS + job.id: job.version})
         if over:
-            plan.writes = [Drop(JOBS + job.id), Put(FINAL + job.id, {"state": wire.CANCELLED})]
+            plan.writes = [Delete(JOBS + job.id), Put(FINAL + job.id, {"state": wire.CANCELLED})]
         else:
             plan.writes = [Put(JOBS + job.id, self.e.record(self.e.slim(new)))]
 
-        def done(reply: StoreReply) -> None:
-            if reply.outcome == "ok":
-                revision = reply.data.revision
+        def on_outcome(outcome: StoreOutcome) -> None:
+            if isinstance(outcome, Committed):
+                revision = outcome.revision
                 if over:
                     self.e.replica.put(FINAL + job.id, {"state": wire.CANCELLED}, revision)
                     self.e.replica.drop(JOBS + job.id, revision)
@@ -434,18 +444,18 @@
                     new.version = revision
                     self.e.replica.set_job(new)
                 self.e.cancels.told(None if over else new, job.id, revision)
-                self.answer(asked.ask, 200, wire.JobState(job.id, wire.CANCELLED))
-            elif reply.outcome == "conflict":
+                self.answer(asked.request_id, 200, wire.JobState(job.id, wire.CANCELLED))
+            elif isinstance(outcome, Conflict):
                 self._read_job(
                     job.id,
                     lambda: self._cancel(asked),
-                    lambda: self.refuse(asked.ask, "state service does not answer"),
+                    lambda: self.refuse(asked.request_id, "state service does not answer"),
                 )
             else:
-                self.refuse(asked.ask, "state service does not answer")
+                self.refuse(asked.request_id, "state service does not answer")
 
         if self.e.replica.withdrawn(job.id):
             # Cancelled already, by us or a request before, and for ever.
             self._tell(asked, False)
             return
-        self.e.store("txn", (plan,), Priority.USER, done, c.REQUEST_DEADLINE_S)
+        self.e.store(plan, Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -13,8 +13,16 @@
 from appledock.capacity.holdings import Bucket, Holding, bucket_of
 from appledock.capacity.lending import Lenders, lent
 from appledock.capacity.settings import Pool
-from appledock.core.events import Put, StoreReply, TxnPlan
 from appledock.core.fleet.demand import queued_demand
+from appledock.core.store.calls import (
+    Committed,
+    Conflict,
+    NotExecuted,
+    Put,
+    StoreOutcome,
+    Transaction,
+    UnknownOutcome,
+)
 from appledock.core.store.capacity_records import HOLDINGS
 from appledock.core.store.rate_limiter import Priority
 from appledock.rebalancing.picture import task_share
@@ -142,7 +150,7 @@
     def _write(self, changes: dict[str, Holding | None]) -> None:
         """As many records as one transaction takes; the others at the next pass."""
         engine = self.engine
-        plan = TxnPlan(engine.membership.conditions())
+        plan = Transaction(engine.membership.conditions())
         written: dict[int, Bucket] = {}
         for number in sorted({bucket_of(machine) for machine in changes}):
             if len(plan.writes) >= min(engine.settings.cluster.state.txn_ops, self.most_writes):
@@ -163,27 +171,30 @@
         if plan.writes:
             self._send(plan)
 
-    def _send(self, plan: TxnPlan) -> None:
+    def _send(self, plan: Transaction) -> None:
         self.writing = True
 
-        def done(reply: StoreReply) -> None:
+        def on_outcome(outcome: StoreOutcome) -> None:
             self.writing = False
             keys = [write.key for write in plan.writes]
             # Guards against a transaction that can never be taken: one with more writes than
             # the state service allows in a second, if it allows fewer than it announced.
-            if reply.outcome == "refused":
-                self.most_writes = max(1, len(keys) // 2)
-            elif reply.outcome == "ok":
-                self.most_writes += 1
-            if reply.outcome == "ok":
-                for write in plan.writes:
-                    assert isinstance(write, Put)
-                    self.engine.replica.put(write.key, write.value, reply.data.revision)
-            elif reply.outcome in ("conflict", "unknown"):
-                # It may be carried out, now or later; what follows is conditional on what is read.
-                self.engine.reader.read_keys(keys)
-
-        self.engine.store("txn", (plan,), Priority.STEP, done, c.STEP_PATIENCE_S)
+            match outcome:
+                case NotExecuted():
+                    self.most_writes = max(1, len(keys) // 2)
+                case Committed():
+                    self.most_writes += 1
+                    for write in plan.writes:
+                        assert isinstance(write, Put)
+                        self.engine.replica.put(write.key, write.value, outcome.revision)
+                case Conflict() | UnknownOutcome():
+                    # It may be carried out, now or later; what follows is conditional on what is
+                    # read.
+                    self.engine.reader.read_keys(keys)
+                case _:
+                    pass
+
+        self.engine.store(plan, Priority.STEP, on_outcome, c.STEP_PATIENCE_S)
 
 
 def _fits_on(spec: wire.JobSpec, machine_type: wire.MachineType) -> int:
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -4,7 +4,6 @@
 
 import logging
 import random
-from collections import Counter
 from collections.abc import Callable
 from typing import Any
 
@@ -25,17 +24,21 @@
 from appledock.core.membership.membership import Membership
 from appledock.core.quota.quota import Quota
 from appledock.core.rebalancing.rebalancer import Rebalancer
+from appledock.core.runtime import Runtime
 from appledock.core.scheduling.capacity_index import Rooms
 from appledock.core.scheduling.moves import Moves
 from appledock.core.scheduling.objectives import Objectives
 from appledock.core.scheduling.queue_order import QueueOrder
 from appledock.core.scheduling.reconciler import Steps
-from appledock.core.store.rate_limiter import Bucket, Budget, Priority, Waiting
+from appledock.core.store.calls import StoreOutcome, StoreRequest
+from appledock.core.store.client import StoreClient
+from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter
 from appledock.core.store.reader import StateReader
-from appledock.core.store.replica import Replica, View, key_kind
+from appledock.core.store.replica import Replica, View
 from appledock.core.workers import Worker, Workers
 from appledock.rebalancing.settings import Rebalancing
 from appledock.settings import Settings
+from appledock.settings import Team as TeamLimits
 
 log = logging.getLogger(__name__)
 
@@ -51,40 +54,13 @@
         rebalancing: Rebalancing | None = None,
         capacity: Capacity | None = None,
     ) -> None:
-        self.settings = settings
-        self.incarnation = incarnation
-        self.rng = rng
-        self.now = 0.0
-        """s, steady clock"""
-        self.wall = 0.0
-        """s, time of day"""
-        self.effects: list[ev.Effect] = []
+        self.runtime = Runtime(settings, incarnation, rng)
+        self.client = StoreClient(self.runtime)
         self.queue_dirty = True
-        self.value_bytes = int(settings.cluster.state.value_kb * 1024 * c.VALUE_SLACK)
-        workers = settings.cluster.workers
-        # A controller cut off right before a cancellation may answer a worker for
-        # one lease more, and the worker runs on for its own lease after that: both
-        # must fit into the time a cancellation has.
-        self.grant_s = max(
-            c.GRANT_MIN_S, min(c.GRANT_S, workers.cancel_s - workers.lease_s - c.CANCEL_RESERVE_S)
-        )
-        self.teams = {team.name: team for team in settings.cluster.teams}
         self.objectives = Objectives(settings.cluster.objectives)
         self.types: dict[str, wire.MachineType] = {}
         self.acted_view: View | None = None
-        self.tag = 0
-        self.callbacks: dict[int, Callable[[Any], None]] = {}
-        self.refusals: Counter[str] = Counter()
-        """why the state service refused calls -> how often, for the metrics"""
-        self.conflicts: Counter[str] = Counter()
-        """kind of key -> transactions that failed on it, for the metrics"""
-        share = c.BUDGET_SHARE / settings.cluster.size
-        self.budget = Budget(
-            Bucket(settings.cluster.state.rps * share),
-            Bucket(settings.cluster.state.write_rps * share),
-            settings.cluster.state.write_rps * share,
-            settings.cluster.state.write_rps * c.WRITES_CEILING,
-        )
+        self._started = False
         self.replica = Replica()
         self.reader = StateReader(self)
         self.membership = Membership(self)
@@ -105,10 +81,10 @@
     # --- commands in, effects out -----------------------------------------
     def handle(self, batch: list[ev.Cmd], now: float, wall: float) -> list[ev.Effect]:
         """Work through a batch; `now` is the steady clock, `wall` the time of day."""
-        self.now, self.wall = now, wall
-        if self.tag == 0:
+        self.runtime.now, self.runtime.wall = now, wall
+        if not self._started:
             self.workers.start_bound = now + self.grant_s
-            self.tag = 1
+            self._started = True
         for command in batch:
             try:
                 self._one(command)
@@ -116,25 +92,24 @@
                 # Bad input or a bug must never end the process, nor take the rest
                 # of the batch and its effects along.
                 log.exception("command %s failed", type(command).__name__)
-                ask = getattr(command, "ask", None)
-                if ask is not None:
-                    self.requests.open.pop(ask, None)
-                    self.emit(ev.Reply(ask, 500, {"error": "internal error"}))
-        for follow in (self._after, self._drain):
+                request_id = getattr(command, "request_id", None)
+                if request_id is not None:
+                    self.requests.open.pop(request_id, None)
+                    self.emit(ev.Reply(request_id, 500, {"error": "internal error"}))
+        for follow in (self._after, self.client.flush):
             # One after the other: whatever fails, leases are renewed and users answered.
             try:
                 follow()
             except Exception:
                 log.exception("follow-up of a batch failed")
-        effects, self.effects = self.effects, []
-        return effects
+        return self.runtime.take_effects()
 
     def _one(self, cmd: ev.Cmd) -> None:
         match cmd:
             case ev.Reported():
-                self.workers.on_report(cmd.ask, cmd.report)
+                self.workers.on_report(cmd.request_id, cmd.report)
             case ev.StoreReply() | ev.CloudReply() | ev.WorkerReply():
-                self._replied(cmd)
+                self.runtime.resolve(cmd)
             case ev.PeerMessage():
                 self._peer(cmd.message)
             case ev.PeerOpened():
@@ -156,15 +131,10 @@
                 self.requests.cancel(cmd)
             case ev.Health():
                 good = self.healthy()
-                self.emit(ev.Reply(cmd.ask, 200 if good else 503, {"healthy": good}))
+                self.emit(ev.Reply(cmd.request_id, 200 if good else 503, {"healthy": good}))
             case ev.Admin():
                 self.admin.request(cmd)
 
-    def _replied(self, reply: ev.StoreReply | ev.CloudReply | ev.WorkerReply) -> None:
-        callback = self.callbacks.pop(reply.tag, None)
-        if callback is not None:
-            callback(reply)
-
     def _peer(self, body: Any) -> None:
         message = messages.decode(body)
         match message:
@@ -250,10 +220,6 @@
         self.steps.tick()
         self.workers.flush_orders()
 
-    def emit(self, effect: ev.Effect) -> None:
-        """Hand an effect to the adapters, with the others of this batch."""
-        self.effects.append(effect)
-
     def healthy(self) -> bool:
         """Can requests be taken?
 
@@ -268,78 +234,77 @@
             and not self.heartbeats.shut_out()
         )
 
-    # --- calls ------------------------------------------------------------
+    # --- shared by the parts that are still given the engine ---------------
+    @property
+    def settings(self) -> Settings:
+        """The platform's settings."""
+        return self.runtime.settings
+
+    @property
+    def incarnation(self) -> str:
+        """Of this process."""
+        return self.runtime.incarnation
+
+    @property
+    def rng(self) -> random.Random:
+        """The random source."""
+        return self.runtime.rng
+
+    @property
+    def now(self) -> float:
+        """Steady clock, s."""
+        return self.runtime.now
+
+    @now.setter
+    def now(self, now: float) -> None:
+        self.runtime.now = now
+
+    @property
+    def wall(self) -> float:
+        """Time of day, s."""
+        return self.runtime.wall
+
+    @wall.setter
+    def wall(self, wall: float) -> None:
+        self.runtime.wall = wall
+
+    @property
+    def teams(self) -> dict[str, TeamLimits]:
+        """The teams by name."""
+        return self.runtime.teams
+
+    @property
+    def grant_s(self) -> float:
+        """Time to live of a controller's lease."""
+        return self.runtime.lease_ttl_s
+
+    @property
+    def value_bytes(self) -> int:
+        """The largest value that is written."""
+        return self.client.max_value_bytes
+
+    @property
+    def budget(self) -> StoreRateLimiter:
+        """The rate limiter of the client."""
+        return self.client.limiter
+
+    def emit(self, effect: ev.Effect) -> None:
+        """Hand an effect to the adapters, with the others of this batch."""
+        self.runtime.emit(effect)
+
     def call(self, make: Callable[[int], ev.Effect], done: Callable[[Any], None]) -> None:
         """Emit a call whose answer goes to `done`."""
-        self.tag += 1
-        self.callbacks[self.tag] = done
-        self.emit(make(self.tag))
+        self.runtime.call(make, done)
 
     def store(
         self,
-        op: str,
-        args: tuple[Any, ...],
+        request: StoreRequest,
         priority: Priority,
-        done: Callable[[ev.StoreReply], None],
-        patience: float = c.PATIENCE_S,
-    ) -> Waiting | None:
-        """Queue a call to the state service; `done` is called in any case.
-
-        None: the queue is full.
-        """
-        writes = len(args[0].writes) if op == "txn" else 0
-        timeout = c.FOLLOW_TIMEOUT_S if op == "watch" else c.STORE_TIMEOUT_S
-        call = Waiting(op, args, priority, writes, timeout, done, self.now + patience, self.now)
-        if self.budget.add(call):
-            return call
-        done(ev.StoreReply(0, "refused"))
-        return None
-
-    def _drain(self) -> None:
-        send, expired = self.budget.due(self.now)
-        for call in send:
-            self._send(call)
-        for call in expired:
-            try:
-                call.done(ev.StoreReply(0, "refused"))
-            except Exception:
-                log.exception("end of a call failed")  # the others still hear of theirs
-
-    def _send(self, call: Waiting) -> None:
-        def done(reply: ev.StoreReply) -> None:
-            if reply.outcome == "conflict":
-                self.conflicts.update(key_kind(key) for key in reply.data.failed)
-            if reply.outcome == "refused" and reply.data is not None:
-                self.refusals["too fast" if reply.data == 429 else "unavailable"] += 1
-            elif reply.outcome == "invalid":
-                self.refusals["too large or malformed"] += 1
-                if call.op == "txn":
-                    self._too_large(call.args[0])
-            if reply.outcome == "refused" and reply.data == 429 and call.writes:
-                # Not executed, and only the pace was wrong: its turn comes again.
-                self.budget.limited()
-                if self.now < call.expires:
-                    self.budget.queues[call.priority].appendleft(call)
-                    return
-            call.done(reply)
-
-        self.call(lambda tag: ev.StoreCall(tag, call.op, call.args, call.timeout), done)
-
-    def _too_large(self, plan: ev.TxnPlan) -> None:
-        """Keep records below the largest value refused, down to a floor, from now on.
-
-        It met a limit that nobody announced. Sent again as it is, it would be refused for ever.
-        """
-        largest = max(
-            (len(wire.encode(write.value)) for write in plan.writes if isinstance(write, ev.Put)),
-            default=0,
-        )
-        bound = max(c.VALUE_LEAST_BYTES, int(largest * c.VALUE_SLACK))
-        if bound < self.value_bytes:
-            log.warning(
-                "values of %d bytes are refused: records are kept to %d bytes", largest, bound
-            )
-            self.value_bytes = bound
+        on_outcome: Callable[[StoreOutcome], None],
+        expires_after_s: float = c.PATIENCE_S,
+    ) -> QueuedCall | None:
+        """Queue a call to the key-value store."""
+        return self.client.submit(request, priority, on_outcome, expires_after_s)
 
     # --- records ----------------------------------------------------------
     def record(self, job: Job) -> dict[str, Any]:
--- a/appledock/core/events.py
+++ b/appledock/core/events.py
@@ -2,11 +2,38 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+import enum
+from dataclasses import dataclass
 from typing import Any
 
 from appledock import wire
 from appledock.core.messages import Message
+from appledock.core.store.calls import StoreOutcome, StoreRequest
+
+
+class CloudOutcome(enum.StrEnum):
+    """How a call to the cloud ended."""
+
+    OK = "ok"
+    REFUSED = "refused"
+    """not executed; it can be made again"""
+    NO_CAPACITY = "full"
+    INVALID = "invalid"
+    """never executed"""
+    UNKNOWN = "unknown"
+    """no answer: it may have been executed, or may yet be"""
+
+
+class WorkerOutcome(enum.StrEnum):
+    """How a direct call to a worker ended."""
+
+    OK = "ok"
+    STALE = "stale"
+    """refused by a newer fencing token or agent epoch"""
+    NOT_SENT = "not_sent"
+    UNKNOWN = "unknown"
+    """no answer: the commands may have been executed, or may yet be"""
+
 
 # --- commands -------------------------------------------------------------
 
@@ -15,7 +42,7 @@
 class Submit:
     """A user submits a job."""
 
-    ask: int
+    request_id: int
     spec: wire.JobSpec
 
 
@@ -23,7 +50,7 @@
 class Poll:
     """A user asks for the state of a job."""
 
-    ask: int
+    request_id: int
     job: str
 
 
@@ -31,7 +58,7 @@
 class Cancel:
     """A user cancels a job."""
 
-    ask: int
+    request_id: int
     job: str
 
 
@@ -39,7 +66,7 @@
 class Reported:
     """A worker reports."""
 
-    ask: int
+    request_id: int
     report: wire.Report
 
 
@@ -47,14 +74,14 @@
 class Health:
     """The platform asks whether requests can be taken."""
 
-    ask: int
+    request_id: int
 
 
 @dataclass(slots=True)
 class Admin:
     """A request of the administration API, already split into its parts."""
 
-    ask: int
+    request_id: int
     method: str
     path: tuple[str, ...]
     body: Any = None
@@ -62,32 +89,27 @@
 
 @dataclass(slots=True)
 class StoreReply:
-    """Answer of the state service.
-
-    `outcome`: ok, conflict, missing, refused (not executed; the data may be the status), gone
-    (watch too old), expired (no such lease), invalid, or unknown (may be executed yet).
-    """
+    """How a call to the key-value store ended."""
 
-    tag: int
-    outcome: str
-    data: Any = None
+    call_id: int
+    outcome: StoreOutcome
 
 
 @dataclass(slots=True)
 class CloudReply:
-    """`outcome`: ok, refused, full (no capacity), invalid, unknown."""
+    """How a call to the cloud ended, with its answer if there is one."""
 
-    tag: int
-    outcome: str
+    call_id: int
+    outcome: CloudOutcome
     data: Any = None
 
 
 @dataclass(slots=True)
 class WorkerReply:
-    """Answer to a direct call: `outcome` ok, stale (409), not_sent or unknown."""
+    """How a direct call to a worker ended, with its report if it sent one."""
 
-    tag: int
-    outcome: str
+    call_id: int
+    outcome: WorkerOutcome
     report: wire.Report | None = None
 
 
@@ -132,7 +154,7 @@
 class Reply:
     """The answer to a request."""
 
-    ask: int
+    request_id: int
     status: int
     body: Any
     headers: dict[str, str] | None = None
@@ -140,32 +162,31 @@
 
 @dataclass(slots=True)
 class StoreCall:
-    """`op`: txn, get, list, watch, grant, touch, revoke."""
+    """A call to the key-value store."""
 
-    tag: int
-    op: str
-    args: tuple[Any, ...]
-    timeout: float
+    call_id: int
+    request: StoreRequest
+    timeout_s: float
 
 
 @dataclass(slots=True)
 class CloudCall:
     """`op`: types, list, rent, delete."""
 
-    tag: int
+    call_id: int
     op: str
     args: tuple[Any, ...] = ()
-    timeout: float = 5.0
+    timeout_s: float = 5.0
 
 
 @dataclass(slots=True)
 class WorkerCall:
     """A command list sent straight to a worker, or (orders None) a question."""
 
-    tag: int
+    call_id: int
     addr: str
     orders: wire.Orders | None
-    timeout: float
+    timeout_s: float
 
 
 @dataclass(slots=True)
@@ -184,27 +205,3 @@
 
 
 Effect = Reply | StoreCall | CloudCall | WorkerCall | PeerSend | SetLogLevel
-
-
-@dataclass(slots=True)
-class Put:
-    """Write a key."""
-
-    key: str
-    value: Any
-    lease: int | None = None
-
-
-@dataclass(slots=True)
-class Drop:
-    """Delete a key."""
-
-    key: str
-
-
-@dataclass(slots=True)
-class TxnPlan:
-    """One conditional transaction of the state service."""
-
-    conditions: dict[str, int] = field(default_factory=dict)
-    writes: list[Put | Drop] = field(default_factory=list)
--- a/appledock/core/fleet/catalogue.py
+++ b/appledock/core/fleet/catalogue.py
@@ -10,10 +10,11 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import CloudReply, Put, StoreReply, TxnPlan
+from appledock.core.events import CloudOutcome, CloudReply
 from appledock.core.fleet.cloud import CloudCalls
+from appledock.core.store.calls import Committed, Put, StoreOutcome, Transaction
+from appledock.core.store.keys import CATALOGUE
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import CATALOGUE
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
@@ -59,7 +60,7 @@
         engine = self.engine
         self.reading = False
         self.next_read = engine.now + c.TYPES_EVERY_S
-        if reply.outcome != "ok":
+        if reply.outcome is not CloudOutcome.OK:
             self.next_read = engine.now + c.TYPES_RETRY_S + engine.rng.random()
             self.cloud.back_off()
             return
@@ -84,17 +85,16 @@
         if len(wire.encode(value)) > engine.value_bytes:
             return
 
-        def done(reply: StoreReply) -> None:
-            if reply.outcome == "ok":
-                engine.replica.put(CATALOGUE, value, reply.data.revision)
+        def on_outcome(outcome: StoreOutcome) -> None:
+            if isinstance(outcome, Committed):
+                engine.replica.put(CATALOGUE, value, outcome.revision)
             else:
                 self.next_read = min(self.next_read, engine.now + c.CATALOGUE_RETRY_S)
 
         engine.store(
-            "txn",
-            (TxnPlan({CATALOGUE: version}, [Put(CATALOGUE, value)]),),
+            Transaction({CATALOGUE: version}, [Put(CATALOGUE, value)]),
             Priority.PROGRESS,
-            done,
+            on_outcome,
         )
 
 
--- a/appledock/core/fleet/cloud.py
+++ b/appledock/core/fleet/cloud.py
@@ -21,7 +21,7 @@
 
     def call(self, op: str, args: tuple[Any, ...], done: Callable[[CloudReply], None]) -> None:
         """Emit a call; `done` gets its outcome."""
-        self.engine.call(lambda tag: CloudCall(tag, op, args, c.CLOUD_TIMEOUT_S), done)
+        self.engine.call(lambda call_id: CloudCall(call_id, op, args, c.CLOUD_TIMEOUT_S), done)
 
     def back_off(self) -> None:
         """429 or outage: pause, with jitter against a herd."""
--- a/appledock/core/fleet/machines.py
+++ b/appledock/core/fleet/machines.py
@@ -8,7 +8,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import CloudReply, PeerSend
+from appledock.core.events import CloudOutcome, CloudReply, PeerSend
 from appledock.core.fleet.cloud import CloudCalls
 from appledock.core.fleet.model import BootingMachine, MachineKind, RentedMachine
 from appledock.core.messages import MachinesGone
@@ -79,7 +79,7 @@
         if reading is not self.reading:
             return  # begun anew meanwhile
         reading.calling = False
-        if reply.outcome != "ok":
+        if reply.outcome is not CloudOutcome.OK:
             self.cloud.back_off()
             if now - reading.began > c.LIST_ABANDON_S:
                 self._list_ended()
--- a/appledock/core/fleet/rental.py
+++ b/appledock/core/fleet/rental.py
@@ -9,7 +9,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import CloudReply, PeerSend
+from appledock.core.events import CloudOutcome, CloudReply, PeerSend
 from appledock.core.fleet.cloud import CloudCalls
 from appledock.core.fleet.machines import Machines
 from appledock.core.fleet.model import MachineKind, RentRequest
@@ -65,13 +65,13 @@
         self.cloud.call("rent", (body,), lambda reply: self._on_reply(request, reply))
 
     def _on_reply(self, request: RentRequest, reply: CloudReply) -> None:
-        if reply.outcome == "unknown" and request.tries < c.RENT_TRIES:
+        if reply.outcome is CloudOutcome.UNKNOWN and request.tries < c.RENT_TRIES:
             request.next_try = self.engine.now + c.CLOUD_PAUSE_S + self.engine.rng.random()
             return
         self.requests.remove(request)
-        if reply.outcome == "ok":
+        if reply.outcome is CloudOutcome.OK:
             self._on_rented(request, list(reply.data.machines))
-        elif reply.outcome == "full":
+        elif reply.outcome is CloudOutcome.NO_CAPACITY:
             log.info("no capacity for %s", tuple(request.kind))
             self.offers.refuse(request.kind)
             self.replan()
--- a/appledock/core/fleet/returns.py
+++ b/appledock/core/fleet/returns.py
@@ -8,7 +8,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import CloudReply
+from appledock.core.events import CloudOutcome, CloudReply
 from appledock.core.fleet.cloud import CloudCalls
 from appledock.core.fleet.cordons import Cordons
 from appledock.core.fleet.headroom import Headroom
@@ -218,7 +218,7 @@
         items = {name: self.returning[name] for name in names if name in self.returning}
         for item in items.values():
             item.calling = False
-        if reply.outcome == "ok":
+        if reply.outcome is CloudOutcome.OK:
             log.info("deleted %s", {name: item.why for name, item in items.items()})
             self.deleted(names)
         else:
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -21,10 +21,17 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import CloudCall, CloudReply, PeerSend, WorkerCall, WorkerReply
+from appledock.core.events import (
+    CloudCall,
+    CloudOutcome,
+    CloudReply,
+    PeerSend,
+    WorkerCall,
+    WorkerReply,
+)
 from appledock.core.jobs.record import Attempt, Job, split_task
 from appledock.core.messages import JobCancelled
-from appledock.core.store.replica import FINAL, JOBS
+from appledock.core.store.keys import FINAL, JOBS
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
@@ -134,7 +141,7 @@
                 self._learn_of_known(reply.report)
 
         self.engine.call(
-            lambda tag: WorkerCall(tag, report.addr, orders, c.ORDERS_TIMEOUT_S), answered
+            lambda call_id: WorkerCall(call_id, report.addr, orders, c.ORDERS_TIMEOUT_S), answered
         )
 
     def _learn_of_known(self, report: wire.Report) -> None:
@@ -268,13 +275,15 @@
         log.warning("deleting %s: cancelled tasks may still run there", names)
 
         def done(reply: CloudReply) -> None:
-            if reply.outcome == "ok":
+            if reply.outcome is CloudOutcome.OK:
                 self.engine.fleet.deleted(names)
             else:
                 for name in names:
                     self.deleting.pop(name, None)
 
-        self.engine.call(lambda tag: CloudCall(tag, "delete", (names,), c.CLOUD_TIMEOUT_S), done)
+        self.engine.call(
+            lambda call_id: CloudCall(call_id, "delete", (names,), c.CLOUD_TIMEOUT_S), done
+        )
 
     def _hears_most_workers(self) -> bool:
         near = 2 * self.engine.settings.cluster.workers.report_s
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -9,12 +9,22 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import Drop, Put, StoreReply, TxnPlan
 from appledock.core.jobs.record import Job
 from appledock.core.scheduling import placement
 from appledock.core.scheduling.capacity_index import Entry
-from appledock.core.store.rate_limiter import Priority, Waiting
-from appledock.core.store.replica import FINAL, JOBS, TEAMS, Team
+from appledock.core.store.calls import (
+    Committed,
+    Conflict,
+    Delete,
+    Put,
+    Rejected,
+    StoreOutcome,
+    Transaction,
+    UnknownOutcome,
+)
+from appledock.core.store.keys import FINAL, JOBS, TEAMS
+from appledock.core.store.rate_limiter import Priority, QueuedCall
+from appledock.core.store.replica import Team
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
@@ -34,7 +44,7 @@
     over: str | None
     team_record: Team | None
     reserved: list[Entry]
-    ended: Callable[[str], None]
+    ended: Callable[[StoreOutcome], None]
     """takes back what the quota counts for the write; called with its outcome"""
 
 
@@ -45,7 +55,7 @@
         self.engine = engine
         self.busy: set[str] = set()
         """jobs with a write under way"""
-        self.calls: dict[str, Waiting] = {}
+        self.calls: dict[str, QueuedCall] = {}
         """job -> its write, perhaps still waiting"""
         self.retry_at: dict[str, float] = {}
         self.written_at: dict[str, float] = {}
@@ -103,18 +113,18 @@
         write = JobWrite(job, new, over, record, reserved or [], ended)
         patience = c.STEP_PATIENCE_S if over or priority >= Priority.STEP else c.PATIENCE_S
         call = engine.store(
-            "txn", (plan,), priority, lambda reply: self._on_reply(write, reply), patience
+            plan, priority, lambda outcome: self._on_outcome(write, outcome), patience
         )
         if call is not None:
             self.calls[job.id] = call
         return call is not None
 
-    def _plan(self, job: Job, new: Job, over: str | None, record: Team | None) -> TxnPlan:
+    def _plan(self, job: Job, new: Job, over: str | None, record: Team | None) -> Transaction:
         """Build the transaction: the job's record or its end, and the team's record."""
-        plan = TxnPlan(self.engine.membership.conditions())
+        plan = Transaction(self.engine.membership.conditions())
         plan.conditions[JOBS + job.id] = job.version
         if over:
-            plan.writes += [Drop(JOBS + job.id), Put(FINAL + job.id, {"state": over})]
+            plan.writes += [Delete(JOBS + job.id), Put(FINAL + job.id, {"state": over})]
         else:
             plan.writes.append(Put(JOBS + job.id, self.engine.record(self.engine.slim(new))))
         if record is not None:
@@ -122,18 +132,18 @@
             plan.writes.append(Put(TEAMS + job.spec.team, record.encode()))
         return plan
 
-    def _on_reply(self, write: JobWrite, reply: StoreReply) -> None:
+    def _on_outcome(self, write: JobWrite, outcome: StoreOutcome) -> None:
         engine, job_id = self.engine, write.job.id
         self.busy.discard(job_id)
         self.calls.pop(job_id, None)
         engine.rooms.release(job_id)
-        write.ended(reply.outcome)
+        write.ended(outcome)
         engine.queue_dirty = True
         engine.steps.dirty.add(job_id)
-        if reply.outcome == "ok":
-            self._on_written(write, reply.data.revision)
+        if isinstance(outcome, Committed):
+            self._on_written(write, outcome.revision)
         else:
-            self.retry_at[job_id] = engine.now + self._pause_after(write, reply)
+            self.retry_at[job_id] = engine.now + self._pause_after(write, outcome)
 
     def _on_written(self, write: JobWrite, revision: int) -> None:
         engine, job, new = self.engine, write.job, write.new
@@ -154,23 +164,28 @@
         if write.team_record is not None:
             self._team_written(job.spec.team, write.team_record, revision)
 
-    def _pause_after(self, write: JobWrite, reply: StoreReply) -> float:
+    def _pause_after(self, write: JobWrite, outcome: StoreOutcome) -> float:
         """Seconds until the job is decided anew after a write that did not succeed."""
         engine, job = self.engine, write.job
         pause = c.RETRY_MIN_S + engine.rng.random() * (c.RETRY_MAX_S - c.RETRY_MIN_S)
-        if reply.outcome == "conflict":
-            engine.reader.read_keys(reply.data.failed)
-            return c.RETRY_MIN_S * engine.rng.random()
-        if reply.outcome == "unknown":
-            # It may be applied, now or later: read before acting on either.
-            team_keys = [TEAMS + job.spec.team] if write.team_record else []
-            engine.reader.read_keys([JOBS + job.id, *team_keys])
-        elif reply.outcome == "invalid":
-            # Too large, most likely: it may fit now that the bound is lower. If not,
-            # seldom, since each try costs the others their turn.
-            tries = self.invalid[job.id] = self.invalid.get(job.id, 0) + 1
-            engine.steps.blocked[job.id] = "record refused by the state service"
-            return float(min(c.ERROR_BACKOFF_MAX_S, c.ERROR_BACKOFF_S * 2 ** min(10, tries - 1)))
+        match outcome:
+            case Conflict():
+                engine.reader.read_keys(outcome.failed)
+                return c.RETRY_MIN_S * engine.rng.random()
+            case UnknownOutcome():
+                # It may be applied, now or later: read before acting on either.
+                team_keys = [TEAMS + job.spec.team] if write.team_record else []
+                engine.reader.read_keys([JOBS + job.id, *team_keys])
+            case Rejected():
+                # Too large, most likely: it may fit now that the bound is lower. If not,
+                # seldom, since each try costs the others their turn.
+                tries = self.invalid[job.id] = self.invalid.get(job.id, 0) + 1
+                engine.steps.blocked[job.id] = "record refused by the state service"
+                return float(
+                    min(c.ERROR_BACKOFF_MAX_S, c.ERROR_BACKOFF_S * 2 ** min(10, tries - 1))
+                )
+            case _:
+                pass
         return pause
 
     def withdraw(self, job_id: str) -> bool:
@@ -182,10 +197,9 @@
         if (
             call is None
             or call.priority <= Priority.URGENT
-            or not self.engine.budget.withdraw(call)
+            or not self.engine.client.withdraw(call)
         ):
             return False
-        call.done(StoreReply(0, "refused"))
         self.retry_at[job_id] = self.engine.now
         return True
 
@@ -222,19 +236,24 @@
 
     def _write_team(self, team: str, record: Team, priority: Priority) -> None:
         """Change the shares of a team's limit without a step."""
-        plan = TxnPlan(self.engine.membership.conditions(), [Put(TEAMS + team, record.encode())])
+        plan = Transaction(
+            self.engine.membership.conditions(), [Put(TEAMS + team, record.encode())]
+        )
         plan.conditions[TEAMS + team] = record.version
         ended = self.engine.quota.begin(None, None, team, record)
 
-        def done(reply: StoreReply) -> None:
-            ended(reply.outcome)
+        def on_outcome(outcome: StoreOutcome) -> None:
+            ended(outcome)
             self.engine.queue_dirty = True
-            if reply.outcome == "ok":
-                self._team_written(team, record, reply.data.revision)
-            elif reply.outcome in ("conflict", "unknown"):
-                self.engine.reader.read_keys([TEAMS + team])
+            match outcome:
+                case Committed():
+                    self._team_written(team, record, outcome.revision)
+                case Conflict() | UnknownOutcome():
+                    self.engine.reader.read_keys([TEAMS + team])
+                case _:
+                    pass
 
-        self.engine.store("txn", (plan,), priority, done)
+        self.engine.store(plan, priority, on_outcome)
 
     def _back_off(self, job: Job, new: Job) -> None:
         """A job that fails everywhere waits longer and longer."""
--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -47,7 +47,7 @@
             self.next_at = self.engine.now + c.HEARTBEAT_EVERY_S
             self._send()
             if self.heard:
-                self.engine.budget.others_spend(
+                self.engine.budget.on_peer_write_rate(
                     sum(heard.heartbeat.writes for heard in self._reached()),
                     self.engine.settings.cluster.state.write_rps * c.BUDGET_SHARE,
                 )
@@ -58,7 +58,7 @@
         heartbeat = Heartbeat(
             node=engine.settings.name,
             served_s=round(min(since, c.AGE_MAX_S), 3),
-            writes=round(engine.budget.spent, 2),
+            writes=round(engine.budget.recent_write_rate, 2),
             reporting=round(engine.workers.reporting(), 3),
             unanswered=engine.workers.unanswered_counts(),
             pressed=engine.steps.pacing.pressed(),
--- a/appledock/core/membership/membership.py
+++ b/appledock/core/membership/membership.py
@@ -13,9 +13,24 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import Put, StoreReply, TxnPlan
+from appledock.core.store.calls import (
+    Acknowledged,
+    Committed,
+    Conflict,
+    GetKey,
+    Grant,
+    GrantLease,
+    Missing,
+    Put,
+    RenewLease,
+    RevokeLease,
+    Row,
+    StoreOutcome,
+    Transaction,
+)
+from appledock.core.store.keys import FORMAT, MEMBERS, VIEW
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import FORMAT, MEMBERS, VIEW, View
+from appledock.core.store.replica import View
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
@@ -158,7 +173,7 @@
             return
         self.raising = True
         # Conditional on every member's key: together they prove that moment.
-        plan = TxnPlan(
+        plan = Transaction(
             {
                 **self.conditions(),
                 FORMAT: replica.format[0],
@@ -167,20 +182,23 @@
             [Put(FORMAT, {"format": self.newest_format})],
         )
 
-        def done(reply: StoreReply) -> None:
+        def on_outcome(outcome: StoreOutcome) -> None:
             self.raising = False
             self.next_raise = self.engine.now + c.TOUCH_RETRY_S
-            if reply.outcome == "ok":
-                replica.put(FORMAT, {"format": self.newest_format}, reply.data.revision)
-                log.info(
-                    "all %d nodes read records of format %d: it is in use from now on",
-                    len(replica.members),
-                    self.newest_format,
-                )
-            elif reply.outcome == "conflict":
-                self.engine.reader.read_keys(reply.data.failed)
-
-        self.engine.store("txn", (plan,), Priority.VIEW, done)
+            match outcome:
+                case Committed():
+                    replica.put(FORMAT, {"format": self.newest_format}, outcome.revision)
+                    log.info(
+                        "all %d nodes read records of format %d: it is in use from now on",
+                        len(replica.members),
+                        self.newest_format,
+                    )
+                case Conflict():
+                    self.engine.reader.read_keys(outcome.failed)
+                case _:
+                    pass
+
+        self.engine.store(plan, Priority.VIEW, on_outcome)
 
     def _retry_join(self) -> None:
         self.joining = False
@@ -192,15 +210,15 @@
         self.incarnation = f"{self.engine.incarnation}.{self.generation}"
         sent = self.engine.now
 
-        def granted(reply: StoreReply) -> None:
-            if reply.outcome != "ok":
+        def granted(outcome: StoreOutcome) -> None:
+            if not isinstance(outcome, Grant):
                 self._retry_join()
                 return
-            self.lease = reply.data.lease
+            self.lease = outcome.lease
             self.touch_sent = sent
             self._read_self()
 
-        self.engine.store("grant", (int(self.engine.grant_s * 1000),), Priority.LEASE, granted)
+        self.engine.store(GrantLease(int(self.engine.grant_s * 1000)), Priority.LEASE, granted)
 
     def _read_self(self) -> None:
         """Reads predecessor and view afresh, then joins in one transaction.
@@ -209,24 +227,24 @@
         controller's success, so reading again ends after a few rounds.
         """
 
-        def read(reply: StoreReply) -> None:
-            if reply.outcome not in ("ok", "missing"):
+        def read(outcome: StoreOutcome) -> None:
+            if not isinstance(outcome, Row | Missing):
                 self._retry_join()
                 return
-            if reply.outcome == "ok":
-                self.engine.replica.put(VIEW, reply.data.value, reply.data.version)
-            self.engine.store("get", (MEMBERS + self.node,), Priority.LEASE, read_member)
+            if isinstance(outcome, Row):
+                self.engine.replica.put(VIEW, outcome.value, outcome.version)
+            self.engine.store(GetKey(MEMBERS + self.node), Priority.LEASE, read_member)
 
-        def read_member(reply: StoreReply) -> None:
-            if reply.outcome not in ("ok", "missing"):
+        def read_member(outcome: StoreOutcome) -> None:
+            if not isinstance(outcome, Row | Missing):
                 self._retry_join()
                 return
-            old = reply.data if reply.outcome == "ok" else None
+            old = outcome if isinstance(outcome, Row) else None
             if old is None:
                 self.engine.replica.members.pop(self.node, None)
             self._commit_join(old.version if old else 0, old.value.get("lease") if old else None)
 
-        self.engine.store("get", (VIEW,), Priority.LEASE, read)
+        self.engine.store(GetKey(VIEW), Priority.LEASE, read)
 
     def _commit_join(self, old_version: int, old_lease: int | None) -> None:
         """Take the member key and a new view together.
@@ -242,16 +260,16 @@
         new = self._next_view(members)
         lease = self.lease
         value = {"incarnation": self.incarnation, "lease": lease, "format": self.newest_format}
-        plan = TxnPlan(
+        plan = Transaction(
             {MEMBERS + self.node: old_version, VIEW: view.version if view else 0},
             [Put(MEMBERS + self.node, value, lease), Put(VIEW, new.encode())],
         )
         sent = self.engine.now
 
-        def done(reply: StoreReply) -> None:
-            if reply.outcome == "ok":
+        def on_outcome(outcome: StoreOutcome) -> None:
+            if isinstance(outcome, Committed):
                 self.served_at = self.engine.now
-                revision = reply.data.revision
+                revision = outcome.revision
                 self.joining, self.joined = False, True
                 self.engine.replica.put(MEMBERS + self.node, value, revision)
                 self.view_sent = sent
@@ -265,37 +283,39 @@
                     sorted(new.members),
                 )
                 if old_lease is not None and old_lease != lease:
-                    self.engine.store("revoke", (old_lease,), Priority.VIEW, lambda _: None)
-            elif reply.outcome == "conflict":
+                    self.engine.store(RevokeLease(old_lease), Priority.VIEW, lambda _: None)
+            elif isinstance(outcome, Conflict):
                 # Guards against joining that never goes on: the state service may answer
                 # the conflict and refuse what is read next.
-                self.engine.reader.read_keys(reply.data.failed, self._read_self, self._retry_join)
+                self.engine.reader.read_keys(outcome.failed, self._read_self, self._retry_join)
             else:
                 self._retry_join()
 
-        self.engine.store("txn", (plan,), Priority.LEASE, done)
+        self.engine.store(plan, Priority.LEASE, on_outcome)
 
     def _touch(self) -> None:
         self.touching = True
         sent = self.engine.now
         lease = self.lease
 
-        def touched(reply: StoreReply) -> None:
+        def touched(outcome: StoreOutcome) -> None:
             self.touching = False
             if lease != self.lease:
                 return
-            if reply.outcome == "ok":
-                self.touch_sent = sent
-                self.served_at = self.engine.now
-                self.next_touch = max(self.engine.now, sent + c.TOUCH_EVERY_S)
-            elif reply.outcome == "missing":
-                self._lost("lease ended")
-            else:
-                self.next_touch = self.engine.now + c.TOUCH_RETRY_S * (
-                    0.75 + self.engine.rng.random() / 2
-                )
-
-        self.engine.store("touch", (lease,), Priority.LEASE, touched)
+            match outcome:
+                case Acknowledged():
+                    self.touch_sent = sent
+                    self.served_at = self.engine.now
+                    self.next_touch = max(self.engine.now, sent + c.TOUCH_EVERY_S)
+                case Missing():
+                    self._lost("lease ended")
+                case _:
+                    self.next_touch = self.engine.now + c.TOUCH_RETRY_S * (
+                        0.75 + self.engine.rng.random() / 2
+                    )
+
+        assert lease is not None  # joined, so there is one
+        self.engine.store(RenewLease(lease), Priority.LEASE, touched)
         self.confirm()
 
     def confirm(self) -> None:
@@ -306,18 +326,18 @@
         sent = self.engine.now
         incarnation = self.incarnation
 
-        def read(reply: StoreReply) -> None:
+        def read(outcome: StoreOutcome) -> None:
             self.confirming = False
-            if reply.outcome != "ok" or incarnation != self.incarnation:
+            if not isinstance(outcome, Row) or incarnation != self.incarnation:
                 return
-            self.engine.replica.put(VIEW, reply.data.value, reply.data.version)
-            if self.view is not None and reply.data.version == self.view.version:
+            self.engine.replica.put(VIEW, outcome.value, outcome.version)
+            if self.view is not None and outcome.version == self.view.version:
                 if self.member():
                     self.view_sent = max(self.view_sent, sent)
                 else:
                     self._lost("excluded from the view")
 
-        self.engine.store("get", (VIEW,), Priority.LEASE, read)
+        self.engine.store(GetKey(VIEW), Priority.LEASE, read)
 
     def _lost(self, why: str) -> None:
         log.warning("%s: %s; joining again", self.incarnation, why)
@@ -424,23 +444,24 @@
         self.changing = True
         new = self._next_view(members)
         sent = self.engine.now
-        plan = TxnPlan(self.conditions(), [Put(VIEW, new.encode())])
+        plan = Transaction(self.conditions(), [Put(VIEW, new.encode())])
 
-        def done(reply: StoreReply) -> None:
+        def on_outcome(outcome: StoreOutcome) -> None:
             self.changing = False
             self.next_view = 0.0
-            if reply.outcome == "ok":
-                self.view_sent = max(self.view_sent, sent)
-                self.engine.replica.put(VIEW, new.encode(), reply.data.revision)
-                log.info(
-                    "view %d: members %s, leader %s", new.term, sorted(new.members), new.leader
-                )
-            elif reply.outcome == "conflict":
-                self.engine.reader.read_keys(reply.data.failed)
-            else:
-                self.next_view = self.engine.now + c.TOUCH_RETRY_S
-
-        self.engine.store("txn", (plan,), Priority.VIEW, done)
+            match outcome:
+                case Committed():
+                    self.view_sent = max(self.view_sent, sent)
+                    self.engine.replica.put(VIEW, new.encode(), outcome.revision)
+                    log.info(
+                        "view %d: members %s, leader %s", new.term, sorted(new.members), new.leader
+                    )
+                case Conflict():
+                    self.engine.reader.read_keys(outcome.failed)
+                case _:
+                    self.next_view = self.engine.now + c.TOUCH_RETRY_S
+
+        self.engine.store(plan, Priority.VIEW, on_outcome)
 
     def on_view(self) -> None:
         """A newer view is known."""
--- a/appledock/core/quota/quota.py
+++ b/appledock/core/quota/quota.py
@@ -26,6 +26,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.jobs.record import Job
+from appledock.core.store.calls import Committed, StoreOutcome, UnknownOutcome
 from appledock.core.store.replica import Team
 from appledock.settings import Team as TeamLimits
 
@@ -324,7 +325,7 @@
 
     def begin(
         self, job: Job | None, new: Job | None, name: str, record: Team | None
-    ) -> Callable[[str], None]:
+    ) -> Callable[[StoreOutcome], None]:
         """Note a write under way; the result must be called with its outcome."""
         version = job.version if job is not None else 0
         earlier = self.pending.get(job.id) if job is not None else None
@@ -343,19 +344,19 @@
         self.forget(name)
         term = self.e.membership.term
 
-        def ended(outcome: str) -> None:
+        def ended(outcome: StoreOutcome) -> None:
             self.forget(name)
             if record is not None:
                 self.writing.discard(name)
-            if outcome == "unknown" or self.e.membership.term != term:
+            if isinstance(outcome, UnknownOutcome) or self.e.membership.term != term:
                 return  # may be applied yet: stays counted; or void by a new view
             if job is not None and self.pending.get(job.id, (0, None))[0] == version:
-                if earlier is not None and outcome != "ok":
+                if earlier is not None and not isinstance(outcome, Committed):
                     self.pending[job.id] = earlier
                 else:
                     del self.pending[job.id]
             if record is not None and self.lowered.get(name) == lowered:
-                if earlier_low is not None and outcome != "ok":
+                if earlier_low is not None and not isinstance(outcome, Committed):
                     self.lowered[name] = earlier_low
                 else:
                     del self.lowered[name]
--- /dev/null
+++ b/appledock/core/store/keys.py
@@ -0,0 +1,20 @@
+"""Keys of the key-value store. All share one prefix, so that one watch delivers them in order."""
+
+from __future__ import annotations
+
+from appledock import constants as c
+
+LIVE = c.KEY_ROOT + "live/"
+JOBS = LIVE + "jobs/"
+TEAMS = LIVE + "teams/"
+MEMBERS = LIVE + "members/"
+VIEW = LIVE + "view"
+CATALOGUE = LIVE + "catalogue"
+SETTINGS = LIVE + "settings"
+FORMAT = LIVE + "format"
+FINAL = c.KEY_ROOT + "final/"
+
+
+def key_kind(key: str) -> str:
+    """`jobs`, `teams`, `members`, `view`, `final` ...: what a key keeps."""
+    return key.removeprefix(LIVE).removeprefix(c.KEY_ROOT).partition("/")[0]
--- a/appledock/core/store/reader.py
+++ b/appledock/core/store/reader.py
@@ -8,9 +8,19 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import StoreReply
+from appledock.core.store.calls import (
+    GetKey,
+    HistoryCompacted,
+    ListKeys,
+    Missing,
+    Row,
+    Rows,
+    StoreOutcome,
+    Watched,
+    WatchKeys,
+)
+from appledock.core.store.keys import LIVE
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import LIVE
 
 if TYPE_CHECKING:
     from appledock.core.engine import Engine
@@ -55,18 +65,19 @@
             return
         key, rest = keys[0], keys[1:]
 
-        def done(reply: StoreReply) -> None:
-            if reply.outcome == "ok":
-                self.engine.replica.put(key, reply.data.value, reply.data.version)
-            elif reply.outcome == "missing":
-                self.engine.replica.drop(key, reply.data.revision)
-            else:
-                if failed is not None:
-                    failed()
-                return
+        def on_outcome(outcome: StoreOutcome) -> None:
+            match outcome:
+                case Row():
+                    self.engine.replica.put(key, outcome.value, outcome.version)
+                case Missing():
+                    self.engine.replica.drop(key, outcome.revision)
+                case _:
+                    if failed is not None:
+                        failed()
+                    return
             self.read_keys(rest, then, failed)
 
-        self.engine.store("get", (key,), Priority.USER, done)
+        self.engine.store(GetKey(key), Priority.USER, on_outcome)
 
     # --- everything -------------------------------------------------------
     def _load(self) -> None:
@@ -77,12 +88,11 @@
     def _load_page(self, after: str | None, rows: list[wire.Row], first: int | None) -> None:
         """Read the page after a key; `first` is the revision of the first one."""
 
-        def done(reply: StoreReply) -> None:
-            if reply.outcome != "ok":
+        def on_outcome(page: StoreOutcome) -> None:
+            if not isinstance(page, Rows):
                 self.loading = False
                 self.next_load = self.engine.now + c.RETRY_MIN_S + self.engine.rng.random() * 0.3
                 return
-            page = reply.data
             rows.extend(page.items)
             began = page.revision if first is None else first
             if page.more and page.items:
@@ -90,7 +100,7 @@
             else:
                 self._loaded(rows, began)
 
-        self.engine.store("list", (LIVE, after, c.LIST_LIMIT), Priority.LEASE, done)
+        self.engine.store(ListKeys(LIVE, after, c.LIST_LIMIT), Priority.LEASE, on_outcome)
 
     def _loaded(self, rows: list[wire.Row], revision: int) -> None:
         self.engine.replica.load(rows, revision)
@@ -104,22 +114,25 @@
         replica = self.engine.replica
         self.watching = True
 
-        def done(reply: StoreReply) -> None:
+        def on_outcome(outcome: StoreOutcome) -> None:
             self.watching = False
             self.next_watch = self.engine.now + c.FOLLOW_PAUSE_S
-            if reply.outcome == "ok":
-                for event in reply.data.events:
-                    if event.put is not None:
-                        replica.put(event.put, event.value, event.version)
-                    elif event.delete is not None:
-                        replica.drop(event.delete, event.version)
-                replica.advance(reply.data.revision)
-            elif reply.outcome == "gone":
-                log.warning("watch too old; reading everything again")
-                self.loaded = False
-            else:
-                self.next_watch = self.engine.now + c.RETRY_MIN_S + self.engine.rng.random() * 0.2
+            match outcome:
+                case Watched():
+                    for event in outcome.events:
+                        if event.put is not None:
+                            replica.put(event.put, event.value, event.version)
+                        elif event.delete is not None:
+                            replica.drop(event.delete, event.version)
+                    replica.advance(outcome.revision)
+                case HistoryCompacted():
+                    log.warning("watch history compacted, reading everything again")
+                    self.loaded = False
+                case _:
+                    self.next_watch = (
+                        self.engine.now + c.RETRY_MIN_S + self.engine.rng.random() * 0.2
+                    )
 
         self.engine.store(
-            "watch", (c.KEY_ROOT, replica.revision, c.FOLLOW_BLOCK_MS), Priority.VIEW, done
+            WatchKeys(c.KEY_ROOT, replica.revision, c.FOLLOW_BLOCK_MS), Priority.VIEW, on_outcome
         )
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -18,19 +18,10 @@
 from appledock.core.jobs.dependencies import Dependencies
 from appledock.core.jobs.record import Attempt, Job, decode
 from appledock.core.store.capacity_records import CAPACITY, CapacityRecords
+from appledock.core.store.keys import CATALOGUE, FINAL, FORMAT, JOBS, MEMBERS, SETTINGS, TEAMS, VIEW
 
 log = logging.getLogger(__name__)
 
-LIVE = c.KEY_ROOT + "live/"
-JOBS = LIVE + "jobs/"
-TEAMS = LIVE + "teams/"
-MEMBERS = LIVE + "members/"
-VIEW = LIVE + "view"
-CATALOGUE = LIVE + "catalogue"
-SETTINGS = LIVE + "settings"
-FORMAT = LIVE + "format"
-FINAL = c.KEY_ROOT + "final/"
-
 
 @dataclass(slots=True)
 class View:
@@ -369,11 +360,6 @@
                 self.marks = {k: v for k, v in self.marks.items() if v > revision}
 
 
-def key_kind(key: str) -> str:
-    """`jobs`, `teams`, `members`, `view`, `final` ...: what a key keeps."""
-    return key.removeprefix(LIVE).removeprefix(c.KEY_ROOT).partition("/")[0]
-
-
 def _by_machine(job: Job | None) -> dict[str, list[Attempt]]:
     result: dict[str, list[Attempt]] = {}
     for attempt in job.attempts if job is not None else ():
--- a/appledock/core/workers/detachment.py
+++ b/appledock/core/workers/detachment.py
@@ -153,7 +153,9 @@
             self.probes += left == 0
 
         def ask(addr: str) -> None:
-            self.engine.call(lambda tag: WorkerCall(tag, addr, None, c.SHOW_TIMEOUT_S), answered)
+            self.engine.call(
+                lambda call_id: WorkerCall(call_id, addr, None, c.SHOW_TIMEOUT_S), answered
+            )
 
         for worker in workers:
             if worker.report is not None:
--- a/appledock/core/workers/liveness.py
+++ b/appledock/core/workers/liveness.py
@@ -96,7 +96,9 @@
             else:
                 worker.mute_at = self.engine.now
 
-        self.engine.call(lambda tag: WorkerCall(tag, addr, None, c.SHOW_TIMEOUT_S), answered)
+        self.engine.call(
+            lambda call_id: WorkerCall(call_id, addr, None, c.SHOW_TIMEOUT_S), answered
+        )
 
     # --- views ------------------------------------------------------------
     def on_view(self, old: View | None) -> None:
--- a/appledock/core/workers/orders.py
+++ b/appledock/core/workers/orders.py
@@ -7,7 +7,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import WorkerCall, WorkerReply
+from appledock.core.events import WorkerCall, WorkerOutcome, WorkerReply
 from appledock.core.workers.gossip import Gossip
 from appledock.core.workers.record import TaskKey, Worker
 from appledock.core.workers.table import WorkerTable
@@ -69,16 +69,16 @@
         worker.calling += 1
         addr, orders = report.addr, wire.Orders(term, report.session, commands)
         self.engine.call(
-            lambda tag: WorkerCall(tag, addr, orders, c.ORDERS_TIMEOUT_S),
+            lambda call_id: WorkerCall(call_id, addr, orders, c.ORDERS_TIMEOUT_S),
             lambda reply: self._on_reply(worker, sent, reply),
         )
 
     def _on_reply(self, worker: Worker, sent: SentLaunches, reply: WorkerReply) -> None:
         worker.calling -= 1
-        if reply.outcome == "unknown":
+        if reply.outcome is WorkerOutcome.UNKNOWN:
             worker.launched.update((key, self.engine.now) for key in sent.keys)
         else:
-            self._on_known_outcome(worker, sent, executed=reply.outcome == "ok")
+            self._on_known_outcome(worker, sent, executed=reply.outcome is WorkerOutcome.OK)
         if reply.report is None:
             worker.mute_at = self.engine.now
         elif reply.report.worker == worker.id and self.engine.workers.learn(reply.report):
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -9,19 +9,20 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.api.user_requests import Requests
-from appledock.core.engine import Engine
 from appledock.core.jobs.cancellation import Cancels
 from appledock.core.jobs.record import Attempt, Job
 from appledock.core.quota import quota
 from appledock.core.scheduling.reconciler import Steps
-from appledock.core.store.replica import JOBS
+from appledock.core.store.calls import StoreRequest, Transaction
+from appledock.core.store.client import StoreClient
+from appledock.core.store.keys import JOBS
 from appledock.core.workers import Worker, Workers
 
 Patch = pytest.MonkeyPatch
-VERDICT, COMMANDS, STORE, SHARES = (
+VERDICT, COMMANDS, SUBMIT, SHARES = (
     Workers.verdict,
     Workers.commands,
-    Engine.store,
+    StoreClient.submit,
     quota.Quota.shares,
 )
 
@@ -93,16 +94,16 @@
 
 
 def no_job_version(patch: Patch) -> None:
-    def store(self: Engine, op: str, args: tuple[Any, ...], *rest: Any) -> Any:
-        if op == "txn":
-            args[0].conditions = {
+    def submit(self: StoreClient, request: StoreRequest, *rest: Any) -> Any:
+        if isinstance(request, Transaction):
+            request.conditions = {
                 key: version
-                for key, version in args[0].conditions.items()
+                for key, version in request.conditions.items()
                 if not (key.startswith(JOBS) and version)
             }
-        return STORE(self, op, args, *rest)
+        return SUBMIT(self, request, *rest)
 
-    patch.setattr(Engine, "store", store)
+    patch.setattr(StoreClient, "submit", submit)
 
 
 def all_is_accepted(patch: Patch) -> None:
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -20,7 +20,7 @@
 from appledock.core.engine import Engine
 from appledock.core.fleet import Fleet
 from appledock.core.scheduling.reconciler import Steps
-from appledock.core.store.replica import FINAL, TEAMS
+from appledock.core.store.keys import FINAL, TEAMS
 from appledock.core.workers import Workers
 from tests.standins import deployment
 from tests.standins.world import World
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -17,7 +17,7 @@
 from appledock.core.fleet.demand import queued_demand
 from appledock.core.fleet.machines import Machines
 from appledock.core.jobs.record import Job
-from appledock.core.store.replica import VIEW
+from appledock.core.store.keys import VIEW
 from appledock.net.http import Answer, Server
 from appledock.net.peers import frame
 from appledock.settings import Settings
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -11,6 +11,7 @@
 from appledock.app import App
 from appledock.core import events as ev
 from appledock.core.events import StoreCall
+from appledock.core.store.calls import GetKey, NotExecuted, RenewLease, StoreOutcome, UnknownOutcome
 from appledock.core.store.rate_limiter import Priority
 from tests.standins.deployment import settings
 from tests.test_launches import NOW, leading
@@ -24,9 +25,9 @@
 @pytest.mark.parametrize(
     "make",
     [
-        lambda tag: StoreCall(tag, "get", ("ad/live/view",), 1.0),
-        lambda tag: ev.CloudCall(tag, "types", (), 1.0),
-        lambda tag: ev.WorkerCall(tag, "10.0.0.9:70000", None, 1.0),
+        lambda call_id: StoreCall(call_id, GetKey("ad/live/view"), 1.0),
+        lambda call_id: ev.CloudCall(call_id, "types", (), 1.0),
+        lambda call_id: ev.WorkerCall(call_id, "10.0.0.9:70000", None, 1.0),
     ],
 )
 def test_every_call_gets_an_answer(make: Callable[[int], ev.Effect]) -> None:
@@ -37,7 +38,7 @@
         app = App(settings("n0", ["n0", "n1", "n2"]))
         app.store.calls.request = brackets  # type: ignore[assignment]
         app.cloud.client.request = brackets  # type: ignore[assignment]
-        answers: list[str] = []
+        answers: list[object] = []
         app.engine.call(make, lambda reply: answers.append(reply.outcome))
         for effect in app.engine.handle([], 1.0, 0.0):
             app._carry_out(effect)
@@ -45,7 +46,11 @@
             await asyncio.sleep(0.01)
             if answers:
                 break
-        assert answers in (["unknown"], ["not_sent"])
+        assert answers in (
+            [UnknownOutcome()],
+            [ev.CloudOutcome.UNKNOWN],
+            [ev.WorkerOutcome.NOT_SENT],
+        )
 
     asyncio.run(body())
 
@@ -56,14 +61,15 @@
     e = leading()
     monkeypatch.setattr(e.steps, "tick", lambda: 1 / 0)
     effects = e.handle([ev.Tick()], NOW + c.TOUCH_EVERY_S, 0.0)
-    assert "touch" in [x.op for x in effects if isinstance(x, StoreCall)]
+    requests = [x.request for x in effects if isinstance(x, StoreCall)]
+    assert any(isinstance(request, RenewLease) for request in requests)
 
 
 def test_calls_given_up_together_all_hear_of_it() -> None:
     e = leading()
-    heard: list[str] = []
+    heard: list[StoreOutcome] = []
     e.budget.requests.level = e.budget.requests.rate = 0.0
-    e.store("get", ("ad/a",), Priority.STEP, lambda reply: 1 / 0, 0.1)  # type: ignore[arg-type, return-value]
-    e.store("get", ("ad/b",), Priority.STEP, lambda reply: heard.append(reply.outcome), 0.1)
+    e.store(GetKey("ad/a"), Priority.STEP, lambda reply: 1 / 0, 0.1)  # type: ignore[arg-type, return-value]
+    e.store(GetKey("ad/b"), Priority.STEP, heard.append, 0.1)
     e.handle([], NOW + 1, 0.0)
-    assert heard == ["refused"]
+    assert heard == [NotExecuted()]
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -11,7 +11,9 @@
 from appledock.core.api.user_requests import Requests
 from appledock.core.jobs.dependencies import Dependencies
 from appledock.core.jobs.record import Attempt, Job
-from appledock.core.store.replica import FINAL, FORMAT, JOBS, Replica
+from appledock.core.store.calls import GetKey, NotExecuted, Transaction, UnknownOutcome
+from appledock.core.store.keys import FINAL, FORMAT, JOBS
+from appledock.core.store.replica import Replica
 from tests.standins.chains import (
     DEEP,
     DIAMONDS,
@@ -378,16 +380,16 @@
 def test_a_job_never_accepted_gets_422_only_from_reads_that_succeeded() -> None:
     e = ready_engine()
     effects = e.handle([ev.Submit(1, spec(tethers=["job-7"]))], 100.0, 0.0)
-    (read,) = calls(effects, "get")
-    assert read.args == (JOBS + "job-7",)
-    effects = e.handle([ev.StoreReply(read.tag, "missing", wire.Missing(5))], 100.0, 0.0)
-    (read,) = calls(effects, "get")
-    assert read.args == (FINAL + "job-7",)
-    effects = e.handle([ev.StoreReply(read.tag, "missing", wire.Missing(5))], 100.0, 0.0)
+    (read,) = calls(effects, GetKey)
+    assert read.request == GetKey(JOBS + "job-7")
+    effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(5))], 100.0, 0.0)
+    (read,) = calls(effects, GetKey)
+    assert read.request == GetKey(FINAL + "job-7")
+    effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(5))], 100.0, 0.0)
     assert not replies(effects)  # it may have been accepted itself, long ago
     effects = e.handle([ev.Tick()], 100.2, 0.0)
-    proof = next(x for x in calls(effects, "txn") if not x.args[0].writes)
-    effects = e.handle([ev.StoreReply(proof.tag, "ok", wire.Committed(6))], 100.3, 0.0)
+    proof = next(x for x in calls(effects, Transaction) if not x.request.writes)
+    effects = e.handle([ev.StoreReply(proof.call_id, wire.Committed(6))], 100.3, 0.0)
     assert [reply.status for reply in replies(effects)] == [422]
 
 
@@ -395,26 +397,28 @@
     """Its owner saw it in the watch and ended it with its need; so did this controller."""
     e = ready_engine()
     e.replica.add_final("job-7", wire.CANCELLED)
-    (create,) = calls(e.handle([ev.Submit(1, spec(tethers=["job-7"]))], 100.0, 0.0), "txn")
-    (write,) = create.args[0].writes
+    (create,) = calls(e.handle([ev.Submit(1, spec(tethers=["job-7"]))], 100.0, 0.0), Transaction)
+    (write,) = create.request.writes
     e.replica.put(write.key, write.value, 5)
     e.replica.drop(write.key, 6)
-    effects = e.handle([ev.StoreReply(create.tag, "ok", wire.Committed(5))], 100.2, 0.0)
+    effects = e.handle([ev.StoreReply(create.call_id, wire.Committed(5))], 100.2, 0.0)
     assert replies(effects) == []
-    (read,) = calls(effects, "get")
-    effects = e.handle([ev.StoreReply(read.tag, "missing", wire.Missing(7))], 100.2, 0.0)
-    (read,) = calls(effects, "get")
-    assert read.args == (FINAL + "job-000001",)
-    row = wire.Row(read.args[0], {"state": wire.CANCELLED}, 6)
-    (reply,) = replies(e.handle([ev.StoreReply(read.tag, "ok", row)], 100.3, 0.0))
+    (read,) = calls(effects, GetKey)
+    effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(7))], 100.2, 0.0)
+    (read,) = calls(effects, GetKey)
+    assert read.request == GetKey(FINAL + "job-000001")
+    row = wire.Row(read.request.key, {"state": wire.CANCELLED}, 6)
+    (reply,) = replies(e.handle([ev.StoreReply(read.call_id, row)], 100.3, 0.0))
     assert (reply.status, reply.body.state) == (200, wire.CANCELLED)
 
 
-@pytest.mark.parametrize("outcome", ["refused", "unknown"])
-def test_needs_that_cannot_be_read_give_503_and_a_time_to_come_back(outcome: str) -> None:
+@pytest.mark.parametrize("outcome", [NotExecuted(), UnknownOutcome()], ids=["refused", "unknown"])
+def test_needs_that_cannot_be_read_give_503_and_a_time_to_come_back(
+    outcome: NotExecuted | UnknownOutcome,
+) -> None:
     e = ready_engine()
     effects = e.handle([ev.Submit(1, spec(tethers=["job-7"]))], 100.0, 0.0)
-    effects = e.handle([ev.StoreReply(calls(effects, "get")[0].tag, outcome)], 100.0, 0.0)
+    effects = e.handle([ev.StoreReply(calls(effects, GetKey)[0].call_id, outcome)], 100.0, 0.0)
     (reply,) = replies(effects)
     assert reply.status == 503 and reply.headers == {"Retry-After": "1"}
 
@@ -430,8 +434,8 @@
     needs = [f"job-{number:09d}" for number in range(900)]
     e.handle([ev.Submit(1, spec(tethers=needs))], 100.0, 0.0)
     effects = e.handle([ev.Tick()], 100.2, 0.0)
-    proof = next(x for x in calls(effects, "txn") if not x.args[0].writes)
-    effects = e.handle([ev.StoreReply(proof.tag, "ok", wire.Committed(6))], 100.3, 0.0)
+    proof = next(x for x in calls(effects, Transaction) if not x.request.writes)
+    effects = e.handle([ev.StoreReply(proof.call_id, wire.Committed(6))], 100.3, 0.0)
     assert [(reply.status, reply.body) for reply in replies(effects)] == [
         (400, {"error": "needs: more than the record can hold"})
     ]
@@ -443,11 +447,11 @@
     e.replica.set_job(Job(spec(id="job-2", tethers=["job-1"]), 0.0, 3))
     assert "job-2" not in e.replica.queued and e.replica.needs.undecided("job-2")
     effects = e.handle([ev.Tick()], 100.1, 0.0)
-    read = next(x for x in calls(effects, "get") if x.args[0].startswith(JOBS))
-    effects = e.handle([ev.StoreReply(read.tag, "missing", wire.Missing(9))], 100.2, 0.0)
-    read = next(x for x in calls(effects, "get") if x.args == (FINAL + "job-1",))
+    read = next(x for x in calls(effects, GetKey) if x.request.key.startswith(JOBS))
+    effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(9))], 100.2, 0.0)
+    read = next(x for x in calls(effects, GetKey) if x.request == GetKey(FINAL + "job-1"))
     e.handle(
-        [ev.StoreReply(read.tag, "ok", wire.Row(FINAL + "job-1", {"state": "done"}, 2))], 100.3, 0.0
+        [ev.StoreReply(read.call_id, wire.Row(FINAL + "job-1", {"state": "done"}, 2))], 100.3, 0.0
     )
     assert "job-2" in e.replica.queued
     assert e.queue_order.ready_at["job-2"] == e.wall
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -12,7 +12,8 @@
 from appledock.core import events as ev
 from appledock.core.engine import Engine
 from appledock.core.fleet import Returning
-from appledock.core.store.replica import CATALOGUE
+from appledock.core.store.calls import Transaction
+from appledock.core.store.keys import CATALOGUE
 from tests.test_launches import NOW, leading, report
 
 IDLE = {"kind": "cordon", "worker": "vm-1", "why": "idle"}
@@ -85,8 +86,13 @@
     kind = wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])
 
     def written(types: list[wire.MachineType]) -> bool:
-        catalogue._on_types(ev.CloudReply(0, "ok", wire.MachineTypes(types)))
-        plans = [call.args[0] for queue in e.budget.queues for call in queue if call.op == "txn"]
+        catalogue._on_types(ev.CloudReply(0, ev.CloudOutcome.OK, wire.MachineTypes(types)))
+        plans = [
+            call.request
+            for queue in e.budget.queues
+            for call in queue
+            if isinstance(call.request, Transaction)
+        ]
         puts = [put for plan in plans for put in plan.writes if put.key == CATALOGUE]
         for queue in e.budget.queues:
             queue.clear()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -11,7 +11,6 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import events as ev
 from appledock.core.fleet import MachineKind
 from appledock.core.fleet.model import BootingMachine
 from appledock.core.jobs.record import Attempt, Job, decode
@@ -20,8 +19,10 @@
 from appledock.core.scheduling import placement, preemption
 from appledock.core.scheduling.objectives import Objectives
 from appledock.core.scheduling.placement import Room, Sampling
-from appledock.core.store.rate_limiter import Bucket, Budget, Priority, Waiting
-from appledock.core.store.replica import JOBS, TEAMS, Replica, View
+from appledock.core.store.calls import Put, Transaction
+from appledock.core.store.keys import JOBS, TEAMS
+from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
+from appledock.core.store.replica import Replica, View
 from appledock.settings import Objective
 from tests.test_grown import owner_of_nothing
 from tests.test_requests import engine, spec
@@ -168,16 +169,16 @@
     assert len(chosen or ()) == 2
 
 
-def budget() -> Budget:
-    return Budget(Bucket(10.0, 10.0), Bucket(4.0, 4.0), 4.0, 16.0)
+def rate_limiter() -> StoreRateLimiter:
+    return StoreRateLimiter(TokenBucket(10.0, 10.0), TokenBucket(4.0, 4.0), 4.0, 16.0)
 
 
-def call(priority: Priority, writes: int, expires: float = 99.0) -> Waiting:
-    return Waiting("txn", (), priority, writes, 1.0, lambda reply: None, expires)
+def call(priority: Priority, writes: int, expires: float = 99.0) -> QueuedCall:
+    return QueuedCall(Transaction(), priority, writes, 1.0, lambda reply: None, expires)
 
 
-def test_budget_serves_by_priority_and_lets_reads_pass() -> None:
-    b = budget()
+def test_rate_limiter_serves_by_priority_and_lets_reads_pass() -> None:
+    b = rate_limiter()
     calls = [
         call(Priority.PROGRESS, 2),
         call(Priority.STEP, 3),
@@ -194,31 +195,31 @@
     assert b.waiting(Priority.STEP) == 0 and b.size() == 1
 
 
-def test_budget_tries_for_more_and_gives_way() -> None:
-    b = budget()
+def test_rate_limiter_tries_for_more_and_gives_way() -> None:
+    b = rate_limiter()
     for _ in range(300):
         b.add(call(Priority.STEP, 2))
     for step in range(1, 100):
         b.due(step / 10)
     assert b.writes.rate == 16.0
-    b.limited()
+    b.on_rate_limited()
     assert b.writes.rate == pytest.approx(16 * c.WRITES_BACK)
     for _ in range(9):
-        b.limited()
+        b.on_rate_limited()
     assert b.writes.rate == 4.0
 
 
-def test_budget_leaves_the_others_what_they_use_and_users_wait_for_nobody() -> None:
-    b = budget()
+def test_rate_limiter_leaves_the_others_what_they_use_and_users_wait_for_nobody() -> None:
+    b = rate_limiter()
     for _ in range(300):
         b.add(call(Priority.STEP, 2))
     for step in range(1, 100):
         b.due(step / 10)
-    assert b.spent == pytest.approx(16.0, rel=0.2)
-    b.others_spend(9.0, 20.0)
-    assert b.writes.rate == b.ceiling == 11.0
-    b.others_spend(19.0, 20.0)
-    assert b.writes.rate == b.share
+    assert b.recent_write_rate == pytest.approx(16.0, rel=0.2)
+    b.on_peer_write_rate(9.0, 20.0)
+    assert b.writes.rate == b.max_write_rate == 11.0
+    b.on_peer_write_rate(19.0, 20.0)
+    assert b.writes.rate == b.own_write_rate
     b.due(10.0)
     user = call(Priority.USER, 1)
     b.add(user)
@@ -227,15 +228,15 @@
 
 def test_results_are_recorded_however_many_services_come() -> None:
     """Strict priorities starved the lists of finished tasks for 40 s."""
-    b = budget()
-    b.ceiling, b.writes.level = 4.0, 0.0
+    b = rate_limiter()
+    b.max_write_rate, b.writes.level = 4.0, 0.0
     late = call(Priority.PROGRESS, 1)
     for waiting in [late, *(call(Priority.URGENT, 1) for _ in range(6))]:
         b.add(waiting)
-    sent: list[Waiting] = []
+    sent: list[QueuedCall] = []
     for step in range(1, 40):  # five urgent writes a second where four can go
         urgent = call(Priority.URGENT, 1)
-        urgent.since = step / 5
+        urgent.queued_at = step / 5
         b.add(urgent)
         sent += b.due(step / 5)[0]
     assert 6 <= sent.index(late) < 20  # services have a head start, and no more
@@ -260,7 +261,7 @@
 
 def test_full_queue_refuses_what_the_engine_asks_for_and_takes_what_users_do() -> None:
     """Hundreds of waiting steps turned users away, whose number is bounded elsewhere."""
-    b = budget()
+    b = rate_limiter()
     most = int(max(c.CALL_QUEUE_LEAST, c.CALL_QUEUE_S * b.requests.rate))
     assert all(b.add(call(Priority.STEP, 1)) for _ in range(most))
     for priority in (Priority.URGENT, Priority.FINAL, Priority.STEP, Priority.PROGRESS):
@@ -549,7 +550,7 @@
     e.workers.learn(wire.Report(vm, "10.0.0.9:9", "h4", "a", 1, 1, 5))
     array = Job(spec(id=mine[0], crates=4), 0.0, 2)
     e.replica.set_job(array)
-    e.budget.writes.rate, e.budget.ceiling, e.budget.writes.level = 0.0, 0.0, -9.0
+    e.budget.writes.rate, e.budget.max_write_rate, e.budget.writes.level = 0.0, 0.0, -9.0
     e.handle([], e.now + 0.2, 0.0)
     assert e.rooms.reserved_on == {vm: {mine[0]: 4}} and mine[0] in e.steps.writer.busy
     service = Job(spec(id=mine[1], crates=1, cores=4.0, rank="production", shape="daemon"), 0.0, 3)
@@ -578,7 +579,7 @@
     assert e.steps.pacing.progress_every(one) == c.PROGRESS_SPARE_S  # nobody lacks these writes
     e.steps.blocked["job-000002"] = "no room"
     for _ in range(c.CROWDED + 1):
-        e.store("txn", (ev.TxnPlan({}, [ev.Put("ad/x", 1)]),), Priority.STEP, lambda reply: None)
+        e.store(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
     assert e.steps.pacing.progress_every(one) == c.PROGRESS_CROWDED_S
 
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -7,7 +7,8 @@
 
 from appledock import wire
 from appledock.core.jobs.record import Job
-from appledock.core.store.replica import FINAL, JOBS, Replica
+from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.replica import Replica
 from tests.test_requests import spec
 
 NAMES = [f"job-{number}" for number in range(8)]
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -8,10 +8,10 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import events as ev
 from appledock.core.fleet.forecast import Forecast
 from appledock.core.fleet.model import Demand
 from appledock.core.jobs.record import Job
+from appledock.core.store.calls import Put, Transaction
 from appledock.core.store.rate_limiter import Priority
 from tests.standins import chains
 from tests.standins.world import World
@@ -108,7 +108,7 @@
     job = Job(spec(id="job-000001", crates=30), 0.0, 1)
     assert not e.steps.pacing.gathers(job, job, 2)
     for _ in range(c.CROWDED + 1):
-        e.store("txn", (ev.TxnPlan({}, [ev.Put("ad/x", 1)]),), Priority.STEP, lambda reply: None)
+        e.store(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
     assert not e.steps.pacing.gathers(job, job, c.GATHER_TASKS)
     assert e.steps.pacing.gathers(job, job, 2)
     nearly_done = Job(spec(id="job-000002", crates=2), 0.0, 1)
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -19,7 +19,8 @@
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.messages import Heartbeat
 from appledock.core.scheduling.reconciler import Steps
-from appledock.core.store.replica import JOBS, VIEW
+from appledock.core.store.calls import Transaction
+from appledock.core.store.keys import JOBS, VIEW
 from appledock.core.workers import Worker, Workers
 from tests.standins.world import World
 from tests.test_requests import engine, spec
@@ -370,7 +371,11 @@
         Job(spec(id=job_id, crates=60, cores=0.2, owner="red", memory_gb=9.0), 0.0, 2)
     )
     effects = e.handle([], e.now + 0.2, 0.0)
-    plans = [x.args[0] for x in effects if isinstance(x, ev.StoreCall) and x.op == "txn"]
+    plans = [
+        x.request
+        for x in effects
+        if isinstance(x, ev.StoreCall) and isinstance(x.request, Transaction)
+    ]
     puts = [put.value for plan in plans for put in plan.writes if put.key == JOBS + job_id]
     assert len(puts) == 1
     assert 5 < len(puts[0]["open"]) < 60
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -4,7 +4,16 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.store.replica import VIEW
+from appledock.core.store.calls import (
+    Acknowledged,
+    GetKey,
+    GrantLease,
+    NotExecuted,
+    NotExecutedReason,
+    RenewLease,
+    Transaction,
+)
+from appledock.core.store.keys import VIEW
 from tests.test_requests import engine
 
 
@@ -21,20 +30,22 @@
         while effects:
             replies = []
             for call in (x for x in effects if isinstance(x, ev.StoreCall)):
-                if call.op == "grant":
-                    replies.append(ev.StoreReply(call.tag, "ok", wire.Grant(7)))
-                elif call.op == "txn" and not conflicts:
+                if isinstance(call.request, GrantLease):
+                    replies.append(ev.StoreReply(call.call_id, wire.Grant(7)))
+                elif isinstance(call.request, Transaction) and not conflicts:
                     conflicts += 1  # another controller joined a moment before
-                    replies.append(ev.StoreReply(call.tag, "conflict", wire.Conflict([VIEW], 5)))
-                elif call.op == "txn":
-                    replies.append(ev.StoreReply(call.tag, "ok", wire.Committed(6)))
+                    replies.append(ev.StoreReply(call.call_id, wire.Conflict([VIEW], 5)))
+                elif isinstance(call.request, Transaction):
+                    replies.append(ev.StoreReply(call.call_id, wire.Committed(6)))
                 elif conflicts and not refused:
                     refused += 1  # an outage begins between the two
-                    replies.append(ev.StoreReply(call.tag, "refused", 503))
-                elif call.op == "get":
-                    replies.append(ev.StoreReply(call.tag, "missing", wire.Missing(4)))
-                elif call.op == "touch":
-                    replies.append(ev.StoreReply(call.tag, "ok"))
+                    replies.append(
+                        ev.StoreReply(call.call_id, NotExecuted(NotExecutedReason.UNAVAILABLE))
+                    )
+                elif isinstance(call.request, GetKey):
+                    replies.append(ev.StoreReply(call.call_id, wire.Missing(4)))
+                elif isinstance(call.request, RenewLease):
+                    replies.append(ev.StoreReply(call.call_id, Acknowledged()))
             effects = e.handle(replies, now, 0.0) if replies else []
     assert (conflicts, refused) == (1, 1)
     assert e.membership.joined
--- a/tests/test_launches.py
+++ b/tests/test_launches.py
@@ -8,7 +8,7 @@
 from appledock.core import events as ev
 from appledock.core.engine import Engine
 from appledock.core.jobs.record import Attempt, Job
-from appledock.core.store.replica import MEMBERS, VIEW
+from appledock.core.store.keys import MEMBERS, VIEW
 from tests.test_requests import engine, spec
 
 NOW = 200.0
@@ -52,8 +52,12 @@
     ]
 
 
-@pytest.mark.parametrize("outcome", ["not_sent", "stale"])
-def test_a_launch_in_an_answer_is_remembered_when_the_same_is_not_sent_later(outcome: str) -> None:
+@pytest.mark.parametrize(
+    "outcome", [ev.WorkerOutcome.NOT_SENT, ev.WorkerOutcome.STALE], ids=["not_sent", "stale"]
+)
+def test_a_launch_in_an_answer_is_remembered_when_the_same_is_not_sent_later(
+    outcome: ev.WorkerOutcome,
+) -> None:
     """The answer to a report had launched the task. The machine then fell silent, a second
     launch did not reach it, and the stopped attempt counted as never launched: it was
     settled, and the next one ran elsewhere at the same time."""
@@ -64,7 +68,7 @@
     e.workers.orders_due.add("vm-1")  # another record of the machine changes
     (call,) = worker_calls(e.handle([], NOW + 1.5, 0.0))
     assert [x.op for x in call.orders.commands] == [wire.LAUNCH]  # type: ignore[union-attr]
-    e.handle([ev.WorkerReply(call.tag, outcome)], NOW + 2.5, 0.0)
+    e.handle([ev.WorkerReply(call.call_id, outcome)], NOW + 2.5, 0.0)
     job = running(e, 4, stopping=True)
     assert e.workers.verdict(job, job.attempts[0], 0) is None
     # It is sent again all the same, as long as the record wants it.
@@ -79,10 +83,10 @@
     e.handle([ev.Reported(1, report(1))], NOW, 0.0)
     running(e, 3)
     (call,) = worker_calls(e.handle([], NOW + 0.1, 0.0))
-    e.handle([ev.WorkerReply(call.tag, "unknown")], NOW + 3.1, 0.0)
+    e.handle([ev.WorkerReply(call.call_id, ev.WorkerOutcome.UNKNOWN)], NOW + 3.1, 0.0)
     e.workers.orders_due.add("vm-1")
     (call,) = worker_calls(e.handle([], NOW + 4.5, 0.0))
-    e.handle([ev.WorkerReply(call.tag, "not_sent")], NOW + 5.5, 0.0)
+    e.handle([ev.WorkerReply(call.call_id, ev.WorkerOutcome.NOT_SENT)], NOW + 5.5, 0.0)
     job = running(e, 4, stopping=True)
     assert e.workers.verdict(job, job.attempts[0], 0) is None
     # Stopped by an answer, reported, recorded: still not to be forgotten under this term.
@@ -96,6 +100,6 @@
     e.handle([ev.Reported(1, report(1))], NOW, 0.0)
     running(e, 3)
     (call,) = worker_calls(e.handle([], NOW + 0.1, 0.0))
-    e.handle([ev.WorkerReply(call.tag, "not_sent")], NOW + 1.1, 0.0)
+    e.handle([ev.WorkerReply(call.call_id, ev.WorkerOutcome.NOT_SENT)], NOW + 1.1, 0.0)
     job = running(e, 4, stopping=True)
     assert e.workers.verdict(job, job.attempts[0], 0) == "settled"
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,6 +8,7 @@
 from appledock import wire
 from appledock.core import events as ev
 from appledock.core.jobs.record import Job
+from appledock.core.store.calls import Put, Transaction
 from tests.standins.world import World
 from tests.test_grown import owner_of_nothing
 from tests.test_requests import spec
@@ -138,9 +139,9 @@
     writes = [
         write
         for effect in seen
-        if isinstance(effect, ev.StoreCall) and effect.op == "txn"
-        for write in effect.args[0].writes
-        if isinstance(write, ev.Put)
+        if isinstance(effect, ev.StoreCall) and isinstance(effect.request, Transaction)
+        for write in effect.request.writes
+        if isinstance(write, Put)
     ]
     return any(write.value.get("to") == ["n1", "y"] for write in writes)
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -16,7 +16,7 @@
 from appledock.core.messages import MoveHeld, MoveOrder, MoveRequested
 from appledock.core.scheduling.capacity_index import Rooms
 from appledock.core.scheduling.moves import Moves, Outcome
-from appledock.core.store.replica import JOBS
+from appledock.core.store.keys import JOBS
 from appledock.rebalancing.settings import Rebalancing
 from tests.guards import silence_settles
 from tests.standins import machines
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -9,6 +9,7 @@
 from appledock.core.fleet import Fleet
 from appledock.core.quota import quota
 from appledock.core.scheduling import placement
+from appledock.core.store.calls import Transaction
 from tests.standins.world import World
 from tests.test_launches import NOW, leading
 from tests.test_requests import spec
@@ -86,4 +87,5 @@
     e = leading()
     monkeypatch.setattr(Fleet, "tick", lambda self: 1 / 0)
     effects = e.handle([ev.Poll(1, "job-000009"), ev.Tick()], NOW, 0.0)
-    assert [x.op for x in effects if isinstance(x, ev.StoreCall) and x.op == "txn"] == ["txn"]
+    requests = [x.request for x in effects if isinstance(x, ev.StoreCall)]
+    assert sum(isinstance(request, Transaction) for request in requests) == 1
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -12,8 +12,9 @@
 from appledock.core import events as ev
 from appledock.core.engine import Engine
 from appledock.core.jobs.record import Job
+from appledock.core.store.calls import GetKey, NotExecuted, Transaction, WatchKeys
+from appledock.core.store.keys import FINAL, FORMAT, JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import FINAL, FORMAT, JOBS, TEAMS
 from tests.standins.deployment import settings
 
 SPEC = {
@@ -48,8 +49,8 @@
     return e
 
 
-def calls(effects: list[ev.Effect], op: str) -> list[ev.StoreCall]:
-    return [x for x in effects if isinstance(x, ev.StoreCall) and x.op == op]
+def calls(effects: list[ev.Effect], kind: type) -> list[ev.StoreCall]:
+    return [x for x in effects if isinstance(x, ev.StoreCall) and isinstance(x.request, kind)]
 
 
 def spec(**changes: object) -> wire.JobSpec:
@@ -142,9 +143,9 @@
     effects = e.handle([ev.Submit(1, asked)], 100.0, 0.0)
     assert not any(isinstance(x, ev.Reply) for x in effects)
     effects = e.handle([ev.Tick()], 100.2, 0.0)
-    proof = next(x for x in calls(effects, "txn") if not x.args[0].writes)
-    assert set(proof.args[0].conditions) == {JOBS + asked.id, FINAL + asked.id}
-    effects = e.handle([ev.StoreReply(proof.tag, "ok", wire.Committed(1))], 100.3, 0.0)
+    proof = next(x for x in calls(effects, Transaction) if not x.request.writes)
+    assert set(proof.request.conditions) == {JOBS + asked.id, FINAL + asked.id}
+    effects = e.handle([ev.StoreReply(proof.call_id, wire.Committed(1))], 100.3, 0.0)
     (reply,) = (x for x in effects if isinstance(x, ev.Reply))
     assert reply.status == 422
 
@@ -180,8 +181,8 @@
     e = engine()
     e.handle([ev.Cancel(1, "job-000001")], 100.0, 0.0)
     effects = e.handle([ev.Tick()], 100.1, 0.0)
-    first = calls(effects, "get")
-    assert [x.args for x in first] == [(JOBS + "job-000001",)] or not first
+    first = calls(effects, GetKey)
+    assert [x.request for x in first] == [GetKey(JOBS + "job-000001")] or not first
 
 
 def test_end_seen_in_one_event_list_is_remembered() -> None:
@@ -189,12 +190,12 @@
     e = engine()
     e.reader.watching = False
     effects = e.handle([ev.Tick()], 101.0, 0.0)
-    (watch,) = calls(effects, "watch")
+    (watch,) = calls(effects, WatchKeys)
     events = [
         wire.Event(7, delete=JOBS + "job-000001"),
         wire.Event(7, put=FINAL + "job-000001", value={"state": "done"}),
     ]
-    e.handle([ev.StoreReply(watch.tag, "ok", wire.Watched(7, events))], 101.1, 0.0)
+    e.handle([ev.StoreReply(watch.call_id, wire.Watched(7, events))], 101.1, 0.0)
     effects = e.handle([ev.Poll(5, "job-000001")], 101.2, 0.0)
     (reply,) = (x for x in effects if isinstance(x, ev.Reply))
     assert (reply.status, reply.body.state) == (200, "done")
@@ -203,8 +204,8 @@
 def test_given_up_requests_are_answered_at_once_with_retry_after() -> None:
     e = engine()
     effects = e.handle([ev.Submit(1, spec())], 100.0, 0.0)
-    (txn,) = calls(effects, "txn")
-    effects = e.handle([ev.StoreReply(txn.tag, "refused")], 100.01, 0.0)
+    (txn,) = calls(effects, Transaction)
+    effects = e.handle([ev.StoreReply(txn.call_id, NotExecuted())], 100.01, 0.0)
     (reply,) = (x for x in effects if isinstance(x, ev.Reply))
     assert reply.status == 503
     assert reply.headers == {"Retry-After": "1"}
@@ -213,43 +214,42 @@
 def test_conflicts_are_counted_by_kind_of_key() -> None:
     e = engine()
     e.store(
-        "txn",
-        (ev.TxnPlan({TEAMS + "red": 1, FINAL + "job-1": 0}),),
+        Transaction({TEAMS + "red": 1, FINAL + "job-1": 0}),
         Priority.USER,
         lambda reply: None,
     )
-    call = calls(e.handle([], 100.0, 0.0), "txn")[0]
+    call = calls(e.handle([], 100.0, 0.0), Transaction)[0]
     e.handle(
-        [ev.StoreReply(call.tag, "conflict", wire.Conflict(list(call.args[0].conditions)))],
+        [ev.StoreReply(call.call_id, wire.Conflict(list(call.request.conditions)))],
         100.1,
         0.0,
     )
-    assert e.conflicts == {"teams": 1, "final": 1}
+    assert e.client.conflicts == {"teams": 1, "final": 1}
 
 
 def interleaved(e: Engine, effects: list[ev.Effect], job: str) -> list[ev.Effect]:
     """The job's open record is read and is there. Before its final one is read and is not,
     the job ends, and the read of another request shows that the open record is gone."""
-    (read,) = calls(effects, "get")
-    assert read.args == (JOBS + job,)
+    (read,) = calls(effects, GetKey)
+    assert read.request == GetKey(JOBS + job)
     record = wire.encode(Job(spec(id=job), 0.0, 5).encode())
     row = wire.Row(JOBS + job, msgspec.json.decode(record), 5)
-    effects = e.handle([ev.StoreReply(read.tag, "ok", row)], 100.3, 0.0)
-    (read,) = calls(effects, "get")
-    assert read.args == (FINAL + job,)
+    effects = e.handle([ev.StoreReply(read.call_id, row)], 100.3, 0.0)
+    (read,) = calls(effects, GetKey)
+    assert read.request == GetKey(FINAL + job)
     e.replica.drop(JOBS + job, 7)
-    return e.handle([ev.StoreReply(read.tag, "missing", wire.Missing(6))], 100.4, 0.0)
+    return e.handle([ev.StoreReply(read.call_id, wire.Missing(6))], 100.4, 0.0)
 
 
 def read_again(e: Engine, effects: list[ev.Effect], job: str) -> list[ev.Effect]:
     """Nobody was told anything; both records are read once more."""
     assert not [x for x in effects if isinstance(x, ev.Reply)]
-    (read,) = calls(effects, "get")
-    assert read.args == (JOBS + job,)
-    effects = e.handle([ev.StoreReply(read.tag, "missing", wire.Missing(8))], 100.5, 0.0)
-    (read,) = calls(effects, "get")
+    (read,) = calls(effects, GetKey)
+    assert read.request == GetKey(JOBS + job)
+    effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(8))], 100.5, 0.0)
+    (read,) = calls(effects, GetKey)
     row = wire.Row(FINAL + job, {"state": wire.CANCELLED}, 7)
-    return e.handle([ev.StoreReply(read.tag, "ok", row)], 100.6, 0.0)
+    return e.handle([ev.StoreReply(read.call_id, row)], 100.6, 0.0)
 
 
 def status_of(effects: list[ev.Effect]) -> list[int]:
@@ -262,9 +262,9 @@
     e = engine()
     e.replica.set_job(Job(spec(), 0.0, 3))
     e.handle([ev.Poll(1, "job-000001")], 100.0, 0.0)
-    (proof,) = calls(e.handle([ev.Tick()], 100.2, 0.0), "txn")
+    (proof,) = calls(e.handle([ev.Tick()], 100.2, 0.0), Transaction)
     conflict = wire.Conflict([JOBS + "job-000001"], 5)
-    effects = e.handle([ev.StoreReply(proof.tag, "conflict", conflict)], 100.25, 0.0)
+    effects = e.handle([ev.StoreReply(proof.call_id, conflict)], 100.25, 0.0)
     effects = interleaved(e, effects, "job-000001")
     assert status_of(read_again(e, effects, "job-000001")) == [200]
 
@@ -281,5 +281,5 @@
     e.replica.put(FORMAT, {"format": 2}, 1)
     effects = e.handle([ev.Submit(1, spec(tethers=["job-7"]))], 100.2, 0.0)
     effects = interleaved(e, effects, "job-7")
-    (creation,) = calls(read_again(e, effects, "job-7"), "txn")
-    assert [write.key for write in creation.args[0].writes] == [JOBS + "job-000001"]
+    (creation,) = calls(read_again(e, effects, "job-7"), Transaction)
+    assert [write.key for write in creation.request.writes] == [JOBS + "job-000001"]
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -11,7 +11,7 @@
 
 from appledock.core.jobs.dependencies import Dependencies
 from appledock.core.membership.membership import Membership
-from appledock.core.store.replica import FORMAT
+from appledock.core.store.keys import FORMAT
 from tests.standins.chains import pipeline, spec
 from tests.standins.deployment import NEXT
 from tests.standins.versions import Code, present, production, served
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -14,14 +14,21 @@
 import pytest
 
 from appledock import constants as c
-from appledock.core import events as ev
 from appledock.core.engine import Engine
-from appledock.core.events import TxnPlan
 from appledock.core.jobs.record import Attempt, Job, decode
 from appledock.core.quota import quota
 from appledock.core.quota.quota import Amounts, Quota
+from appledock.core.store.calls import (
+    Committed,
+    Conflict,
+    Put,
+    StoreOutcome,
+    Transaction,
+    UnknownOutcome,
+)
+from appledock.core.store.keys import JOBS, MEMBERS, TEAMS, VIEW
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import JOBS, MEMBERS, TEAMS, VIEW, Team
+from appledock.core.store.replica import Team
 from tests.standins.deployment import settings
 from tests.test_grown import owner_of_nothing
 from tests.test_requests import spec
@@ -45,8 +52,10 @@
         self.peak = 0.0
         self.engines = {name: Engine(settings(name, NODES), name, self.rng) for name in NODES}
         self.cursors = dict.fromkeys(NODES, 0)
-        self.flights: list[tuple[str, TxnPlan, dict[str, Any], Callable[[str], None]]] = []
-        self.late: list[tuple[TxnPlan, dict[str, Any]]] = []
+        self.flights: list[
+            tuple[str, Transaction, dict[str, Any], Callable[[StoreOutcome], None]]
+        ] = []
+        self.late: list[tuple[Transaction, dict[str, Any]]] = []
         self.busy: set[tuple[str, str]] = set()
         self.write({VIEW: self._view(NODES, 1)})
         for number in range(12):
@@ -133,7 +142,7 @@
     def _send(self, name: str, job: Job | None, new: Job | None, record: Team | None) -> None:
         e = self.engines[name]
         assert e.replica.view is not None
-        plan = TxnPlan({VIEW: e.replica.view.version})
+        plan = Transaction({VIEW: e.replica.view.version})
         values: dict[str, Any] = {}
         if job is not None and new is not None:
             plan.conditions[JOBS + job.id] = job.version
@@ -144,11 +153,11 @@
             values[TEAMS + "red"] = record.encode()
         ended = e.quota.begin(job, new, "red", record)
 
-        def done(outcome: str) -> None:
+        def done(outcome: StoreOutcome) -> None:
             if job is not None:
                 self.busy.discard((name, job.id))
             ended(outcome)
-            if outcome == "ok":
+            if isinstance(outcome, Committed):
                 for key, value in values.items():
                     e.replica.put(key, value, self.revision)
                 if record is not None:
@@ -160,13 +169,13 @@
 
         self.flights.append((name, plan, values, done))
 
-    def apply(self, plan: TxnPlan, values: dict[str, Any]) -> str:
+    def apply(self, plan: Transaction, values: dict[str, Any]) -> StoreOutcome:
         if any(
             self.rows.get(key, (None, 0))[1] != version for key, version in plan.conditions.items()
         ):
-            return "conflict"
+            return Conflict([])
         self.write(values)
-        return "ok"
+        return Committed(self.revision)
 
     def land(self) -> None:
         """A write arrives: answered, or its answer is lost, or it comes late."""
@@ -178,10 +187,10 @@
             done(self.apply(plan, values))
         elif fate < 0.8:
             self.apply(plan, values)
-            done("unknown")
+            done(UnknownOutcome())
         else:
             self.late.append((plan, values))
-            done("unknown")
+            done(UnknownOutcome())
 
     def play(self, steps: int = 400) -> bool:
         """False as soon as the limit is broken."""
@@ -365,14 +374,16 @@
     e.replica.advance(2)
     e.quota.forget_caches()
     for _ in range(c.CROWDED + 1):
-        e.store("txn", (ev.TxnPlan({}, [ev.Put("ad/x", 1)]),), Priority.STEP, lambda reply: None)
+        e.store(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
     return e, job
 
 
 def written_keys(e: Engine) -> list[list[str]]:
     """The keys that each waiting transaction changes, without the fillers'."""
-    calls = [call for queue in e.budget.queues for call in queue if call.op == "txn"]
-    keys = [[write.key for write in call.args[0].writes] for call in calls]
+    calls = [
+        call for queue in e.budget.queues for call in queue if isinstance(call.request, Transaction)
+    ]
+    keys = [[write.key for write in call.request.writes] for call in calls]
     return [names for names in keys if names != ["ad/x"]]
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,7 +13,9 @@
 from appledock.core import events as ev
 from appledock.core.jobs.record import Attempt, Job
 from appledock.core.membership import membership
-from appledock.core.store.replica import FORMAT, JOBS, MEMBERS, VIEW, Replica, View
+from appledock.core.store.calls import Rejected, Transaction
+from appledock.core.store.keys import FORMAT, JOBS, MEMBERS, VIEW
+from appledock.core.store.replica import Replica, View
 from appledock.settings import SettingsError, parse
 from tests.standins.chains import pipeline
 from tests.standins.deployment import NEXT, settings_file
@@ -299,8 +301,8 @@
         worker.heard_at = worker.well_at = e.now
     written = [
         write.value
-        for call in calls(e.handle([], e.now + 0.2, e.wall), "txn")
-        for write in call.args[0].writes
+        for call in calls(e.handle([], e.now + 0.2, e.wall), Transaction)
+        for write in call.request.writes
         if getattr(write, "key", "") == JOBS + name
     ]
     assert written and len(wire.encode(written[0])) <= 1740
@@ -332,11 +334,11 @@
         for worker in e.workers.table.values():
             worker.heard_at = worker.well_at = e.now
         e.membership.touch_sent = e.membership.view_sent = e.now
-        for call in calls(e.handle([], e.now + 0.2, e.wall), "txn"):
-            plan = call.args[0]
+        for call in calls(e.handle([], e.now + 0.2, e.wall), Transaction):
+            plan = call.request
             if any(getattr(write, "key", "") == JOBS + name for write in plan.writes):
                 tries.append(e.now)
-                e.handle([ev.StoreReply(call.tag, "invalid", None)], e.now, e.wall)
+                e.handle([ev.StoreReply(call.call_id, Rejected())], e.now, e.wall)
                 bounds.add(e.value_bytes)
     assert 3 <= len(tries) <= 8
     gaps = [later - earlier for earlier, later in zip(tries, tries[1:], strict=False)]
