--- a/tests/standins/chains.py
+++ b/tests/standins/chains.py
@@ -3,8 +3,10 @@
 
 from __future__ import annotations
 
+from functools import partial
 from typing import Any
 
+from tests.standins.faults import strike
 from tests.standins.world import World
 
 Stages = list[tuple[str, list[int]]]
@@ -83,6 +85,45 @@
     return names
 
 
+def day(seed: int, *faults: str, chains: int = 9, until: float = 70.0) -> World:
+    """Pipelines, a third of them with a job called off, among services, under faults."""
+    world = World(seed)
+    clock, rng = world.clock, world.clock.rng
+    for number in range(3):
+        one = {
+            **world.spec(900 + number),
+            "shape": "daemon",
+            "rank": "production",
+            "berth": "svc",
+            "crates": 1,
+            "run_s": 1e9,
+            "sail_s": None,
+            "together": False,
+            "scatter": False,
+            "standby": False,
+        }
+        clock.at(1.0 + number, partial(world.submit, one))
+
+    def begin(number: int, cancel: int | None) -> None:
+        pipeline(world, number, cancel, 1 + 7 * rng.random(), late=number % 4 == 1)
+
+    for number in range(chains):
+        cancel = rng.randrange(5) if number % 3 == 0 else None
+        clock.at(8 + rng.random() * (until - 25), partial(begin, number, cancel))
+    for time in range(14, int(until), 7):
+        for fault in faults:
+            if rng.random() < 0.6:
+                clock.at(time + 5 * rng.random(), partial(strike, world, fault))
+    if "late_writes" in faults:
+        world.state.late_writes = 0.15
+    clock.run(until + 25.0)
+    world.peace()
+    clock.run(until + 130.0)
+    world.ask_all()
+    clock.run(until + 140.0)
+    return world
+
+
 def submit_at(world: World, one: dict[str, Any], node: str) -> None:
     """Submit a job through that controller; if it does not take it, through any."""
     job = one["id"]
--- a/tests/standins/meetings_users.py
+++ b/tests/standins/meetings_users.py
@@ -86,7 +86,7 @@
     clock.after(
         25.0,
         lambda: waiting.append(
-            sum(len(node.engine.replica.queued) for node in world.nodes.values())
+            sum(node.runs.queue_length(node.engine) for node in world.nodes.values())
         ),
     )
     return lambda: asked({"work waits": bool(waiting and waiting[0] > 3)})
--- a/tests/standins/node.py
+++ b/tests/standins/node.py
@@ -7,21 +7,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, ClassVar
 
-import msgspec
-
-from appledock import wire
-from appledock.core import events as ev
-from appledock.core.engine import Engine
 from tests.standins.deployment import settings_file
 from tests.standins.machines import Worker
-from tests.standins.versions import Code
+from tests.standins.versions import Code, EffectKind, HttpCall, RefusedRequest
 
 if TYPE_CHECKING:
     from tests.standins.world import World
 
 Answer = Callable[[int, Any], None]
+Observer = Callable[["Node", list[Any]], None]
+"""gets the effects of each batch, before any of them is carried out"""
 
 
 @dataclass
@@ -44,6 +41,9 @@
 class Node:
     """One controller process; crashes lose everything it holds."""
 
+    observers: ClassVar[list[Observer]] = []
+    """of all controllers of this process"""
+
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name, self.clock = world, name, world.clock
         self.code: Code = world.code
@@ -61,7 +61,7 @@
         """s; how long it stands still between its next batch and the effects of that"""
         rng = random.Random(self.clock.rng.random())
         self.runs = self.code
-        self.engine: Engine = self.runs.controller(
+        self.engine: Any = self.runs.controller(
             settings_file(self.name, self.world.names, self.world.announced),
             f"{self.name}.{self.life}",
             rng,
@@ -73,10 +73,10 @@
         self.asked = 0
         for peer in self.world.names:
             if peer != self.name:
-                self.inbox.append(self.runs.events.PeerOpened(peer))
+                self.inbox.append(self.runs.peer_opened(peer))
         for other in self.world.nodes.values():
             if other is not self and other.up:
-                other.inbox.append(other.runs.events.PeerOpened(self.name))
+                other.inbox.append(other.runs.peer_opened(self.name))
         self._tick(self.life)
 
     def crash(self, seconds: float) -> None:
@@ -100,12 +100,12 @@
 
     def _tick(self, life: int) -> None:
         if self.up and life == self.life and self.clock.now >= self.frozen:
-            self.push(self.runs.events.Tick())
-            self.clock.after(self.runs.constants.TICK_S, lambda: self._tick(life))
+            self.push(self.runs.tick())
+            self.clock.after(self.runs.tick_s, lambda: self._tick(life))
 
-    def push(self, command: ev.Cmd) -> None:
+    def push(self, command: Any) -> None:
         self.inbox.append(command)
-        if len(self.inbox) == 1 or isinstance(command, self.runs.events.Tick):
+        if len(self.inbox) == 1 or self.runs.is_tick(command):
             self.clock.after(0.0002, self._work)
 
     def _work(self) -> None:
@@ -113,7 +113,10 @@
             return
         batch, self.inbox = self.inbox, []
         life = self.life
-        effects = self.engine.handle(batch, self.clock.now * self.drift, 1e9 + self.clock.now)
+        now, wall = self.clock.now * self.drift, 1e9 + self.clock.now
+        effects = self.runs.handle(self.engine, batch, now, wall)
+        for observer in self.observers:
+            observer(self, effects)
         if self.stuck:
             self.clock.after(self.stuck, lambda: self._late(effects, life))
             seconds, self.stuck = self.stuck, 0.0
@@ -122,7 +125,7 @@
         for effect in effects:
             self._carry_out(effect, life)
 
-    def _late(self, effects: list[ev.Effect], life: int) -> None:
+    def _late(self, effects: list[Any], life: int) -> None:
         for effect in effects:
             if self.alive(life):
                 self._carry_out(effect, life)
@@ -130,41 +133,39 @@
     def alive(self, life: int) -> bool:
         return self.up and self.life == life
 
-    def _carry_out(self, effect: ev.Effect, life: int) -> None:
+    def _carry_out(self, effect: Any, life: int) -> None:
         code = self.runs
-        match effect:
-            case code.events.Reply():
-                answer = self.answers.pop(effect.ask, None)
+        match code.kind(effect):
+            case EffectKind.REPLY:
+                answer = self.answers.pop(code.request_id(effect), None)
                 if answer is not None:
-                    answer(effect.status, json.loads(code.wire.encode(effect.body)))
-            case code.events.StoreCall():
+                    answer(code.reply_status(effect), json.loads(code.reply_body(effect)))
+            case EffectKind.STORE_CALL:
                 self._call(
                     "state",
                     self.world.state.request,
-                    code.store.request(effect),
-                    effect.timeout,
+                    code.store_request(effect),
+                    code.timeout_s(effect),
                     life,
-                    effect.tag,
-                    code.events.StoreReply,
-                    lambda s, b: code.store.classify(effect, s, b),
+                    partial(code.store_reply, effect),
+                    partial(code.store_answered, effect),
                 )
-            case code.events.CloudCall():
+            case EffectKind.CLOUD_CALL:
                 self._call(
                     "cloud",
                     self.world.cloud.request,
-                    code.cloud.request(effect),
-                    effect.timeout,
+                    code.cloud_request(effect),
+                    code.timeout_s(effect),
                     life,
-                    effect.tag,
-                    code.events.CloudReply,
-                    lambda s, b: code.cloud.classify(effect, s, b),
+                    partial(code.cloud_reply, effect),
+                    partial(code.cloud_answered, effect),
                 )
-            case code.events.WorkerCall():
+            case EffectKind.WORKER_CALL:
                 self._order(effect, life)
-            case code.events.PeerSend():
-                data = code.wire.encode(effect.message)
+            case EffectKind.PEER_SEND:
+                data = code.peer_body(effect)
                 for peer in self.world.names:
-                    if peer != self.name and effect.to in (None, peer):
+                    if peer != self.name and code.peer_target(effect) in (None, peer):
                         deliver = partial(self._deliver, peer, data)
                         self.clock.send(self.name, peer, deliver, link=True)
 
@@ -173,39 +174,38 @@
 
     def receive(self, message: dict[str, Any]) -> None:
         if self.up:
-            self.push(self.runs.events.PeerMessage(message))
+            self.push(self.runs.peer_message(message))
 
     def _call(
         self,
         host: str,
         target: Any,
-        request: tuple[str, str, bytes],
-        timeout: float,
+        request: HttpCall,
+        timeout_s: float,
         life: int,
-        tag: int,
-        reply: Any,
-        classify: Any,
+        unanswered: Callable[[str], Any],
+        answer_command: Callable[[int, bytes], Any],
     ) -> None:
         """A call: refused connections are not executed, held ones are, late."""
         open_ = [True]
 
-        def finish(outcome: str, data: Any = None) -> None:
+        def finish(command: Any) -> None:
             if open_[0] and self.alive(life):
                 open_[0] = False
-                self.push(reply(tag, outcome, data))
+                self.push(command)
 
         if self.clock.parted(self.name, host) and self.clock.rng.random() < 0.5:
-            self.clock.after(1.0, lambda: finish("refused"))
+            self.clock.after(1.0, lambda: finish(unanswered("refused")))
             return
-        self.clock.after(timeout, lambda: finish("unknown"))
+        self.clock.after(timeout_s, lambda: finish(unanswered("unknown")))
 
         def answered(status: int, body: Any) -> None:
             self.clock.send(
-                host, self.name, lambda: finish(*classify(status, json.dumps(body).encode()))
+                host, self.name, lambda: finish(answer_command(status, json.dumps(body).encode()))
             )
 
         def arrive() -> None:
-            target(self.name, *request, answered)
+            target(self.name, request.method, request.path, request.body, answered)
 
         late = self.world.late
         if late and host == "state" and self.clock.rng.random() < late:
@@ -213,48 +213,48 @@
         else:
             self.clock.send(self.name, host, arrive)
 
-    def _order(self, call: ev.WorkerCall, life: int) -> None:
+    def _order(self, call: Any, life: int) -> None:
+        code = self.runs
+        address, encoded = code.worker_address(call), code.worker_orders(call)
         worker = next(
-            (w for w in self.world.cloud.workers.values() if w.row["addr"] == call.addr), None
+            (w for w in self.world.cloud.workers.values() if w.row["addr"] == address), None
         )
         open_ = [True]
 
         def finish(outcome: str, report: Any = None) -> None:
             if open_[0] and self.alive(life):
                 open_[0] = False
-                self.push(self.runs.events.WorkerReply(call.tag, outcome, report))
+                self.push(code.worker_reply(call, outcome, report))
 
         name = worker.row["id"] if worker else "nobody"
         if worker is None or (self.clock.parted(self.name, name) and self.clock.rng.random() < 0.3):
             self.clock.after(1.0, lambda: finish("not_sent"))
             return
-        self.clock.after(call.timeout, lambda: finish("unknown"))
+        self.clock.after(code.timeout_s(call), lambda: finish("unknown"))
 
         def answered(status: int, body: Any) -> None:
-            report = msgspec.convert(body, self.runs.wire.Report)
-            self.clock.send(
-                name, self.name, lambda: finish("ok" if status == 200 else "stale", report)
-            )
+            outcome = "ok" if status == 200 else "stale"
+            self.clock.send(name, self.name, lambda: finish(outcome, body))
 
         def arrive(worker: Worker = worker) -> None:
-            if call.orders is None:
+            if encoded is None:
                 worker.show(answered)
             else:
-                worker.orders(json.loads(wire.encode(call.orders)), answered)
+                worker.orders(json.loads(encoded), answered)
 
         if (
-            call.orders is not None
+            encoded is not None
             and self.world.repeats
             and (self.clock.rng.random() < self.world.repeats)
         ):
-            orders = json.loads(wire.encode(call.orders))
+            orders = json.loads(encoded)
             self.clock.after(
                 5 + self.clock.rng.random() * 40, lambda: worker.orders(orders, lambda *_: None)
             )
         late_commands = self.world.late_commands
-        if call.orders is not None and late_commands and self.clock.rng.random() < late_commands:
-            self._hold_command(worker, json.loads(wire.encode(call.orders)))
-        elif call.orders is not None and self.clock.rng.random() < self.world.late_orders:
+        if encoded is not None and late_commands and self.clock.rng.random() < late_commands:
+            self._hold_command(worker, json.loads(encoded))
+        elif encoded is not None and self.clock.rng.random() < self.world.late_orders:
             self.clock.after(1 + self.clock.rng.random() * 7, arrive)
         else:
             self.clock.send(self.name, name, arrive)
@@ -285,10 +285,9 @@
 
     def request(self, method: str, path: str, body: bytes, answer: Answer) -> None:
         self.asked += 1
-        try:
-            command = self.runs.users.command(self.asked, method, path, body)
-        except self.runs.users.Refused as refused:
-            answer(refused.status, {"error": refused.error})
+        command = self.runs.user_command(self.asked, method, path, body)
+        if isinstance(command, RefusedRequest):
+            answer(command.status, {"error": command.error})
             return
         self.answers[self.asked] = answer
         self.push(command)
--- a/tests/standins/sharing.py
+++ b/tests/standins/sharing.py
@@ -149,4 +149,6 @@
         return counts
 
     def in_force(self) -> bool:
-        return all(node.engine.shares.in_force() for node in self.nodes.values() if node.up)
+        return all(
+            node.runs.shares_in_force(node.engine) for node in self.nodes.values() if node.up
+        )
--- a/tests/standins/spreading.py
+++ b/tests/standins/spreading.py
@@ -80,7 +80,7 @@
 def set_options(world: World, **options: float) -> None:
     """Operators change settings through any controller that knows them."""
     nodes = world.nodes.values()
-    node = next(node for node in nodes if node.up and hasattr(node.engine, "rebalancer"))
+    node = next(node for node in nodes if node.up and node.runs.has_rebalancing(node.engine))
     body = json.dumps({"settings": options}).encode()
     node.request("PATCH", "/admin/v1/settings", body, lambda *_: None)
 
@@ -107,18 +107,16 @@
     """What came of all moves, as their planners heard; lost with a controller's end."""
     result: dict[str, int] = {}
     for node in world.nodes.values():
-        if not hasattr(node.engine, "moves"):
-            continue  # of an earlier version
-        for outcome, count in node.engine.moves.outcomes.items():
-            result[str(outcome)] = result.get(str(outcome), 0) + count
+        for outcome, count in node.runs.move_outcomes(node.engine).items():
+            result[outcome] = result.get(outcome, 0) + count
     return result
 
 
 def moving(world: World) -> list[Any]:
     """Moves that job owners have under way."""
     return [
-        under_way.order
+        order
         for node in world.nodes.values()
-        if node.up and hasattr(node.engine, "moves")
-        for under_way in node.engine.moves.active.values()
+        if node.up
+        for order in node.runs.moves_under_way(node.engine)
     ]
--- a/tests/standins/users.py
+++ b/tests/standins/users.py
@@ -256,7 +256,11 @@
         if self.loyal and self.clock.rng.random() < self.loyal:
             return up  # a connection that is open already
         up = [name for name in up if not self.clock.parted("user", name)] or up
-        return [name for name in up if self.nodes[name].engine.healthy()] or up
+        return [name for name in up if self._healthy(self.nodes[name])] or up
+
+    @staticmethod
+    def _healthy(node: Node) -> bool:
+        return node.runs.healthy(node.engine)
 
     def _ask(
         self,
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -1,8 +1,9 @@
 """The code of earlier versions, from this repository's history, beside the present one.
 
-What the tests touch of a version goes through its `Code`: the modules by their part, and
-a few questions about the inside of a controller. Each generation of names has an adapter
-of its own, so that a renaming in the present code changes `PresentCode` alone.
+What the tests touch of a version goes through its `Code`: the modules by their part, the
+commands that a controller takes, the effects that it returns, and a few questions about
+its inside. Each generation of names has an adapter of its own, so that a renaming in the
+present code changes `PresentCode` alone.
 """
 
 from __future__ import annotations
@@ -16,14 +17,48 @@
 import tarfile
 import tempfile
 import tomllib
+from dataclasses import dataclass
+from enum import Enum
 from functools import cache
 from pathlib import Path
 from types import ModuleType
 from typing import Any, ClassVar
 
+import msgspec
+
 ROOT = Path(__file__).parents[2]
 SERVED = "145af75fd13d081803f0788ac576e1481599394e"
 """the last head of `main` that served users: its records stay readable for ever"""
+BASELINE = "56285b0"
+"""the commit whose effects the present code has to repeat while it is refactored"""
+
+
+class EffectKind(Enum):
+    """What a controller can ask of its surroundings."""
+
+    REPLY = "reply"
+    STORE_CALL = "store"
+    CLOUD_CALL = "cloud"
+    WORKER_CALL = "worker"
+    PEER_SEND = "peer"
+    LOG_LEVEL = "log_level"
+
+
+@dataclass(frozen=True)
+class HttpCall:
+    """A request to an outside system, as it goes onto the wire."""
+
+    method: str
+    path: str
+    body: bytes
+
+
+@dataclass(frozen=True)
+class RefusedRequest:
+    """A request that is answered before any controller's engine sees it."""
+
+    status: int
+    error: str
 
 
 class Code:
@@ -43,6 +78,15 @@
         "users": "adapters.users",
     }
     """part -> module"""
+    EFFECTS: ClassVar[dict[str, EffectKind]] = {
+        "Reply": EffectKind.REPLY,
+        "StoreCall": EffectKind.STORE_CALL,
+        "CloudCall": EffectKind.CLOUD_CALL,
+        "WorkerCall": EffectKind.WORKER_CALL,
+        "PeerSend": EffectKind.PEER_SEND,
+        "SetLogLevel": EffectKind.LOG_LEVEL,
+    }
+    """class of an effect -> its kind"""
     constants: ModuleType
     wire: ModuleType
     settings: ModuleType
@@ -53,6 +97,8 @@
     store: ModuleType
     cloud: ModuleType
     users: ModuleType
+    capacity_settings: ModuleType
+    rebalancing_settings: ModuleType
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -74,6 +120,147 @@
         """A controller that has just started; earlier versions know no such parts."""
         return self.engine.Engine(self.settings.parse(settings_file), incarnation, rng)
 
+    def handle(self, controller: Any, batch: list[Any], now: float, wall: float) -> list[Any]:
+        """Work through a batch of commands; the effects in their order."""
+        effects: list[Any] = controller.handle(batch, now, wall)
+        return effects
+
+    def healthy(self, controller: Any) -> bool:
+        """Can it take requests of users?"""
+        return bool(controller.healthy())
+
+    def queue_length(self, controller: Any) -> int:
+        """Jobs that wait, as far as it knows."""
+        return len(controller.replica.queued)
+
+    def shares_in_force(self, controller: Any) -> bool:
+        """Does it keep to capacity shares? Earlier versions know none."""
+        return False
+
+    def has_rebalancing(self, controller: Any) -> bool:
+        """Does this version know the settings of rebalancing?"""
+        return False
+
+    def move_outcomes(self, controller: Any) -> dict[str, int]:
+        """Outcome -> moves of running tasks that ended so."""
+        return {}
+
+    def moves_under_way(self, controller: Any) -> list[Any]:
+        """The orders of the moves that it carries out as owner of their jobs."""
+        return []
+
+    # --- commands ---------------------------------------------------------
+    def tick(self) -> Any:
+        """The command to look at the timers."""
+        return self.events.Tick()
+
+    def is_tick(self, command: Any) -> bool:
+        return isinstance(command, self.events.Tick)
+
+    @property
+    def tick_s(self) -> float:
+        """Time between two ticks."""
+        return float(self.constants.TICK_S)
+
+    def peer_opened(self, name: str) -> Any:
+        """A link to a peer is open."""
+        return self.events.PeerOpened(name)
+
+    def peer_message(self, message: dict[str, Any]) -> Any:
+        """A message of a peer has arrived."""
+        return self.events.PeerMessage(message)
+
+    def user_command(self, request_id: int, method: str, path: str, body: bytes) -> Any:
+        """The command that an HTTP request stands for, or a `RefusedRequest`."""
+        try:
+            return self.users.command(request_id, method, path, body)
+        except self.users.Refused as refused:
+            return RefusedRequest(refused.status, refused.error)
+
+    def store_reply(self, call: Any, outcome: str) -> Any:
+        """The state service gave no answer to the call: it is `refused` or `unknown`."""
+        return self.events.StoreReply(self.call_id(call), outcome)
+
+    def store_answered(self, call: Any, status: int, body: bytes) -> Any:
+        """The state service's answer to the call has arrived."""
+        return self.events.StoreReply(self.call_id(call), *self.store.classify(call, status, body))
+
+    def cloud_reply(self, call: Any, outcome: str) -> Any:
+        """The cloud gave no answer to the call: it is `refused` or `unknown`."""
+        return self.events.CloudReply(self.call_id(call), outcome)
+
+    def cloud_answered(self, call: Any, status: int, body: bytes) -> Any:
+        """The cloud's answer to the call has arrived."""
+        return self.events.CloudReply(self.call_id(call), *self.cloud.classify(call, status, body))
+
+    def worker_reply(self, call: Any, outcome: str, report: dict[str, Any] | None = None) -> Any:
+        """How a direct call to a worker ended: `ok`, `stale`, `not_sent` or `unknown`."""
+        decoded = None if report is None else msgspec.convert(report, self.wire.Report)
+        return self.events.WorkerReply(self.call_id(call), outcome, decoded)
+
+    # --- effects ----------------------------------------------------------
+    def kind(self, effect: Any) -> EffectKind:
+        """Which kind of effect it is."""
+        for name, kind in self.EFFECTS.items():
+            if isinstance(effect, getattr(self.events, name)):
+                return kind
+        raise TypeError(f"not an effect: {effect!r}")
+
+    def call_id(self, call: Any) -> int:
+        """The number that the answer to the call has to carry."""
+        return int(call.tag)
+
+    def timeout_s(self, call: Any) -> float:
+        """How long the call's answer is waited for."""
+        return float(call.timeout)
+
+    def store_request(self, call: Any) -> HttpCall:
+        """The call as a request to the state service."""
+        return HttpCall(*self.store.request(call))
+
+    def cloud_request(self, call: Any) -> HttpCall:
+        """The call as a request to the cloud."""
+        return HttpCall(*self.cloud.request(call))
+
+    def worker_address(self, call: Any) -> str:
+        """Where the worker listens."""
+        return str(call.addr)
+
+    def worker_orders(self, call: Any) -> bytes | None:
+        """The commands to the worker, encoded; None: it is asked for its report."""
+        return None if call.orders is None else self.encode(call.orders)
+
+    def request_id(self, reply: Any) -> int:
+        """The number of the request that is answered."""
+        return int(reply.ask)
+
+    def reply_status(self, reply: Any) -> int:
+        return int(reply.status)
+
+    def reply_body(self, reply: Any) -> bytes:
+        return self.encode(reply.body)
+
+    def reply_headers(self, reply: Any) -> dict[str, str]:
+        return reply.headers or {}
+
+    def peer_target(self, send: Any) -> str | None:
+        """The peer that the message is for; None: for all."""
+        target: str | None = send.to
+        return target
+
+    def peer_body(self, send: Any) -> bytes:
+        """The message to the peer, encoded."""
+        return self.encode(send.message)
+
+    def log_level(self, effect: Any) -> str:
+        return str(effect.level)
+
+    def encode(self, value: Any) -> bytes:
+        """JSON, as this version writes it."""
+        encoded: bytes = self.wire.encode(value)
+        return encoded
+
+    # --- questions about the inside ---------------------------------------
     def view(self, controller: Any) -> Any:
         """The newest view that it knows, or None."""
         return controller.replica.view
@@ -156,8 +343,14 @@
         return {"incarnation": member.incarnation, "lease": member.lease}
 
 
-class PresentCode(Code):
-    """The code of this checkout: the one adapter that follows its names."""
+class BaselineCode(Code):
+    """The names of the commit with which the refactoring began."""
+
+    MODULES: ClassVar[dict[str, str]] = {
+        **Code.MODULES,
+        "capacity_settings": "capacity.settings",
+        "rebalancing_settings": "rebalancing.settings",
+    }
 
     def controller(
         self,
@@ -168,7 +361,31 @@
         capacity: Any = None,
     ) -> Any:
         settings = self.settings.parse(settings_file)
-        return self.engine.Engine(settings, incarnation, rng, rebalancing, capacity)
+        return self.engine.Engine(
+            settings,
+            incarnation,
+            rng,
+            self._own(rebalancing, self.rebalancing_settings.Rebalancing),
+            self._own(capacity, self.capacity_settings.Capacity),
+        )
+
+    def _own(self, value: Any, own_type: type) -> Any:
+        """Settings in this version's type: scenarios make them in the present code's."""
+        if value is None or isinstance(value, own_type):
+            return value
+        return msgspec.convert(msgspec.to_builtins(value), own_type)
+
+    def shares_in_force(self, controller: Any) -> bool:
+        return bool(controller.shares.in_force())
+
+    def has_rebalancing(self, controller: Any) -> bool:
+        return True
+
+    def move_outcomes(self, controller: Any) -> dict[str, int]:
+        return {str(outcome): count for outcome, count in controller.moves.outcomes.items()}
+
+    def moves_under_way(self, controller: Any) -> list[Any]:
+        return [under_way.order for under_way in controller.moves.active.values()]
 
     def hears(self, controller: Any, peer: str) -> bool:
         return bool(controller.heartbeats.reached(peer))
@@ -185,6 +402,10 @@
         }
 
 
+class PresentCode(BaselineCode):
+    """The code of this checkout: the one adapter that follows its names."""
+
+
 @cache
 def present() -> Code:
     return PresentCode("present")
@@ -202,27 +423,73 @@
     return _load(SERVED, Code, "served")
 
 
+@cache
+def baseline() -> Code:
+    """The code with which the refactoring began."""
+    return _load(BASELINE, BaselineCode, "baseline")
+
+
+@cache
+def from_folder(folder: Path) -> Code:
+    """A copy of the present package that lies in the folder."""
+    present()
+    return _import_from(str(folder), PresentCode, f"copy in {folder}")
+
+
+_under_test: list[Code] = []
+
+
+def under_test() -> Code:
+    """The version that simulated clusters run, and are upgraded to, unless a scenario names
+    another one: the present code, or what `put_under_test` chose for this process."""
+    return _under_test[-1] if _under_test else present()
+
+
+def put_under_test(code: Code) -> None:
+    """From now on simulated clusters of this process run that version."""
+    _under_test.append(code)
+
+
 def _load(commit: str, adapter: type[Code], name: str) -> Code:
     """The code of a commit, imported beside the present one."""
     present()
     packed = subprocess.run(
         ["git", "archive", commit, "appledock"], cwd=ROOT, check=True, capture_output=True
     ).stdout
-    ours = {module: loaded for module, loaded in sys.modules.items() if _is_ours(module)}
     with tempfile.TemporaryDirectory() as folder:
         with tarfile.open(fileobj=io.BytesIO(packed)) as archive:
             archive.extractall(folder, filter="data")
-        for module in ours:
-            del sys.modules[module]
-        sys.path.insert(0, folder)
-        importlib.invalidate_caches()
-        try:
-            return adapter(name)
-        finally:
-            sys.path.remove(folder)
-            for module in [module for module in sys.modules if _is_ours(module)]:
-                del sys.modules[module]
-            sys.modules.update(ours)
+        return _import_from(folder, adapter, name)
+
+
+def _import_from(folder: str, adapter: type[Code], name: str) -> Code:
+    """The package that lies in the folder, imported beside the present one."""
+    ours = {module: loaded for module, loaded in sys.modules.items() if _is_ours(module)}
+    for module in ours:
+        del sys.modules[module]
+    sys.path.insert(0, folder)
+    importlib.invalidate_caches()
+    try:
+        return adapter(name)
+    finally:
+        sys.path.remove(folder)
+        for module in [module for module in sys.modules if _is_ours(module)]:
+            _keep(sys.modules.pop(module), f"{module}@{name}")
+        sys.modules.update(ours)
+
+
+def _keep(module: ModuleType, new_name: str) -> None:
+    """Register a module and its classes under another name.
+
+    msgspec looks up the fields' types of a class in `sys.modules[cls.__module__]` when it
+    first decodes one: it would find the present code's types there, which are not equal to
+    those of the version itself.
+    """
+    old_name = module.__name__
+    sys.modules[new_name] = module
+    for value in vars(module).values():
+        if isinstance(value, type) and value.__module__ == old_name:
+            value.__module__ = new_name
 
 
 def _is_ours(module: str) -> bool:
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -17,7 +17,7 @@
 from tests.standins.node import Answer, LateCommand, Node
 from tests.standins.state import State
 from tests.standins.users import Users
-from tests.standins.versions import Code, present
+from tests.standins.versions import Code, under_test
 
 
 class World(Users):
@@ -32,7 +32,7 @@
         rebalancing: Rebalancing | None = None,
         shares: Capacity | None = None,
     ) -> None:
-        self.code, self.announced = code or present(), announced
+        self.code, self.announced = code or under_test(), announced
         self.rebalancing, self.shares = rebalancing, shares
         clock = Clock(seed)
         limits = {team: most for team, (_, most) in deployment.TEAMS.items()}
@@ -192,11 +192,11 @@
         return "token" if report["warrant"] < worker.token else "none"
 
     def upgrade(self, every_s: float, away_s: float = 5.0, code: Code | None = None) -> None:
-        """All controllers are restarted with the present version (or with the one of
-        `code`), one after the other."""
+        """All controllers are restarted with the version under test (or with the
+        one of `code`), one after the other."""
 
         def one(node: Node) -> None:
-            node.code = code or present()
+            node.code = code or under_test()
             node.crash(away_s)
 
         for place, node in enumerate(self.nodes.values()):
@@ -211,6 +211,6 @@
             for node in self.nodes.values():
                 for peer in self.names:
                     if node.up and peer != node.name:
-                        node.push(node.runs.events.PeerOpened(peer))
+                        node.push(node.runs.peer_opened(peer))
 
         self.clock.after(seconds + 0.4, reopen)
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -19,6 +19,7 @@
     Stages,
     ask_at,
     cancel_at,
+    day,
     note_taken_back,
     pipeline,
     submit_at,
@@ -26,48 +27,9 @@
 from tests.standins.chains import spec as spec_of
 from tests.standins.deployment import CANCEL_S
 from tests.standins.world import World
-from tests.test_faults import strike
 from tests.test_requests import calls, engine, spec
 
 
-def day(seed: int, *faults: str, chains: int = 9, until: float = 70.0) -> World:
-    """Pipelines, a third of them with a job called off, among services, under faults."""
-    world = World(seed)
-    clock, rng = world.clock, world.clock.rng
-    for number in range(3):
-        one = {
-            **world.spec(900 + number),
-            "shape": "daemon",
-            "rank": "production",
-            "berth": "svc",
-            "crates": 1,
-            "run_s": 1e9,
-            "sail_s": None,
-            "together": False,
-            "scatter": False,
-            "standby": False,
-        }
-        clock.at(1.0 + number, lambda one=one: world.submit(one))
-    for number in range(chains):
-        cancel = rng.randrange(5) if number % 3 == 0 else None
-        clock.at(
-            8 + rng.random() * (until - 25),
-            lambda n=number, x=cancel: pipeline(world, n, x, 1 + 7 * rng.random(), late=n % 4 == 1),
-        )
-    for time in range(14, int(until), 7):
-        for fault in faults:
-            if rng.random() < 0.6:
-                clock.at(time + 5 * rng.random(), lambda f=fault: strike(world, f))
-    if "late_writes" in faults:
-        world.state.late_writes = 0.15
-    clock.run(until + 25.0)
-    world.peace()
-    clock.run(until + 130.0)
-    world.ask_all()
-    clock.run(until + 140.0)
-    return world
-
-
 def verdict(world: World) -> list[str]:
     return (
         world.judge.broken
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -14,8 +14,8 @@
 from appledock.core.steps import Steps
 from appledock.core.workers import Workers
 from tests.standins import load
+from tests.standins.faults import strike
 from tests.standins.world import World
-from tests.test_faults import strike
 
 Patch = pytest.MonkeyPatch
 MACHINES = 150
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -12,8 +12,8 @@
 from appledock.core.requests import Requests
 from appledock.core.workers import Workers
 from tests.guards import absence_settles, no_job_version, silence_settles
+from tests.standins.faults import play
 from tests.standins.world import World
-from tests.test_faults import play
 
 Patch = pytest.MonkeyPatch
 VERDICT = Workers.verdict
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,9 +17,9 @@
 from appledock.settings import SettingsError, parse
 from tests.standins.chains import pipeline
 from tests.standins.deployment import NEXT, settings_file
+from tests.standins.faults import strike
 from tests.standins.versions import present, production, served
 from tests.standins.world import World
-from tests.test_faults import strike
 from tests.test_grown import owner_of_nothing, report
 from tests.test_requests import calls, engine, spec
 
