--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -352,6 +352,12 @@
         "rebalancing_settings": "rebalancing.settings",
     }
 
+    MODULES: ClassVar[dict[str, str]] = {
+        **Code.MODULES,
+        "jobs": "core.jobs.record",
+        "replica": "core.store.replica",
+    }
+
     def controller(
         self,
         settings_file: bytes,
