--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -13,8 +13,8 @@
 from appledock.core.scheduling import placement
 from appledock.core.workers import Workers
 from tests.guards import absence_settles, no_job_version, silence_settles
+from tests.standins.faults import play
 from tests.standins.world import World
-from tests.test_faults import play
 
 Patch = pytest.MonkeyPatch
 VERDICT = Workers.verdict
