--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -98,6 +98,8 @@
     cloud: ModuleType
     users: ModuleType
     capacity_settings: ModuleType
+    keys: ModuleType
+    calls: ModuleType
     rebalancing_settings: ModuleType
 
     def __init__(self, name: str) -> None:
@@ -295,13 +297,17 @@
         return int(session), int(seq)
 
     # --- records ----------------------------------------------------------
+    def key_prefix(self, name: str) -> str:
+        """The prefix of keys that a constant of this version names."""
+        return str(getattr(self.replica, name))
+
     def rewrite(self, key: str, value: Any, format_: int = 1) -> Any:
         """A stored record read by this version, and what it would write in its place."""
         replica = self.replica.Replica()
         replica.put(key, value, 7)
-        kind, _, name = key.removeprefix(self.replica.LIVE).partition("/")
-        if key.startswith(self.replica.FINAL):
-            return {"state": replica.finals[key.removeprefix(self.replica.FINAL)]}
+        kind, _, name = key.removeprefix(self.key_prefix("LIVE")).partition("/")
+        if key.startswith(self.key_prefix("FINAL")):
+            return {"state": replica.finals[key.removeprefix(self.key_prefix("FINAL"))]}
         if kind == "jobs":
             return self._plain(self.encode_job(replica.jobs[name], format_))
         if kind == "teams":
@@ -352,12 +358,6 @@
         "rebalancing_settings": "rebalancing.settings",
     }
 
-    MODULES: ClassVar[dict[str, str]] = {
-        **Code.MODULES,
-        "jobs": "core.jobs.record",
-        "replica": "core.store.replica",
-    }
-
     def controller(
         self,
         settings_file: bytes,
@@ -411,6 +411,39 @@
 class PresentCode(BaselineCode):
     """The code of this checkout: the one adapter that follows its names."""
 
+    MODULES: ClassVar[dict[str, str]] = {
+        **BaselineCode.MODULES,
+        "jobs": "core.jobs.record",
+        "replica": "core.store.replica",
+        "keys": "core.store.keys",
+        "calls": "core.store.calls",
+    }
+
+    def store_reply(self, call: Any, outcome: str) -> Any:
+        outcome_type = {"refused": self.calls.NotExecuted, "unknown": self.calls.UnknownOutcome}
+        return self.events.StoreReply(self.call_id(call), outcome_type[outcome]())
+
+    def store_answered(self, call: Any, status: int, body: bytes) -> Any:
+        return self.events.StoreReply(self.call_id(call), self.store.classify(call, status, body))
+
+    def cloud_reply(self, call: Any, outcome: str) -> Any:
+        return super().cloud_reply(call, self.events.CloudOutcome(outcome))
+
+    def worker_reply(self, call: Any, outcome: str, report: dict[str, Any] | None = None) -> Any:
+        return super().worker_reply(call, self.events.WorkerOutcome(outcome), report)
+
+    def call_id(self, call: Any) -> int:
+        return int(call.call_id)
+
+    def timeout_s(self, call: Any) -> float:
+        return float(call.timeout_s)
+
+    def request_id(self, reply: Any) -> int:
+        return int(reply.request_id)
+
+    def key_prefix(self, name: str) -> str:
+        return str(getattr(self.keys, name))
+
 
 @cache
 def present() -> Code:
