--- a/appledock/adapters/store.py
+++ b/appledock/adapters/store.py
@@ -9,7 +9,7 @@
 
 from appledock import wire
 from appledock.core.events import StoreCall, StoreReply
-from appledock.core.store.calls import (
+from appledock.core.store_calls import (
     Acknowledged,
     Committed,
     Conflict,
--- a/appledock/app.py
+++ b/appledock/app.py
@@ -18,8 +18,8 @@
 from appledock.adapters.workers import WorkerCalls
 from appledock.capacity.settings import Capacity
 from appledock.core import events as ev
-from appledock.core.engine import Engine
-from appledock.core.store.calls import UnknownOutcome, WatchKeys
+from appledock.core.controller import Controller
+from appledock.core.store_calls import UnknownOutcome, WatchKeys
 from appledock.metrics import Metrics
 from appledock.net.http import Answer, Server
 from appledock.net.peers import PeerLink, PeerServer, frame
@@ -43,7 +43,9 @@
         self.settings = settings
         self.loop = asyncio.get_running_loop()
         rng = random.Random()
-        self.engine = Engine(settings, f"{rng.getrandbits(48):012x}", rng, rebalancing, capacity)
+        self.engine = Controller(
+            settings, f"{rng.getrandbits(48):012x}", rng, rebalancing, capacity
+        )
         self.queue: list[ev.Cmd] = []
         self.scheduled = False
         self.next_batch = 0.0
--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -7,79 +7,30 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
 from appledock import constants as c
 from appledock.core.api.capacity_api import SharesApi
 from appledock.core.api.console_feed import ConsoleFeed
 from appledock.core.events import Admin, Reply, SetLogLevel
-from appledock.core.jobs.record import Attempt, Job
+from appledock.core.operator_settings import DECLARATIONS, InvalidSettingError, validate
 from appledock.core.quota.quota import NOTHING
-from appledock.core.store.calls import Committed, Conflict, Put, StoreOutcome, Transaction
+from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import SETTINGS
 from appledock.core.store.rate_limiter import Priority
+from appledock.core.store_calls import Committed, Conflict, Put, StoreOutcome, Transaction
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 LEVELS = ("error", "info", "debug")
 
 
-@dataclass(frozen=True, slots=True)
-class Option:
-    """One setting of the operators."""
-
-    default: float
-    least: float
-    most: float
-    unit: str
-    reason: str
-
-
-OPTIONS: dict[str, Option] = {
-    "idle_return_s": Option(
-        c.IDLE_RETURN_S, 1, 3600, "s", "how long an idle machine is kept before it is returned"
-    ),
-    "step_tasks": Option(c.STEP_TASKS, 1, 1000, "tasks", "size of one step of an array"),
-    "sample": Option(c.SAMPLE, 1, 1000, "machines", "machines looked at for each task"),
-    "machines_max": Option(
-        100_000, 0, 100_000, "machines", "the leader rents no more once so many are up or booting"
-    ),
-    "lost_work_weight": Option(
-        c.LOST_WORK_WEIGHT,
-        0,
-        100,
-        "ratio",
-        "a second of thrown away work against a second of waiting",
-    ),
-    "moves_paused": Option(0, 0, 1, "0 or 1", "1: no task is moved for balance"),
-    "moves_dry_run": Option(0, 0, 1, "0 or 1", "1: moves are only logged and counted"),
-}
-
-
-class BadSetting(ValueError):
-    """A value that cannot be taken; the text names field and range."""
-
-
-def checked(name: str, value: Any) -> float:
-    """The value of a setting, or BadSetting."""
-    option = OPTIONS.get(name)
-    if option is None:
-        raise BadSetting(f"{name}: unknown setting; known are {', '.join(sorted(OPTIONS))}")
-    if isinstance(value, bool) or not isinstance(value, int | float):
-        raise BadSetting(f"{name}: a number is needed")
-    if not option.least <= value <= option.most:
-        raise BadSetting(f"{name}: allowed are {option.least:g} to {option.most:g} {option.unit}")
-    return value
-
-
 class AdminApi:
     """Answers operators from this controller's picture."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
-        self.values: dict[str, float] = {name: o.default for name, o in OPTIONS.items()}
         self.feed = ConsoleFeed(engine)
         self.shares = SharesApi(engine)
         self._readers: dict[str, Callable[[], dict[str, Any]]] = {
@@ -89,23 +40,10 @@
             "teams": lambda: {"teams": self.teams()},
             "settings": self.settings,
             "rebalancing": engine.rebalancer.summary,
-            "capacity": engine.shares.summary,
+            "capacity": engine.partitions.summary,
         }
         """path -> what `GET` answers there"""
 
-    def __getitem__(self, name: str) -> float:
-        return self.values[name]
-
-    def apply(self) -> None:
-        """The stored settings changed: what cannot be taken keeps its default."""
-        self.values = {name: option.default for name, option in OPTIONS.items()}
-        for name, value in self.engine.replica.settings[1].items():
-            try:
-                self.values[name] = checked(name, value)
-            except BadSetting:
-                continue
-        self.engine.queue_dirty = True
-
     # --- requests ---------------------------------------------------------
     def request(self, cmd: Admin) -> None:
         """Answer a request."""
@@ -139,10 +77,10 @@
         """The cluster as this controller sees it."""
         engine = self.engine
         view = engine.replica.view
-        budget = engine.budget
+        budget = engine.client.limiter
         return {
             "node": engine.settings.name,
-            "healthy": engine.healthy(),
+            "healthy": engine.health.is_healthy(),
             "authority": engine.membership.authority(),
             "leader": view.leader if view else None,
             "term": view.term if view else 0,
@@ -159,8 +97,8 @@
             "machines": sum(w.report is not None for w in engine.workers.table.values()),
             "booting": len(engine.fleet.booting()) if engine.membership.leader() else None,
             "calls_waiting": budget.size(),
-            "users_waiting": len(engine.requests.open),
-            "machine_types": sorted(engine.types),
+            "users_waiting": len(engine.user_requests.open),
+            "machine_types": sorted(engine.machine_types),
         }
 
     def jobs(self) -> list[dict[str, Any]]:
@@ -196,7 +134,7 @@
         if job.id in needs.waiting:
             unread = any(need in needs.unknown for need in needs.left(job.id))
             return "jobs that it needs" + (", some not read yet" if unread else "")
-        return self.engine.steps.blocked.get(job.id)
+        return self.engine.reconcile_queue.pending_reasons.get(job.id)
 
     def _attempt(self, job: Job, attempt: Attempt) -> dict[str, Any]:
         """An attempt that is not settled, and what its settlement waits for."""
@@ -225,8 +163,8 @@
         engine = self.engine
         rows = []
         if engine.replica.view:
-            engine.rooms.refresh()
-        free = engine.rooms.table
+            engine.capacity_index.refresh()
+        free = engine.capacity_index.table
         for name in sorted(engine.workers.table):
             worker = engine.workers.table[name]
             report = worker.report
@@ -281,14 +219,14 @@
             "version": self.engine.replica.settings[0],
             "settings": {
                 name: {
-                    "value": self.values[name],
-                    "default": option.default,
-                    "least": option.least,
-                    "most": option.most,
-                    "unit": option.unit,
-                    "reason": option.reason,
+                    "value": self.engine.operator_settings[name],
+                    "default": declaration.default,
+                    "least": declaration.minimum,
+                    "most": declaration.maximum,
+                    "unit": declaration.unit,
+                    "reason": declaration.description,
                 }
-                for name, option in sorted(OPTIONS.items())
+                for name, declaration in sorted(DECLARATIONS.items())
             },
         }
 
@@ -319,11 +257,11 @@
         new = dict(stored)
         try:
             for name, value in body["settings"].items():
-                if value is None and name in OPTIONS:
+                if value is None and name in DECLARATIONS:
                     new.pop(name, None)
                 else:
-                    new[name] = checked(name, value)
-        except BadSetting as error:
+                    new[name] = validate(name, value)
+        except InvalidSettingError as error:
             self._answer(cmd, {"error": str(error)}, 400)
             return
 
@@ -331,7 +269,8 @@
             match outcome:
                 case Committed():
                     self.engine.replica.put(SETTINGS, new, outcome.revision)
-                    self.apply()
+                    self.engine.operator_settings.apply(self.engine.replica.settings[1])
+                    self.engine.reconcile_queue.placement_due = True
                     self._answer(cmd, self.settings())
                 case Conflict():
                     self.engine.reader.read_keys([SETTINGS])
@@ -339,7 +278,7 @@
                 case _:
                     self._answer(cmd, {"error": "state service does not answer"}, 503)
 
-        self.engine.store(
+        self.engine.client.submit(
             Transaction({SETTINGS: asked}, [Put(SETTINGS, new)]),
             Priority.USER,
             on_outcome,
--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -9,7 +9,9 @@
 from appledock.capacity.apportion import apportion
 from appledock.capacity.settings import CapacityError, Shares, check_shares
 from appledock.core.events import Admin, Reply
-from appledock.core.store.calls import (
+from appledock.core.records.capacity import AGREED
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store_calls import (
     Committed,
     Conflict,
     Put,
@@ -17,11 +19,9 @@
     Transaction,
     UnknownOutcome,
 )
-from appledock.core.store.capacity_records import AGREED
-from appledock.core.store.rate_limiter import Priority
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,12 +41,12 @@
 class SharesApi:
     """One record of what is agreed, changed by conditional transactions only."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
 
     def request(self, cmd: Admin, action: str) -> None:
         """Propose (a dry run), apply or withdraw."""
-        if not self.engine.shares.enabled:
+        if not self.engine.partitions.enabled:
             self._answer(cmd, {"error": "capacity shares are off"}, 404)
             return
         try:
@@ -70,9 +70,9 @@
         given = body.get("shares")
         if not isinstance(given, dict) or not all(isinstance(x, dict) for x in given.values()):
             raise BadChange("shares: an object of objects is needed, partition to pool to share")
-        settings = self.engine.shares.settings
+        settings = self.engine.partitions.settings
         assert settings is not None
-        shares = {name: dict(by_pool) for name, by_pool in self.engine.shares.targets().items()}
+        shares = {name: dict(by_pool) for name, by_pool in self.engine.partitions.targets().items()}
         for name, by_pool in given.items():
             shares.setdefault(name, {}).update(by_pool)
         check_shares(settings, shares)
@@ -111,11 +111,11 @@
     def _forecast(self, shares: Shares) -> dict[str, Any]:
         """What a change would drain, and for how long by the estimates."""
         engine = self.engine
-        settings = engine.shares.settings
+        settings = engine.partitions.settings
         assert settings is not None
         pools: dict[str, Any] = {}
         for pool in settings.pools:
-            uses = engine.shares.uses(pool.name)
+            uses = engine.partitions.uses(pool.name)
             by_partition = {name: shares[name].get(pool.name, 0.0) for name in shares}
             target = apportion(len(uses), by_partition)
             rows = {}
@@ -140,7 +140,7 @@
         engine = self.engine
         agreed = engine.replica.capacity.agreed
         if agreed is not None and agreed.request == change.request:
-            self._answer(cmd, engine.shares.summary())  # said before: it has its effect already
+            self._answer(cmd, engine.partitions.summary())  # said before: it has its effect already
             return
         present = agreed.version if agreed is not None else 0
         if change.version is not None and change.version != present:
@@ -150,7 +150,7 @@
         record = {
             "request": change.request,
             "shares": change.shares,
-            "before": engine.shares.targets(),
+            "before": engine.partitions.targets(),
             "stop_at": stop_at,
         }
         plan = Transaction({AGREED: present}, [Put(AGREED, record)])
@@ -159,13 +159,13 @@
             match outcome:
                 case Committed():
                     engine.replica.put(AGREED, record, outcome.revision)
-                    self._answer(cmd, engine.shares.summary())
+                    self._answer(cmd, engine.partitions.summary())
                 case Conflict() | UnknownOutcome():
                     self._read_and_answer(cmd, change)
                 case _:
                     self._answer(cmd, {"error": "state service does not answer"}, 503)
 
-        engine.store(plan, Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
+        engine.client.submit(plan, Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
 
     def _read_and_answer(self, cmd: Admin, change: Change) -> None:
         """Somebody else's change came first, or it is not known whether ours did: read it."""
@@ -173,7 +173,7 @@
         def read() -> None:
             agreed = self.engine.replica.capacity.agreed
             if agreed is not None and agreed.request == change.request:
-                self._answer(cmd, self.engine.shares.summary())
+                self._answer(cmd, self.engine.partitions.summary())
             else:
                 self._conflict(cmd, change)
 
@@ -185,7 +185,7 @@
     def _conflict(self, cmd: Admin, change: Change) -> None:
         """The present version, and where it differs from what was asked for."""
         agreed = self.engine.replica.capacity.agreed
-        present = self.engine.shares.targets()
+        present = self.engine.partitions.targets()
         differs = {
             f"{name}.{pool}": {"present": present.get(name, {}).get(pool, 0.0), "asked": share}
             for name, by_pool in change.shares.items()
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -16,16 +16,16 @@
     TeamRow,
     WorkerRow,
 )
-from appledock.core.scheduling.placement import Room
+from appledock.core.machines.machine_capacity import MachineCapacity
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class ConsoleFeed:
     """Rows are counted anew when a console asks, and not otherwise."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.changes = RowChanges(engine.incarnation)
 
@@ -38,7 +38,7 @@
         """All rows; what is asked for first comes first."""
         if self.engine.replica.view is None:
             return {"cluster/": self._cluster()}
-        self.engine.rooms.refresh()
+        self.engine.capacity_index.refresh()
         return {
             "cluster/": self._cluster(),
             **self._controllers(),
@@ -54,11 +54,11 @@
         moves = "on"
         if rebalancer.settings is None or not rebalancer.settings.moves.enabled:
             moves = "off"
-        elif engine.admin["moves_paused"]:
+        elif engine.operator_settings["moves_paused"]:
             moves = "paused"
-        elif engine.admin["moves_dry_run"]:
+        elif engine.operator_settings["moves_dry_run"]:
             moves = "dry run"
-        shares = [_load(room) for room in engine.rooms.table.values()]
+        shares = [_load(room) for room in engine.capacity_index.table.values()]
         return ClusterRow(
             engine.settings.name,
             len(engine.replica.jobs),
@@ -102,7 +102,7 @@
         return rows
 
     def _partitions(self) -> dict[str, Row]:
-        summary = self.engine.shares.summary()
+        summary = self.engine.partitions.summary()
         return {
             f"partition/{name}.{pool}": PartitionRow(
                 row["target"],
@@ -125,7 +125,7 @@
 
     def _workers(self) -> dict[str, Row]:
         """Workers, the fullest first; those that take no steps last."""
-        engine, table = self.engine, self.engine.rooms.table
+        engine, table = self.engine, self.engine.capacity_index.table
         rows: dict[str, Row] = {}
         for room in sorted(table.values(), key=lambda room: (-_load(room), room.machine)):
             teams = room.load.teams if room.load is not None else {}
@@ -142,7 +142,7 @@
         return rows
 
 
-def _load(room: Room) -> float:
+def _load(room: MachineCapacity) -> float:
     """Committed share; where load is not spread, that of the processors."""
     if room.load is not None:
         return room.load.total
--- /dev/null
+++ b/appledock/core/api/health.py
@@ -0,0 +1,38 @@
+"""Whether this controller can take requests, as the platform asks."""
+
+from __future__ import annotations
+
+from appledock import wire
+from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.membership import Membership
+from appledock.core.store.reader import StateReader
+
+
+class HealthCheck:
+    """Answers the platform's health check."""
+
+    def __init__(
+        self,
+        reader: StateReader,
+        membership: Membership,
+        heartbeats: Heartbeats,
+        machine_types: dict[str, wire.MachineType],
+    ) -> None:
+        self._reader = reader
+        self._membership = membership
+        self._heartbeats = heartbeats
+        self._machine_types = machine_types
+
+    def is_healthy(self) -> bool:
+        """Can requests be taken?
+
+        Without the machine types (first start ever) no submission can be decided. A controller
+        that alone is not served by the key-value store steps aside; in an outage, which all
+        meet, none does: being taken back would take longer than the outage.
+        """
+        return (
+            self._reader.loaded
+            and self._membership.joined
+            and bool(self._machine_types)
+            and not self._heartbeats.shut_out()
+        )
--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -1,4 +1,4 @@
-"""Requests of users: submit, poll and cancel, answered by any controller.
+"""UserRequests of users: submit, poll and cancel, answered by any controller.
 
 Answers that are not final need proof that they are current, since another
 controller may already have told the user something newer. The proof is one
@@ -17,10 +17,12 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.events import Cancel, Poll, Reply, Submit
-from appledock.core.jobs.record import Job
+from appledock.core.machines.machine_capacity import type_fits
 from appledock.core.quota import quota
-from appledock.core.scheduling import placement
-from appledock.core.store.calls import (
+from appledock.core.records.job import Job
+from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store_calls import (
     Committed,
     Conflict,
     Delete,
@@ -29,11 +31,9 @@
     StoreOutcome,
     Transaction,
 )
-from appledock.core.store.keys import FINAL, JOBS
-from appledock.core.store.rate_limiter import Priority
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -53,10 +53,10 @@
     """what a refused submission is answered"""
 
 
-class Requests:
+class UserRequests:
     """Everything asked by users."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.e = engine
         self.polls: list[Asked] = []
         self.open: dict[int, float] = {}
@@ -238,13 +238,13 @@
         tasks = 1 if spec.kind == wire.ARRAY else spec.tasks
         if not quota.need(spec, tasks).fits(quota.limit(team)):
             return "more than the team's limit"
-        record = wire.encode(self.e.record(Job(spec, self.e.wall)))
-        if len(record) > c.DESCRIPTION_SHARE * self.e.value_bytes:
+        record = wire.encode(self.e.codec.encode(Job(spec, self.e.wall)))
+        if len(record) > c.DESCRIPTION_SHARE * self.e.client.max_value_bytes:
             # Accepted, it would wait for ever: its record had no room for an attempt.
             return "description too long"
-        if not self.e.types:
+        if not self.e.machine_types:
             return ""
-        if not any(placement.type_fits(spec, kind) for kind in self.e.types.values()):
+        if not any(type_fits(spec, kind) for kind in self.e.machine_types.values()):
             return "fits no allowed machine type"
         return None
 
@@ -253,7 +253,7 @@
         member, view = self.e.membership, self.e.replica.view
         if not member.acting() or view is None:
             return None
-        preferred = self.e.shares.preferred(job)
+        preferred = self.e.partitions.preferred(job)
         if preferred is not None:
             return (preferred, view.members[preferred])
         if not self.e.heartbeats.works(view.owner_of(job.id)):
@@ -267,14 +267,14 @@
         job = Job(spec, self.e.wall)
         job.handoff = self._first_owner(job)
         plan = Transaction(
-            {JOBS + spec.id: 0, FINAL + spec.id: 0}, [Put(JOBS + spec.id, self.e.record(job))]
+            {JOBS + spec.id: 0, FINAL + spec.id: 0}, [Put(JOBS + spec.id, self.e.codec.encode(job))]
         )
 
         def on_outcome(outcome: StoreOutcome) -> None:
             if isinstance(outcome, Committed):
                 job.version = outcome.revision
                 self.e.replica.set_job(job)
-                self.e.queue_dirty = True
+                self.e.reconcile_queue.placement_due = True
                 log.info(
                     "%s accepted: %s of %s, %d tasks, %s",
                     spec.id,
@@ -302,7 +302,7 @@
             else:
                 self.refuse(asked.request_id, "state service does not answer")
 
-        self.e.store(plan, Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
+        self.e.client.submit(plan, Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
 
     # --- poll -------------------------------------------------------------
     def poll(self, cmd: Poll) -> None:
@@ -378,7 +378,9 @@
                     for asked in batch:
                         self.refuse(asked.request_id, "state service does not answer")
 
-        self.e.store(Transaction(conditions), Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
+        self.e.client.submit(
+            Transaction(conditions), Priority.USER, on_outcome, c.REQUEST_DEADLINE_S
+        )
 
     def _tell_proven(self, asked: Asked, absent: bool, revision: int) -> None:
         if asked.job in self.e.replica.needs.waiting:
@@ -432,7 +434,9 @@
         if over:
             plan.writes = [Delete(JOBS + job.id), Put(FINAL + job.id, {"state": wire.CANCELLED})]
         else:
-            plan.writes = [Put(JOBS + job.id, self.e.record(self.e.slim(new)))]
+            plan.writes = [
+                Put(JOBS + job.id, self.e.codec.encode(self.e.codec.drop_needless_types(new)))
+            ]
 
         def on_outcome(outcome: StoreOutcome) -> None:
             if isinstance(outcome, Committed):
@@ -443,7 +447,7 @@
                 else:
                     new.version = revision
                     self.e.replica.set_job(new)
-                self.e.cancels.told(None if over else new, job.id, revision)
+                self.e.cancellation.told(None if over else new, job.id, revision)
                 self.answer(asked.request_id, 200, wire.JobState(job.id, wire.CANCELLED))
             elif isinstance(outcome, Conflict):
                 self._read_job(
@@ -458,4 +462,4 @@
             # Cancelled already, by us or a request before, and for ever.
             self._tell(asked, False)
             return
-        self.e.store(plan, Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
+        self.e.client.submit(plan, Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -10,13 +10,13 @@
 
 if TYPE_CHECKING:
     from appledock.core.capacity.partitions import CapacityShares
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class Drains:
     """Empties machines: what ends by itself is waited for, and nothing is killed."""
 
-    def __init__(self, engine: Engine, shares: CapacityShares) -> None:
+    def __init__(self, engine: Controller, shares: CapacityShares) -> None:
         self.engine = engine
         self.shares = shares
         self.kept: dict[str, str] = {}
@@ -52,7 +52,7 @@
         for machine, since in self._returning.items():
             if engine.now - since >= self.shares.settings.give_back_s:
                 for job_id, tasks in self._savers(machine).items():
-                    engine.steps.ask_to_stop(engine.replica.jobs[job_id], machine, tasks)
+                    engine.reconciler.ask_to_stop(engine.replica.jobs[job_id], machine, tasks)
 
     def _savers(self, machine: str) -> dict[str, set[int]]:
         """Job -> its tasks on the machine that save, and that nobody has told to stop."""
@@ -83,7 +83,7 @@
             if (machine := self._kept_for(partition, holders)) is not None
         }
         for machine in set(before.values()) ^ set(self.kept.values()):
-            self.engine.rooms.touch(machine)
+            self.engine.capacity_index.touch(machine)
 
     def _replicas_on(self, machine: str) -> bool:
         replica = self.engine.replica
@@ -110,14 +110,14 @@
     def _may_gain_room(self, machine: str) -> bool:
         """Is anything free on it, or will be when arrays end?"""
         replica = self.engine.replica
-        return machine in self.engine.rooms.open or any(
+        return machine in self.engine.capacity_index.open or any(
             not replica.jobs[job].spec.service for job in replica.by_machine.get(machine, {})
         )
 
     def _move_replicas(self, most: int) -> None:
         """Move replicas off machines that are being handed over, to the holder's other ones."""
         engine = self.engine
-        engine.rooms.refresh()
+        engine.capacity_index.refresh()
         for bucket in engine.replica.capacity.buckets.values():
             for machine, holding in bucket.holdings.items():
                 if not holding.leaving:
@@ -156,11 +156,11 @@
         best = max(
             (
                 room
-                for room in self.engine.rooms.open.values()
+                for room in self.engine.capacity_index.open.values()
                 if room.gate is not None
                 and room.load is not None
                 and room.fits(spec)
-                and self.engine.rooms.may_hold(room, spec)
+                and self.engine.capacity_index.may_hold(room, spec)
             ),
             key=lambda room: (room.cpus, room.machine),
             default=None,
@@ -180,4 +180,4 @@
                     continue
                 for job_id, tasks in self._savers(machine).items():
                     if engine.owns_job(engine.replica.jobs[job_id]):
-                        engine.steps.stop(job_id, machine, tasks)
+                        engine.reconciler.stop(job_id, machine, tasks)
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -14,7 +14,9 @@
 from appledock.capacity.lending import Lenders, lent
 from appledock.capacity.settings import Pool
 from appledock.core.fleet.demand import queued_demand
-from appledock.core.store.calls import (
+from appledock.core.records.capacity import HOLDINGS
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store_calls import (
     Committed,
     Conflict,
     NotExecuted,
@@ -23,13 +25,11 @@
     Transaction,
     UnknownOutcome,
 )
-from appledock.core.store.capacity_records import HOLDINGS
-from appledock.core.store.rate_limiter import Priority
 from appledock.rebalancing.picture import task_share
 
 if TYPE_CHECKING:
     from appledock.core.capacity.partitions import CapacityShares
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -37,7 +37,7 @@
 class Holders:
     """Writes the next holders of machines, as the leader."""
 
-    def __init__(self, engine: Engine, shares: CapacityShares) -> None:
+    def __init__(self, engine: Controller, shares: CapacityShares) -> None:
         self.engine = engine
         self.shares = shares
         self.writing = False
@@ -64,7 +64,7 @@
             sum(bucket.version for bucket in buckets),
             agreed.version if agreed is not None else 0,
             view.version if view is not None else 0,
-            len(engine.types),
+            len(engine.machine_types),
         )
 
     def _any_leaving(self) -> bool:
@@ -112,10 +112,10 @@
         """Machines that each partition could use: those at work, and some for its queue."""
         engine = self.engine
         types = {
-            worker.report.type: engine.types[worker.report.type]
+            worker.report.type: engine.machine_types[worker.report.type]
             for use in uses
             if (worker := engine.workers.table[use.name]).report is not None
-            and worker.report.type in engine.types
+            and worker.report.type in engine.machine_types
         }
         queued: dict[str, float] = {}
         for demand in queued_demand(engine):
@@ -161,7 +161,7 @@
                 if bucket_of(machine) == number:
                     _apply(new, machine, holding)
             record = new.encode()
-            if len(wire.encode(record)) > engine.value_bytes:
+            if len(wire.encode(record)) > engine.client.max_value_bytes:
                 log.warning("the record of who holds which machine is full: %d", number)
                 continue
             key = f"{HOLDINGS}{number}"
@@ -194,7 +194,7 @@
                 case _:
                     pass
 
-        self.engine.store(plan, Priority.STEP, on_outcome, c.STEP_PATIENCE_S)
+        self.engine.client.submit(plan, Priority.STEP, on_outcome, c.STEP_PATIENCE_S)
 
 
 def _fits_on(spec: wire.JobSpec, machine_type: wire.MachineType) -> int:
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -28,13 +28,13 @@
 from appledock.capacity.settings import Capacity, Shares
 from appledock.core.capacity.drains import Drains
 from appledock.core.capacity.ownership import Holders
-from appledock.core.jobs.record import Attempt, Job
-from appledock.core.scheduling.capacity_index import Entry
-from appledock.core.store.capacity_records import HOLDINGS
+from appledock.core.machines.capacity_index import Entry
+from appledock.core.records.capacity import HOLDINGS
+from appledock.core.records.job import Attempt, Job
 from appledock.core.workers import Worker
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -61,7 +61,7 @@
 class CapacityShares:
     """Off without settings: then no machine has a gate, and nothing is written."""
 
-    def __init__(self, engine: Engine, settings: Capacity | None) -> None:
+    def __init__(self, engine: Controller, settings: Capacity | None) -> None:
         self.engine = engine
         self.settings = settings
         self.holders = Holders(engine, self)
@@ -120,7 +120,7 @@
             return {}
         result = {}
         for machine, _, _ in reserved:
-            room = self.engine.rooms.table.get(machine)
+            room = self.engine.capacity_index.table.get(machine)
             if room is not None and room.gate is not None:
                 number = bucket_of(machine)
                 result[f"{HOLDINGS}{number}"] = self.engine.replica.capacity.bucket(number).version
@@ -155,7 +155,7 @@
         Guards against a burst of writes when a controller is back.
         """
         engine = self.engine
-        if engine.now - self.handed < c.PREFERRED_HAND_EVERY_S or engine.steps.pacing.crowded():
+        if engine.now - self.handed < c.PREFERRED_HAND_EVERY_S or engine.pacing.crowded():
             return
         self.handed = engine.now
         for job in engine.replica.jobs.values():
@@ -165,10 +165,10 @@
                 and engine.owns_job(job)
                 and not engine.replica.withdrawn(job.id)
                 and not engine.moves.rests(job.id)
-                and engine.steps.writer.ready(job)
+                and engine.job_writer.ready(job)
             ):
                 assert node is not None
-                engine.steps.hand_over(job, node)
+                engine.reconciler.hand_over(job, node)
                 return
 
     def places_everywhere(self, job: Job) -> bool:
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -1,89 +1,99 @@
-"""The one owner of all state: takes commands in batches, gives effects back."""
+"""The batch loop: commands in, effects out; each command goes to the part that handles it."""
 
 from __future__ import annotations
 
 import logging
-import random
-from collections.abc import Callable
 from typing import Any
 
-import msgspec
-
-from appledock import constants as c
-from appledock import wire
-from appledock.capacity.settings import Capacity
 from appledock.core import events as ev
 from appledock.core import messages
 from appledock.core.api.admin import AdminApi
-from appledock.core.api.user_requests import Requests
+from appledock.core.api.health import HealthCheck
+from appledock.core.api.user_requests import UserRequests
 from appledock.core.capacity.partitions import CapacityShares
 from appledock.core.fleet import Fleet
-from appledock.core.jobs.cancellation import Cancels
-from appledock.core.jobs.record import Job
+from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.jobs.reconcile_queue import ReconcileQueue
+from appledock.core.jobs.settlement import Settlement
+from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
+from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.quota import Quota
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.runtime import Runtime
-from appledock.core.scheduling.capacity_index import Rooms
 from appledock.core.scheduling.moves import Moves
-from appledock.core.scheduling.objectives import Objectives
 from appledock.core.scheduling.queue_order import QueueOrder
-from appledock.core.scheduling.reconciler import Steps
-from appledock.core.store.calls import StoreOutcome, StoreRequest
+from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.client import StoreClient
-from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica, View
-from appledock.core.workers import Worker, Workers
-from appledock.rebalancing.settings import Rebalancing
-from appledock.settings import Settings
-from appledock.settings import Team as TeamLimits
+from appledock.core.workers import Workers
 
 log = logging.getLogger(__name__)
 
 
 class Engine:
-    """Owns replica, membership, workers, steps, fleet and requests."""
+    """Hands each command to its part, then lets follow what the batch has changed."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 -- it dispatches to every part
         self,
-        settings: Settings,
-        incarnation: str,
-        rng: random.Random,
-        rebalancing: Rebalancing | None = None,
-        capacity: Capacity | None = None,
+        *,
+        runtime: Runtime,
+        client: StoreClient,
+        replica: Replica,
+        reader: StateReader,
+        membership: Membership,
+        heartbeats: Heartbeats,
+        workers: Workers,
+        capacity_index: CapacityIndex,
+        rebalancer: Rebalancer,
+        partitions: CapacityShares,
+        moves: Moves,
+        quota: Quota,
+        queue_order: QueueOrder,
+        reconcile_queue: ReconcileQueue,
+        settlement: Settlement,
+        reconciler: Reconciler,
+        cancellation: CancellationEnforcer,
+        fleet: Fleet,
+        health: HealthCheck,
+        user_requests: UserRequests,
+        admin: AdminApi,
+        operator_settings: OperatorSettings,
     ) -> None:
-        self.runtime = Runtime(settings, incarnation, rng)
-        self.client = StoreClient(self.runtime)
-        self.queue_dirty = True
-        self.objectives = Objectives(settings.cluster.objectives)
-        self.types: dict[str, wire.MachineType] = {}
-        self.acted_view: View | None = None
+        self.runtime = runtime
+        self.client = client
+        self.replica = replica
+        self.reader = reader
+        self.membership = membership
+        self.heartbeats = heartbeats
+        self.workers = workers
+        self.capacity_index = capacity_index
+        self.rebalancer = rebalancer
+        self.partitions = partitions
+        self.moves = moves
+        self.quota = quota
+        self.queue_order = queue_order
+        self.reconcile_queue = reconcile_queue
+        self.settlement = settlement
+        self.reconciler = reconciler
+        self.cancellation = cancellation
+        self.fleet = fleet
+        self.health = health
+        self.user_requests = user_requests
+        self.admin = admin
+        self.operator_settings = operator_settings
+        self._applied_view: View | None = None
+        """the view that the other parts have been told of last"""
         self._started = False
-        self.replica = Replica()
-        self.reader = StateReader(self)
-        self.membership = Membership(self)
-        self.heartbeats = Heartbeats(self)
-        self.workers = Workers(self)
-        self.rooms = Rooms(self)
-        self.rebalancer = Rebalancer(self, rebalancing)
-        self.shares = CapacityShares(self, capacity)
-        self.moves = Moves(self)
-        self.quota = Quota(self)
-        self.queue_order = QueueOrder(self)
-        self.steps = Steps(self)
-        self.cancels = Cancels(self)
-        self.fleet = Fleet(self)
-        self.requests = Requests(self)
-        self.admin = AdminApi(self)
 
     # --- commands in, effects out -----------------------------------------
     def handle(self, batch: list[ev.Cmd], now: float, wall: float) -> list[ev.Effect]:
         """Work through a batch; `now` is the steady clock, `wall` the time of day."""
         self.runtime.now, self.runtime.wall = now, wall
         if not self._started:
-            self.workers.start_bound = now + self.grant_s
+            self.workers.start_bound = now + self.runtime.lease_ttl_s
             self._started = True
         for command in batch:
             try:
@@ -94,8 +104,8 @@
                 log.exception("command %s failed", type(command).__name__)
                 request_id = getattr(command, "request_id", None)
                 if request_id is not None:
-                    self.requests.open.pop(request_id, None)
-                    self.emit(ev.Reply(request_id, 500, {"error": "internal error"}))
+                    self.user_requests.open.pop(request_id, None)
+                    self.runtime.emit(ev.Reply(request_id, 500, {"error": "internal error"}))
         for follow in (self._after, self.client.flush):
             # One after the other: whatever fails, leases are renewed and users answered.
             try:
@@ -115,7 +125,7 @@
             case ev.PeerOpened():
                 self.workers.on_peer_connected(cmd.name)
                 self.fleet.on_peer_connected(cmd.name)
-                self.cancels.on_peer_connected(cmd.name)
+                self.cancellation.on_peer_connected(cmd.name)
             case ev.Tick():
                 self._tick()
             case ev.Poll() | ev.Submit() | ev.Cancel() | ev.Health() | ev.Admin():
@@ -124,14 +134,14 @@
     def _request(self, cmd: ev.Poll | ev.Submit | ev.Cancel | ev.Health | ev.Admin) -> None:
         match cmd:
             case ev.Poll():
-                self.requests.poll(cmd)
+                self.user_requests.poll(cmd)
             case ev.Submit():
-                self.requests.submit(cmd)
+                self.user_requests.submit(cmd)
             case ev.Cancel():
-                self.requests.cancel(cmd)
+                self.user_requests.cancel(cmd)
             case ev.Health():
-                good = self.healthy()
-                self.emit(ev.Reply(cmd.request_id, 200 if good else 503, {"healthy": good}))
+                good = self.health.is_healthy()
+                self.runtime.emit(ev.Reply(cmd.request_id, 200 if good else 503, {"healthy": good}))
             case ev.Admin():
                 self.admin.request(cmd)
 
@@ -148,9 +158,9 @@
             case messages.MachinesRented() | messages.MachineCordoned():
                 self.fleet.on_peer(message)
             case messages.StopTasks():
-                self.steps.stop(message.job, message.machine, set(message.tasks))
+                self.reconciler.stop(message.job, message.machine, set(message.tasks))
             case messages.JobCancelled():
-                self.cancels.on_peer(message)
+                self.cancellation.on_peer(message)
             case messages.MoveRequested() | messages.MoveHeld() | messages.MoveEnded():
                 self.moves.on_peer(message)
             case messages.Heartbeat():
@@ -164,12 +174,12 @@
             self.membership.tick,
             self.heartbeats.tick,
             self.workers.tick,
-            self.cancels.tick,
-            self.requests.tick,
+            self.cancellation.tick,
+            self.user_requests.tick,
             self.fleet.tick,
             self.moves.tick,
             self.rebalancer.tick,
-            self.shares.tick,
+            self.partitions.tick,
         ):
             try:
                 tick()
@@ -183,20 +193,21 @@
             replica.view_changed = False
             view = replica.view
             assert view is not None
-            self.workers.on_view(self.acted_view)
+            self.workers.on_view(self._applied_view)
             self.membership.on_view()
             self.quota.on_view()
             self.moves.on_view()
-            self.rooms.touch_all()
-            self.acted_view = view
-            self.queue_dirty = True
+            self.capacity_index.touch_all()
+            self._applied_view = view
+            self.reconcile_queue.placement_due = True
         if replica.capacity.changed:
-            self.rooms.dirty |= replica.capacity.changed
+            self.capacity_index.dirty |= replica.capacity.changed
             replica.capacity.changed.clear()
-            self.queue_dirty = True
+            self.reconcile_queue.placement_due = True
         if replica.settings_changed:
             replica.settings_changed = False
-            self.admin.apply()
+            self.operator_settings.apply(replica.settings[1])
+            self.reconcile_queue.placement_due = True
         if replica.changed_jobs:
             for team in replica.changed_teams:
                 self.quota.forget(team)
@@ -205,170 +216,17 @@
                 if job_id in replica.jobs:
                     self.fleet.note(replica.jobs[job_id])
                     if job_id in replica.needs.needs and job_id not in replica.needs.waiting:
-                        self.queue_order.ready_at.setdefault(job_id, self.wall)
-                self.steps.dirty.add(job_id)
+                        self.queue_order.ready_at.setdefault(job_id, self.runtime.wall)
+                self.reconcile_queue.jobs.add(job_id)
             replica.changed_jobs.clear()
             for machine in replica.changed_machines:
-                self.steps.settlement.machine_changed(machine)
+                self.settlement.machine_changed(machine)
             self.workers.orders_due |= replica.changed_machines
-            self.rooms.dirty |= replica.changed_machines
+            self.capacity_index.dirty |= replica.changed_machines
             replica.changed_machines.clear()
-            self.queue_dirty = True
+            self.reconcile_queue.placement_due = True
         self.fleet.read_catalogue()
         self.quota.allowed_cache.clear()  # depends on time, and on the watch
-        self.rooms.sweep()
-        self.steps.tick()
+        self.capacity_index.sweep()
+        self.reconciler.tick()
         self.workers.flush_orders()
-
-    def healthy(self) -> bool:
-        """Can requests be taken?
-
-        Without the machine types (first start ever) no submission can be decided. Whoever
-        alone is not served by the state service steps aside; in an outage, which all meet,
-        nobody does: being taken back would take longer than the outage.
-        """
-        return (
-            self.reader.loaded
-            and self.membership.joined
-            and bool(self.types)
-            and not self.heartbeats.shut_out()
-        )
-
-    # --- shared by the parts that are still given the engine ---------------
-    @property
-    def settings(self) -> Settings:
-        """The platform's settings."""
-        return self.runtime.settings
-
-    @property
-    def incarnation(self) -> str:
-        """Of this process."""
-        return self.runtime.incarnation
-
-    @property
-    def rng(self) -> random.Random:
-        """The random source."""
-        return self.runtime.rng
-
-    @property
-    def now(self) -> float:
-        """Steady clock, s."""
-        return self.runtime.now
-
-    @now.setter
-    def now(self, now: float) -> None:
-        self.runtime.now = now
-
-    @property
-    def wall(self) -> float:
-        """Time of day, s."""
-        return self.runtime.wall
-
-    @wall.setter
-    def wall(self, wall: float) -> None:
-        self.runtime.wall = wall
-
-    @property
-    def teams(self) -> dict[str, TeamLimits]:
-        """The teams by name."""
-        return self.runtime.teams
-
-    @property
-    def grant_s(self) -> float:
-        """Time to live of a controller's lease."""
-        return self.runtime.lease_ttl_s
-
-    @property
-    def value_bytes(self) -> int:
-        """The largest value that is written."""
-        return self.client.max_value_bytes
-
-    @property
-    def budget(self) -> StoreRateLimiter:
-        """The rate limiter of the client."""
-        return self.client.limiter
-
-    def emit(self, effect: ev.Effect) -> None:
-        """Hand an effect to the adapters, with the others of this batch."""
-        self.runtime.emit(effect)
-
-    def call(self, make: Callable[[int], ev.Effect], done: Callable[[Any], None]) -> None:
-        """Emit a call whose answer goes to `done`."""
-        self.runtime.call(make, done)
-
-    def store(
-        self,
-        request: StoreRequest,
-        priority: Priority,
-        on_outcome: Callable[[StoreOutcome], None],
-        expires_after_s: float = c.PATIENCE_S,
-    ) -> QueuedCall | None:
-        """Queue a call to the key-value store."""
-        return self.client.submit(request, priority, on_outcome, expires_after_s)
-
-    # --- records ----------------------------------------------------------
-    def record(self, job: Job) -> dict[str, Any]:
-        """The job's record, in the format in use."""
-        return job.encode(self.replica.format[1])
-
-    def fits(self, job: Job) -> bool:
-        """Does the record keep to the size that a value may have?"""
-        return len(wire.encode(self.record(job))) <= self.value_bytes
-
-    def slim(self, job: Job) -> Job:
-        """Drop types that decide nothing from a description that is too large.
-
-        Guards against records that were stored under larger limits and could never be written
-        again. Types that the cloud does not offer decide nothing, nor do those of a cancelled
-        job.
-        """
-        types = job.spec.types
-        if types is not None and not self.fits(job):
-            left = [] if job.cancelled else [name for name in types if name in self.types]
-            job.spec = msgspec.structs.replace(job.spec, types=left or types[:1])
-        return job
-
-    # --- shared questions -------------------------------------------------
-    def rank(self, job: Job) -> int:
-        """The job's priority, or a higher one of a job that needs it."""
-        return self.replica.needs.pressing(job)[0]
-
-    def owns_job(self, job: Job) -> bool:
-        """Is the job ours to move on, by the newest view known?"""
-        return self.replica.view is not None and self.replica.job_owner(job) == self.settings.name
-
-    def running(self, job: Job) -> int:
-        """Tasks that reports show as running, for display."""
-        count = 0
-        for attempt in job.attempts:
-            worker = self.workers.table.get(attempt.machine)
-            if worker is not None:
-                for task in attempt.tasks:
-                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.number))
-                    count += entry is not None and entry.state == wire.RUNNING
-        return count
-
-    def note_final(self, job: Job, state: str) -> None:
-        """A job of ours has ended, and that is committed."""
-        log.info("%s is %s", job.id, state)
-
-    def zone_of(self, machine: str) -> str | None:
-        """The machine's zone; None if nobody has told it yet."""
-        worker = self.workers.table.get(machine)
-        if worker is not None and worker.report is not None:
-            return worker.report.zone
-        return self.fleet.zone_of(machine)
-
-    def placeable(self, worker: Worker) -> bool:
-        """May steps be placed on the worker's machine?"""
-        report = worker.report
-        return (
-            report is not None
-            and report.type in self.types
-            and not worker.cordoned
-            and worker.id not in self.workers.gone
-            and report.session > worker.lapsed
-            and report.notice_s is None
-            and worker.proven
-            and self.now - worker.well_at <= 2.5 * self.settings.cluster.workers.report_s
-        )
--- a/appledock/core/events.py
+++ b/appledock/core/events.py
@@ -8,7 +8,7 @@
 
 from appledock import wire
 from appledock.core.messages import Message
-from appledock.core.store.calls import StoreOutcome, StoreRequest
+from appledock.core.store_calls import StoreOutcome, StoreRequest
 
 
 class CloudOutcome(enum.StrEnum):
--- a/appledock/core/fleet/catalogue.py
+++ b/appledock/core/fleet/catalogue.py
@@ -12,20 +12,20 @@
 from appledock import wire
 from appledock.core.events import CloudOutcome, CloudReply
 from appledock.core.fleet.cloud import CloudCalls
-from appledock.core.store.calls import Committed, Put, StoreOutcome, Transaction
 from appledock.core.store.keys import CATALOGUE
 from appledock.core.store.rate_limiter import Priority
+from appledock.core.store_calls import Committed, Put, StoreOutcome, Transaction
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
 
 class Catalogue:
-    """Keeps `engine.types` up to date."""
+    """Keeps `engine.machine_types` up to date."""
 
-    def __init__(self, engine: Engine, cloud: CloudCalls) -> None:
+    def __init__(self, engine: Controller, cloud: CloudCalls) -> None:
         self.engine = engine
         self.cloud = cloud
         self.next_read = 0.0
@@ -47,8 +47,8 @@
             log.error("malformed catalogue: %s", error)
             return
         for machine_type in types:
-            self.engine.types.setdefault(machine_type.name, machine_type)
-        self.engine.rooms.touch_all()
+            self.engine.machine_types.setdefault(machine_type.name, machine_type)
+        self.engine.capacity_index.touch_all()
 
     def refresh(self) -> None:
         """Read the types from the cloud if it is time to."""
@@ -64,9 +64,10 @@
             self.next_read = engine.now + c.TYPES_RETRY_S + engine.rng.random()
             self.cloud.back_off()
             return
-        engine.types = {machine_type.name: machine_type for machine_type in reply.data.types}
-        engine.rooms.touch_all()
-        engine.queue_dirty = True
+        engine.machine_types.clear()
+        engine.machine_types.update((offered.name, offered) for offered in reply.data.types)
+        engine.capacity_index.touch_all()
+        engine.reconcile_queue.placement_due = True
         if engine.membership.leader() and self._differs_from_stored():
             self._store()
 
@@ -76,13 +77,13 @@
             stored = _stored_types(self.engine.replica.catalogue[1])
         except msgspec.ValidationError:
             return True
-        return _without_prices(stored) != _without_prices(self.engine.types.values())
+        return _without_prices(stored) != _without_prices(self.engine.machine_types.values())
 
     def _store(self) -> None:
         engine = self.engine
         version = engine.replica.catalogue[0]
-        value = {"types": [msgspec.to_builtins(kind) for kind in engine.types.values()]}
-        if len(wire.encode(value)) > engine.value_bytes:
+        value = {"types": [msgspec.to_builtins(kind) for kind in engine.machine_types.values()]}
+        if len(wire.encode(value)) > engine.client.max_value_bytes:
             return
 
         def on_outcome(outcome: StoreOutcome) -> None:
@@ -91,7 +92,7 @@
             else:
                 self.next_read = min(self.next_read, engine.now + c.CATALOGUE_RETRY_S)
 
-        engine.store(
+        engine.client.submit(
             Transaction({CATALOGUE: version}, [Put(CATALOGUE, value)]),
             Priority.PROGRESS,
             on_outcome,
--- a/appledock/core/fleet/cloud.py
+++ b/appledock/core/fleet/cloud.py
@@ -9,13 +9,13 @@
 from appledock.core.events import CloudCall, CloudReply
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class CloudCalls:
     """Sends calls to the cloud and keeps the pause after trouble."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.paused_until = 0.0
 
--- a/appledock/core/fleet/cordons.py
+++ b/appledock/core/fleet/cordons.py
@@ -9,12 +9,12 @@
 from appledock import constants as c
 from appledock.core.events import PeerSend
 from appledock.core.fleet.model import DRAIN, FAULTY, IDLE, OPERATOR
-from appledock.core.jobs.record import Attempt
 from appledock.core.messages import MachineCordoned
+from appledock.core.records.job import Attempt
 from appledock.core.workers import Worker
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +25,7 @@
 class Cordons:
     """Sets, tells and ends cordons, and empties machines."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
 
     def set(self, name: str, why: str) -> None:
@@ -33,8 +33,8 @@
         worker = self.engine.workers.table.get(name)
         if worker is not None:
             worker.cordoned, worker.cordoned_at = why, self.engine.now
-            self.engine.rooms.touch(name)
-            self.engine.queue_dirty = True
+            self.engine.capacity_index.touch(name)
+            self.engine.reconcile_queue.placement_due = True
 
     def announce(self, name: str, why: str, to: str | None = None) -> None:
         """Tell one peer, or all."""
@@ -98,7 +98,7 @@
                 continue
             tasks = _running_tasks(attempts)
             if tasks and engine.owns_job(job):
-                engine.steps.stop(job_id, name, tasks)
+                engine.reconciler.stop(job_id, name, tasks)
 
 
 def _running_tasks(attempts: list[Attempt]) -> set[int]:
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -9,17 +9,16 @@
 from appledock import wire
 from appledock.core.fleet.forecast import Forecast, left_by_estimate_s
 from appledock.core.fleet.model import Demand
-from appledock.core.jobs.record import Job
+from appledock.core.machines.machine_capacity import MachineCapacity, type_fits
 from appledock.core.quota import quota
-from appledock.core.scheduling import placement
-from appledock.core.scheduling.placement import Room
+from appledock.core.records.job import Job
 from appledock.core.workers import Worker
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
-def queued_demand(engine: Engine) -> list[Demand]:
+def queued_demand(engine: Controller) -> list[Demand]:
     """Tasks that their teams' limits admit, the most urgent first.
 
     Those of jobs that will be ready soon come after all that is queued.
@@ -30,7 +29,7 @@
     for job in queued + Forecast(engine).upcoming():
         limits = engine.teams.get(job.spec.team)
         if limits is None or not any(
-            placement.type_fits(job.spec, machine_type) for machine_type in engine.types.values()
+            type_fits(job.spec, machine_type) for machine_type in engine.machine_types.values()
         ):
             continue
         if job.failures >= c.RENT_FAILURES:
@@ -48,18 +47,18 @@
     return result
 
 
-def _most_urgent_first(engine: Engine) -> list[Job]:
+def _most_urgent_first(engine: Controller) -> list[Job]:
     return sorted(
         (engine.replica.jobs[job_id] for job_id in engine.replica.queued),
         key=lambda job: (engine.queue_order.urgency(job), job.id),
     )
 
 
-def soon_free(engine: Engine) -> Iterator[Room]:
+def soon_free(engine: Controller) -> Iterator[MachineCapacity]:
     """What arrays at work give back while a machine would boot and fetch."""
-    for name, room in engine.rooms.table.items():
+    for name, room in engine.capacity_index.table.items():
         worker = engine.workers.table[name]
-        freed = Room("", room.type, room.zone, room.spot, 0, 0.0, 0.0, 0.0)
+        freed = MachineCapacity("", room.type, room.zone, room.spot, 0, 0.0, 0.0, 0.0)
         for job_id, attempts in engine.replica.by_machine.get(name, {}).items():
             spec = engine.replica.jobs[job_id].spec
             if spec.service or spec.estimate_s <= 0:
@@ -71,7 +70,7 @@
                         engine.now, spec, worker, (f"{job_id}/{task}", attempt.number)
                     )
                     if left_s is not None and left_s < horizon_s:
-                        freed.take(spec, -1)
+                        freed.reserve(spec, -1)
         if freed.cpus > 0 or freed.gpus > 0:
             yield freed
 
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -12,17 +12,17 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs.record import Attempt, Job
-from appledock.core.scheduling import placement
+from appledock.core.machines.machine_capacity import type_fits
+from appledock.core.records.job import Attempt, Job
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class Forecast:
     """Estimates when waiting jobs become ready."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
 
     def upcoming(self) -> list[Job]:
@@ -49,9 +49,7 @@
 
     def _due(self, job: Job) -> bool:
         boots = [
-            kind.boot_s
-            for kind in self.engine.types.values()
-            if placement.type_fits(job.spec, kind)
+            kind.boot_s for kind in self.engine.machine_types.values() if type_fits(job.spec, kind)
         ]
         return bool(boots) and self.ready_in(job) <= min(boots) * c.AHEAD_SHARE
 
--- a/appledock/core/fleet/headroom.py
+++ b/appledock/core/fleet/headroom.py
@@ -8,11 +8,11 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.fleet.demand import boot_and_fetch_s
-from appledock.core.jobs.record import Job
-from appledock.core.scheduling import placement
+from appledock.core.machines.machine_capacity import type_fits
+from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class Arrival(NamedTuple):
@@ -77,7 +77,7 @@
 class Headroom:
     """Learns from arrivals of services what headroom they need."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.arrivals: dict[str, Arrival] = {}
 
@@ -101,7 +101,7 @@
         images: dict[str, float] = {}
         cpus = 0.0
         for _, spec in self.arrivals.values():
-            types = [t for t in self.engine.types.values() if placement.type_fits(spec, t)]
+            types = [t for t in self.engine.machine_types.values() if type_fits(spec, t)]
             if not types:
                 continue
             wait_s = min(boot_and_fetch_s(spec, machine_type) for machine_type in types)
@@ -117,7 +117,7 @@
         """
         machines = {}
         jobs, by_machine = self.engine.replica.jobs, self.engine.replica.by_machine
-        for room in self.engine.rooms.table.values():
+        for room in self.engine.capacity_index.table.values():
             if room.spot or not room.images & images.keys():
                 continue
             cpus = max(0.0, room.cpus)
--- a/appledock/core/fleet/machines.py
+++ b/appledock/core/fleet/machines.py
@@ -14,7 +14,7 @@
 from appledock.core.messages import MachinesGone
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     """Reads the machine list and remembers what was rented."""
 
     def __init__(
-        self, engine: Engine, cloud: CloudCalls, on_failed: Callable[[list[str]], None]
+        self, engine: Controller, cloud: CloudCalls, on_failed: Callable[[list[str]], None]
     ) -> None:
         self.engine = engine
         self.cloud = cloud
@@ -152,7 +152,7 @@
         for name in names:
             self.rented_at.pop(name, None)
         self.engine.emit(PeerSend(MachinesGone(names)))
-        self.engine.queue_dirty = True
+        self.engine.reconcile_queue.placement_due = True
 
     # --- questions --------------------------------------------------------
     def booting(self) -> dict[str, BootingMachine]:
@@ -181,7 +181,7 @@
         worker = self.engine.workers.table.get(name)
         if worker is None or worker.report is None:
             return True
-        return name not in self.engine.rooms.reserved_on and all(
+        return name not in self.engine.capacity_index.reserved_on and all(
             task.state == wire.EXITED for task in worker.report.tasks
         )
 
@@ -191,7 +191,7 @@
         One listed as running may only be unknown to this controller, which perhaps leads since
         a moment ago.
         """
-        machine_type = self.engine.types.get(machine.kind.type)
+        machine_type = self.engine.machine_types.get(machine.kind.type)
         if machine.age_s <= late_after_s(machine_type) or led_since is None:
             return False
         if name in self.engine.replica.by_machine:
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -17,17 +17,17 @@
 from appledock.core.fleet.planning import Planner
 from appledock.core.fleet.rental import Rental
 from appledock.core.fleet.returns import Returns
-from appledock.core.jobs.record import Job
 from appledock.core.messages import FleetMessage, MachineCordoned, MachinesRented
+from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class Fleet:
     """Rents, watches and returns machines."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.cloud = CloudCalls(engine)
         self.catalogue = Catalogue(engine, self.cloud)
@@ -55,15 +55,15 @@
         leader = self._follow_leadership()
         if now < self.cloud.paused_until:
             return
-        if leader or not self.engine.types:
+        if leader or not self.engine.machine_types:
             self.catalogue.refresh()
         if not leader:
             return
         self.machines.refresh()
         self.rental.retry()
-        if now >= self.next_plan and self.engine.types:
+        if now >= self.next_plan and self.engine.machine_types:
             self.next_plan = now + c.FLEET_EVERY_S
-            self.engine.rooms.refresh()
+            self.engine.capacity_index.refresh()
             demand = self._demand()
             self._plan(demand)
             self._return(demand)
--- a/appledock/core/fleet/model.py
+++ b/appledock/core/fleet/model.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from appledock import wire
-from appledock.core.jobs.record import Job
-from appledock.core.scheduling.placement import Room
+from appledock.core.machines.machine_capacity import MachineCapacity
+from appledock.core.records.job import Job
 
 NEVER_CAME_UP = "never came up"
 SILENT = "silent"
@@ -30,9 +30,9 @@
     zone: str
     spot: bool
 
-    def empty_room(self, machine_type: wire.MachineType) -> Room:
+    def empty_room(self, machine_type: wire.MachineType) -> MachineCapacity:
         """The room of a machine of this kind on which nothing runs."""
-        return Room(
+        return MachineCapacity(
             "",
             machine_type,
             self.zone,
--- a/appledock/core/fleet/offers.py
+++ b/appledock/core/fleet/offers.py
@@ -8,16 +8,16 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.fleet.model import MachineKind
-from appledock.core.scheduling import placement
+from appledock.core.machines.machine_capacity import type_fits
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class Offers:
     """Prices and capacity of the kinds that may be rented."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.refused: dict[MachineKind, float] = {}
         """kinds without capacity -> when to ask again"""
@@ -47,8 +47,8 @@
         self, spec: wire.JobSpec, only: str | None
     ) -> Iterator[tuple[wire.MachineType, MachineKind]]:
         """All kinds on which a task of the job may and can run."""
-        for machine_type in self.engine.types.values():
-            if not placement.type_fits(spec, machine_type):
+        for machine_type in self.engine.machine_types.values():
+            if not type_fits(spec, machine_type):
                 continue
             for zone in machine_type.zones:
                 if spec.zone not in (None, zone) or only not in (None, zone):
--- a/appledock/core/fleet/planning.py
+++ b/appledock/core/fleet/planning.py
@@ -14,11 +14,11 @@
 from appledock.core.fleet.offers import Offers
 from appledock.core.fleet.rental import Rental
 from appledock.core.fleet.supply import Supply
-from appledock.core.jobs.record import Job
-from appledock.core.scheduling import placement
+from appledock.core.machines.machine_capacity import type_fits, zone_cap
+from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class Planner:
@@ -28,7 +28,9 @@
     takes of a row as many as it needs at once.
     """
 
-    def __init__(self, engine: Engine, machines: Machines, offers: Offers, rental: Rental) -> None:
+    def __init__(
+        self, engine: Controller, machines: Machines, offers: Offers, rental: Rental
+    ) -> None:
         self.engine = engine
         self.machines = machines
         self.offers = offers
@@ -59,9 +61,9 @@
 
     def _supply(self, booting: dict[str, BootingMachine], returning: Container[str]) -> Supply:
         """What is free on machines that are up, booting or being rented."""
-        types = self.engine.types
+        types = self.engine.machine_types
         supply = Supply()
-        for room in self.engine.rooms.open.values():
+        for room in self.engine.capacity_index.open.values():
             supply.add(room, 1)
         for name, machine in booting.items():
             machine_type = types.get(machine.kind.type)
@@ -90,7 +92,7 @@
             kind = self.offers.cheapest(spec, tasks, zone)
             if kind is None:
                 break
-            room = kind.empty_room(self.engine.types[kind.type])
+            room = kind.empty_room(self.engine.machine_types[kind.type])
             number = math.ceil(tasks / max(1, room.count(spec)))
             supply.add(room, number)
             left = supply.take(spec, tasks, zone)
@@ -103,7 +105,7 @@
         """Rent, as far as operators allow."""
         workers = self.engine.workers.table.values()
         up = sum(worker.report is not None for worker in workers)
-        allowed = int(self.engine.admin["machines_max"]) - up - booting
+        allowed = int(self.engine.operator_settings["machines_max"]) - up - booting
         for kind, count in missing.items():
             number = min(count, c.RENT_MAX, allowed)
             if number > 0:
@@ -121,11 +123,11 @@
         spec = job.spec
         if not (spec.one_zone or spec.spread):
             return [(None, tasks)]
-        held = self.engine.steps.zones(job) or {}
+        held = self.engine.reconciler.zones(job) or {}
         free = self._free_by_zone(spec, supply)
         zones = self._preferred_zones(spec, tasks, held, free)
         rented = sorted(zones, key=lambda zone: self.offers.cheapest(spec, tasks, zone) is None)
-        cap = placement.zone_cap(spec)
+        cap = zone_cap(spec)
         parts = dict.fromkeys(zones, 0)
         for order, most in ((zones, free), (rented, None)):
             for zone in order:
@@ -140,8 +142,8 @@
         """Zones where the job may run -> how many of its tasks fit there now."""
         return {
             zone: supply.count(spec, zone)
-            for machine_type in self.engine.types.values()
-            if placement.type_fits(spec, machine_type)
+            for machine_type in self.engine.machine_types.values()
+            if type_fits(spec, machine_type)
             for zone in machine_type.zones
             if spec.zone in (None, zone)
         }
--- a/appledock/core/fleet/rental.py
+++ b/appledock/core/fleet/rental.py
@@ -17,7 +17,7 @@
 from appledock.core.messages import MachinesRented
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        engine: Engine,
+        engine: Controller,
         cloud: CloudCalls,
         machines: Machines,
         offers: Offers,
--- a/appledock/core/fleet/returns.py
+++ b/appledock/core/fleet/returns.py
@@ -28,11 +28,11 @@
 )
 from appledock.core.fleet.silence import SilenceDetector
 from appledock.core.fleet.summary import Summary
-from appledock.core.scheduling import placement
+from appledock.core.machines.machine_capacity import allowed_on
 from appledock.core.workers import Worker
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        engine: Engine,
+        engine: Controller,
         cloud: CloudCalls,
         machines: Machines,
         cordons: Cordons,
@@ -108,7 +108,7 @@
         now, name = self.engine.now, worker.id
         return (
             bool(worker.idle_since)
-            and now - worker.idle_since > self.engine.admin["idle_return_s"]
+            and now - worker.idle_since > self.engine.operator_settings["idle_return_s"]
             and self.machines.past_minimum_charge(name)
             and worker.cordoned != OPERATOR
             and now - worker.heard_at < c.IDLE_HEARD_S
@@ -132,21 +132,21 @@
 
     def _reserve(self, name: str) -> bool:
         """Is the idle machine needed for a job that will be ready soon?"""
-        room = self.engine.rooms.table.get(name)
+        room = self.engine.capacity_index.table.get(name)
         if room is None:
             return False
         for item in self.upcoming:
             spec = item.spec
-            if item.tasks > 0 and placement.allowed_on(spec, room) and room.fits(spec):
+            if item.tasks > 0 and allowed_on(spec, room) and room.fits(spec):
                 item.tasks -= room.count(spec)
                 return True
         return False
 
     def _asked_for(self, name: str, queue: list[wire.JobSpec]) -> bool:
         """Could a queued task run there? Steps may only be waiting for their write."""
-        room = self.engine.rooms.table.get(name)
+        room = self.engine.capacity_index.table.get(name)
         return room is not None and any(
-            placement.allowed_on(spec, room) and room.fits(spec) for spec in queue
+            allowed_on(spec, room) and room.fits(spec) for spec in queue
         )
 
     def _dead(self, worker: Worker) -> bool:
--- a/appledock/core/fleet/silence.py
+++ b/appledock/core/fleet/silence.py
@@ -10,7 +10,7 @@
 from appledock.core.workers import Worker
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -18,7 +18,7 @@
 class SilenceDetector:
     """Tells machines that have failed from a network that has."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
 
     def calm(self) -> bool:
--- a/appledock/core/fleet/summary.py
+++ b/appledock/core/fleet/summary.py
@@ -10,7 +10,7 @@
 from appledock.core.fleet.machines import Machines
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -18,7 +18,7 @@
 class Summary:
     """Logs one line about the fleet now and then."""
 
-    def __init__(self, engine: Engine, machines: Machines) -> None:
+    def __init__(self, engine: Controller, machines: Machines) -> None:
         self.engine = engine
         self.machines = machines
         self.next_tell = 0.0
@@ -31,7 +31,7 @@
         self.next_tell = now + c.TELL_EVERY_S
         up = [worker for worker in engine.workers.table.values() if worker.report is not None]
         idle = [worker for worker in up if worker.idle_since]
-        rooms = engine.rooms.table.values()
+        rooms = engine.capacity_index.table.values()
         log.info(
             "fleet: %d up, %d booting, %d returning; %d idle: %d just so, %d not paid for, "
             "%d not settled, %d kept warm; cores %.0f, free %.0f; warm %.0f of %.0f wanted",
@@ -39,7 +39,10 @@
             len(self.machines.booting()),
             returning,
             len(idle),
-            sum(now - worker.idle_since <= engine.admin["idle_return_s"] for worker in idle),
+            sum(
+                now - worker.idle_since <= engine.operator_settings["idle_return_s"]
+                for worker in idle
+            ),
             sum(not self.machines.past_minimum_charge(worker.id) for worker in idle),
             sum(not self.machines.empty(worker.id) for worker in idle),
             sum(not warm.spare(worker.id, headroom_cpus) for worker in idle),
--- a/appledock/core/fleet/supply.py
+++ b/appledock/core/fleet/supply.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 from appledock import wire
-from appledock.core.scheduling import placement
-from appledock.core.scheduling.placement import Room
+from appledock.core.machines.machine_capacity import MachineCapacity, allowed_on
 
 RoomClass = tuple[str, str, bool, float, float, float]
 """machine type, zone, spot, and the cores, cards and memory that are free"""
@@ -14,9 +13,9 @@
     """How many machines have the same kind and the same left."""
 
     def __init__(self) -> None:
-        self.rows: dict[RoomClass, tuple[Room, int]] = {}
+        self.rows: dict[RoomClass, tuple[MachineCapacity, int]] = {}
 
-    def add(self, room: Room, number: int) -> None:
+    def add(self, room: MachineCapacity, number: int) -> None:
         """Count `number` more machines with such room."""
         key = (
             room.type.name,
@@ -34,7 +33,7 @@
         return sum(
             room.count(spec) * number
             for room, number in self.rows.values()
-            if room.zone == zone and placement.allowed_on(spec, room)
+            if room.zone == zone and allowed_on(spec, room)
         )
 
     def take(self, spec: wire.JobSpec, tasks: int, zone: str | None = None) -> int:
@@ -59,19 +58,19 @@
             (
                 (room.cpus, key)
                 for key, (room, _) in self.rows.items()
-                if placement.allowed_on(spec, room)
-                and room.fits(spec)
-                and zone in (None, room.zone)
+                if allowed_on(spec, room) and room.fits(spec) and zone in (None, room.zone)
             ),
             key=lambda row: (row[0], row[1]),
         )
         return [key for _, key in rows]
 
-    def _add_remainder(self, room: Room, spec: wire.JobSpec, tasks: int, number: int) -> None:
+    def _add_remainder(
+        self, room: MachineCapacity, spec: wire.JobSpec, tasks: int, number: int
+    ) -> None:
         """What `number` such machines have left with `tasks` tasks on each."""
         if number > 0:
-            left = Room(
+            left = MachineCapacity(
                 "", room.type, room.zone, room.spot, 0, room.cpus, room.gpus, room.memory_gb
             )
-            left.take(spec, tasks)
+            left.reserve(spec, tasks)
             self.add(left, number)
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -29,12 +29,12 @@
     WorkerCall,
     WorkerReply,
 )
-from appledock.core.jobs.record import Attempt, Job, split_task
 from appledock.core.messages import JobCancelled
+from appledock.core.records.job import Attempt, Job, split_task
 from appledock.core.store.keys import FINAL, JOBS
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
     from appledock.core.workers import Worker
 
 log = logging.getLogger(__name__)
@@ -53,10 +53,10 @@
     """when it was committed, on our steady clock: the user was told no earlier"""
 
 
-class Cancels:
+class CancellationEnforcer:
     """Gossip, halts without authority, deletion as the last resort."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.known: dict[str, KnownCancellation] = {}
         self.halted: dict[Key, float] = {}
@@ -72,7 +72,9 @@
         self.engine.emit(PeerSend(self._message(job_id, job, revision)))
 
     def _message(self, job_id: str, job: Job | None, revision: int) -> JobCancelled:
-        return JobCancelled(job_id, revision, self.engine.record(job) if job is not None else None)
+        return JobCancelled(
+            job_id, revision, self.engine.codec.encode(job) if job is not None else None
+        )
 
     def on_peer_connected(self, name: str) -> None:
         """A link opened: the peer may have missed what was said."""
--- /dev/null
+++ b/appledock/core/jobs/codec.py
@@ -0,0 +1,46 @@
+"""Encodes job records in the format in use and keeps them to the largest value allowed."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from appledock import wire
+from appledock.core.records.job import Job
+from appledock.core.store.client import StoreClient
+from appledock.core.store.replica import Replica
+
+
+class JobRecordCodec:
+    """Encodes records of open jobs."""
+
+    def __init__(
+        self, replica: Replica, client: StoreClient, machine_types: dict[str, wire.MachineType]
+    ) -> None:
+        self._replica = replica
+        self._client = client
+        self._machine_types = machine_types
+
+    def encode(self, job: Job) -> dict[str, Any]:
+        """The job's record, in the format in use."""
+        return job.encode(self._replica.format[1])
+
+    def fits(self, job: Job) -> bool:
+        """Does the record keep to the size that a value may have?"""
+        return len(wire.encode(self.encode(job))) <= self._client.max_value_bytes
+
+    def drop_needless_types(self, job: Job) -> Job:
+        """Drop machine types that decide nothing from a description that is too large.
+
+        Guards against records that were stored under larger limits and could never be written
+        again. Types that the cloud does not offer decide nothing, nor do those of a cancelled
+        job.
+        """
+        types = job.spec.types
+        if types is not None and not self.fits(job):
+            offered = (
+                [] if job.cancelled else [name for name in types if name in self._machine_types]
+            )
+            job.spec = msgspec.structs.replace(job.spec, types=offered or types[:1])
+        return job
--- /dev/null
+++ b/appledock/core/jobs/reconcile_queue.py
@@ -0,0 +1,47 @@
+"""What waits to be reconciled or placed, filled by whatever notices a change."""
+
+from __future__ import annotations
+
+import enum
+from dataclasses import dataclass, field
+
+
+class PendingReason(enum.StrEnum):
+    """Why a job's queued tasks wait; the values are part of the administration API."""
+
+    UNKNOWN_TEAM = "unknown team"
+    TEAM_LIMIT = "team limit"
+    TEAM_RECORD_UNDER_WAY = "team record under way"
+    GANG_UNSETTLED = "rest of the gang is not settled"
+    ZONES_UNKNOWN = "machines of its running tasks unknown"
+    PREEMPTING = "room is being made"
+    BATCHING = "gathering room"
+    NO_CAPACITY = "no room"
+    RECORD_FULL = "record full"
+    RECORD_REJECTED = "record refused by the state service"
+
+
+@dataclass(slots=True)
+class ReconcileQueue:
+    """Jobs to reconcile, workers that changed, and whether a placement pass is due.
+
+    The parts that notice a change write here; the reconciler alone takes out.
+    """
+
+    jobs: set[str] = field(default_factory=set)
+    """jobs to reconcile with the next batch"""
+    deferred_jobs: set[str] = field(default_factory=set)
+    """jobs to reconcile again soon"""
+    changed_workers: set[str] = field(default_factory=set)
+    """workers whose heartbeat, agent epoch or existence has changed"""
+    placement_due: bool = True
+    """something has changed that may let a queued job start"""
+    pending_reasons: dict[str, PendingReason] = field(default_factory=dict)
+    """job -> why its queued tasks wait, for the administration API"""
+    capacity_freed_at: dict[str, float] = field(default_factory=dict)
+    """job -> since when it has lost tasks that are not recorded as lost yet"""
+
+    def forget(self, job_id: str) -> None:
+        """The job is over."""
+        self.pending_reasons.pop(job_id, None)
+        self.capacity_freed_at.pop(job_id, None)
--- a/appledock/core/jobs/settlement.py
+++ b/appledock/core/jobs/settlement.py
@@ -9,10 +9,10 @@
 
 from typing import TYPE_CHECKING
 
-from appledock.core.jobs.record import Job
+from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 AttemptTask = tuple[int, int]
 """attempt number and task: unique within a job"""
@@ -21,7 +21,7 @@
 class Settlement:
     """Proofs that attempts are over, by job, until they are recorded."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self._verdicts: dict[str, dict[AttemptTask, str]] = {}
         self._stale: dict[str, set[str]] = {}
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -9,10 +9,14 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs.record import Job
-from appledock.core.scheduling import placement
-from appledock.core.scheduling.capacity_index import Entry
-from appledock.core.store.calls import (
+from appledock.core.jobs.reconcile_queue import PendingReason
+from appledock.core.machines.capacity_index import Entry
+from appledock.core.machines.machine_capacity import allowed_on
+from appledock.core.records.job import Job
+from appledock.core.store.keys import FINAL, JOBS, TEAMS
+from appledock.core.store.rate_limiter import Priority, QueuedCall
+from appledock.core.store.replica import Team
+from appledock.core.store_calls import (
     Committed,
     Conflict,
     Delete,
@@ -22,18 +26,12 @@
     Transaction,
     UnknownOutcome,
 )
-from appledock.core.store.keys import FINAL, JOBS, TEAMS
-from appledock.core.store.rate_limiter import Priority, QueuedCall
-from appledock.core.store.replica import Team
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
-TEAM_RECORD_UNDER_WAY = "team record under way"
-"""why a job waits, for the administration API"""
-
 
 @dataclass(frozen=True, slots=True)
 class JobWrite:
@@ -51,7 +49,7 @@
 class JobWriter:
     """Writes completions, steps and charges, and hears how that went."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.busy: set[str] = set()
         """jobs with a write under way"""
@@ -93,26 +91,26 @@
         heir = engine.replica.job_owner(new)
         possible, record = engine.quota.plan(job, new, heir)
         if not possible:
-            engine.steps.later.add(job.id)
-            engine.steps.blocked[job.id] = TEAM_RECORD_UNDER_WAY
+            engine.reconcile_queue.deferred_jobs.add(job.id)
+            engine.reconcile_queue.pending_reasons[job.id] = PendingReason.TEAM_RECORD_UNDER_WAY
             return False
-        if record is not None and heir == engine.settings.name and engine.steps.pacing.crowded():
+        if record is not None and heir == engine.settings.name and engine.pacing.crowded():
             # A step that waits for its write meets the others' changes of the record, and
             # is then placed anew: the share is raised first, by itself. Never where the job
             # is handed on: its charge goes along with it, or the heir's share would hold
             # what still runs here.
             self._write_team(team, record, Priority.URGENT)
-            engine.steps.blocked[job.id] = TEAM_RECORD_UNDER_WAY
+            engine.reconcile_queue.pending_reasons[job.id] = PendingReason.TEAM_RECORD_UNDER_WAY
             return False
         plan = self._plan(job, new, over, record)
-        plan.conditions.update(engine.shares.conditions(reserved or []))
+        plan.conditions.update(engine.partitions.conditions(reserved or []))
         self.busy.add(job.id)
         if reserved:
-            engine.rooms.reserve(job.id, reserved)
+            engine.capacity_index.reserve(job.id, reserved)
         ended = engine.quota.begin(job, new, team, record)
         write = JobWrite(job, new, over, record, reserved or [], ended)
         patience = c.STEP_PATIENCE_S if over or priority >= Priority.STEP else c.PATIENCE_S
-        call = engine.store(
+        call = engine.client.submit(
             plan, priority, lambda outcome: self._on_outcome(write, outcome), patience
         )
         if call is not None:
@@ -126,7 +124,12 @@
         if over:
             plan.writes += [Delete(JOBS + job.id), Put(FINAL + job.id, {"state": over})]
         else:
-            plan.writes.append(Put(JOBS + job.id, self.engine.record(self.engine.slim(new))))
+            plan.writes.append(
+                Put(
+                    JOBS + job.id,
+                    self.engine.codec.encode(self.engine.codec.drop_needless_types(new)),
+                )
+            )
         if record is not None:
             plan.conditions[TEAMS + job.spec.team] = record.version
             plan.writes.append(Put(TEAMS + job.spec.team, record.encode()))
@@ -136,10 +139,10 @@
         engine, job_id = self.engine, write.job.id
         self.busy.discard(job_id)
         self.calls.pop(job_id, None)
-        engine.rooms.release(job_id)
+        engine.capacity_index.release(job_id)
         write.ended(outcome)
-        engine.queue_dirty = True
-        engine.steps.dirty.add(job_id)
+        engine.reconcile_queue.placement_due = True
+        engine.reconcile_queue.jobs.add(job_id)
         if isinstance(outcome, Committed):
             self._on_written(write, outcome.revision)
         else:
@@ -149,14 +152,14 @@
         engine, job, new = self.engine, write.job, write.new
         self.written_at[job.id] = engine.now
         self.invalid.pop(job.id, None)
-        engine.steps.preemption.placed(job.id, write.reserved)
+        engine.preemption.placed(job.id, write.reserved)
         engine.moves.placed(job.id, write.reserved)
         if write.reserved:
             _log_step(write)
         if write.over:
             engine.replica.put(FINAL + job.id, {"state": write.over}, revision)
             engine.replica.drop(JOBS + job.id, revision)
-            engine.note_final(job, write.over)
+            log.info("%s is %s", job.id, write.over)
         else:
             new.version = revision
             engine.replica.set_job(new)
@@ -180,7 +183,7 @@
                 # Too large, most likely: it may fit now that the bound is lower. If not,
                 # seldom, since each try costs the others their turn.
                 tries = self.invalid[job.id] = self.invalid.get(job.id, 0) + 1
-                engine.steps.blocked[job.id] = "record refused by the state service"
+                engine.reconcile_queue.pending_reasons[job.id] = PendingReason.RECORD_REJECTED
                 return float(
                     min(c.ERROR_BACKOFF_MAX_S, c.ERROR_BACKOFF_S * 2 ** min(10, tries - 1))
                 )
@@ -206,14 +209,15 @@
     def take_back(self, job: Job) -> bool:
         """Steps of lower rank that are not written yet make way for a service."""
         taken = False
-        for other_id, entries in list(self.engine.rooms.reserved.items()):
+        for other_id, entries in list(self.engine.capacity_index.reserved.items()):
             other = self.engine.replica.jobs.get(other_id)
             if (
                 other is not None
-                and self.engine.rank(other) < self.engine.rank(job)
+                and self.engine.replica.needs.inherited_rank(other)
+                < self.engine.replica.needs.inherited_rank(job)
                 and any(
-                    (room := self.engine.rooms.table.get(machine)) is not None
-                    and placement.allowed_on(job.spec, room)
+                    (room := self.engine.capacity_index.table.get(machine)) is not None
+                    and allowed_on(job.spec, room)
                     for machine, _, _ in entries
                 )
             ):
@@ -244,7 +248,7 @@
 
         def on_outcome(outcome: StoreOutcome) -> None:
             ended(outcome)
-            self.engine.queue_dirty = True
+            self.engine.reconcile_queue.placement_due = True
             match outcome:
                 case Committed():
                     self._team_written(team, record, outcome.revision)
@@ -253,7 +257,7 @@
                 case _:
                     pass
 
-        self.engine.store(plan, priority, on_outcome)
+        self.engine.client.submit(plan, priority, on_outcome)
 
     def _back_off(self, job: Job, new: Job) -> None:
         """A job that fails everywhere waits longer and longer."""
--- /dev/null
+++ b/appledock/core/machines/__init__.py
@@ -0,0 +1,1 @@
+"""Free capacity of the machines that may take steps."""
--- a/appledock/core/scheduling/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -10,24 +10,24 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.scheduling.placement import Room, allowed_on
+from appledock.core.machines.machine_capacity import MachineCapacity, allowed_on
 from appledock.core.workers import Worker
 from appledock.rebalancing.picture import Load, task_share
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 Entry = tuple[str, wire.JobSpec, int]
 """machine, job and number of its tasks in a step under way"""
 
 
-class Rooms:
+class CapacityIndex:
     """The machines that may take steps, with what they have free."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.e = engine
-        self.table: dict[str, Room] = {}
-        self.open: dict[str, Room] = {}
+        self.table: dict[str, MachineCapacity] = {}
+        self.open: dict[str, MachineCapacity] = {}
         """those that have anything free"""
         self.holders: dict[str, set[str]] = {}
         """image -> machines that have it"""
@@ -72,7 +72,7 @@
         self.held.setdefault(machine, {})[spec.id] = spec
         self.dirty.add(machine)
 
-    def may_hold(self, room: Room, spec: wire.JobSpec) -> bool:
+    def may_hold(self, room: MachineCapacity, spec: wire.JobSpec) -> bool:
         """Is no room kept there for another move, and may the job run there?"""
         return not self.held.get(room.machine) and allowed_on(spec, room)
 
@@ -124,12 +124,12 @@
             if not self.holders[image]:
                 del self.holders[image]
 
-    def _count(self, worker: Worker) -> Room:
+    def _count(self, worker: Worker) -> MachineCapacity:
         report = worker.report
         assert report is not None
-        kind = self.e.types[report.type]
+        kind = self.e.machine_types[report.type]
         fetching: set[str] = set()
-        room = Room(
+        room = MachineCapacity(
             worker.id,
             kind,
             report.zone,
@@ -142,22 +142,22 @@
             fetching,
             self.e.replica.owner_of(worker.id),
             len(worker.failed_jobs),
-            self.e.shares.gate(worker),
-            Load() if self.e.rebalancer.enabled or self.e.shares.enabled else None,
+            self.e.partitions.gate(worker),
+            Load() if self.e.rebalancer.enabled or self.e.partitions.enabled else None,
         )
         recorded = self._take_recorded(worker, room, fetching)
         if recorded < len(worker.tasks) and self._stray(worker):
             room.cpus = room.memory_gb = -1.0  # a stray of unknown size
         for job_id, count in self.reserved_on.get(worker.id, {}).items():
-            room.take(
+            room.reserve(
                 next(spec for machine, spec, _ in self.reserved[job_id] if machine == worker.id),
                 count,
             )
         for spec in self.held.get(worker.id, {}).values():
-            room.take(spec)
+            room.reserve(spec)
         return room
 
-    def _take_recorded(self, worker: Worker, room: Room, fetching: set[str]) -> int:
+    def _take_recorded(self, worker: Worker, room: MachineCapacity, fetching: set[str]) -> int:
         """Charge the room with what the records put there; how much of it the worker shows."""
         jobs = self.e.replica.jobs
         shown = 0
@@ -172,7 +172,7 @@
                         shown += 1
                         if entry.state == wire.EXITED:
                             continue
-                    room.take(spec)
+                    room.reserve(spec)
                     if attempt.stopping and room.load is not None:
                         room.load.add(spec.team, task_share(spec, room.type), -1)  # it leaves
                     if spec.image not in room.images and (
--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -16,7 +16,7 @@
 from appledock.core.messages import Heartbeat
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 class Heartbeats:
     """What the controllers tell each other about themselves."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.heard: dict[str, Heard] = {}
         self.next_at = 0.0
@@ -47,7 +47,7 @@
             self.next_at = self.engine.now + c.HEARTBEAT_EVERY_S
             self._send()
             if self.heard:
-                self.engine.budget.on_peer_write_rate(
+                self.engine.client.limiter.on_peer_write_rate(
                     sum(heard.heartbeat.writes for heard in self._reached()),
                     self.engine.settings.cluster.state.write_rps * c.BUDGET_SHARE,
                 )
@@ -58,10 +58,10 @@
         heartbeat = Heartbeat(
             node=engine.settings.name,
             served_s=round(min(since, c.AGE_MAX_S), 3),
-            writes=round(engine.budget.recent_write_rate, 2),
+            writes=round(engine.client.limiter.recent_write_rate, 2),
             reporting=round(engine.workers.reporting(), 3),
             unanswered=engine.workers.unanswered_counts(),
-            pressed=engine.steps.pacing.pressed(),
+            pressed=engine.pacing.pressed(),
         )
         engine.emit(PeerSend(heartbeat))
 
--- a/appledock/core/membership/membership.py
+++ b/appledock/core/membership/membership.py
@@ -13,7 +13,10 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.store.calls import (
+from appledock.core.store.keys import FORMAT, MEMBERS, VIEW
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import View
+from appledock.core.store_calls import (
     Acknowledged,
     Committed,
     Conflict,
@@ -28,12 +31,9 @@
     StoreOutcome,
     Transaction,
 )
-from appledock.core.store.keys import FORMAT, MEMBERS, VIEW
-from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import View
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -46,10 +46,10 @@
 class Membership:
     """Joins, renews, confirms and changes the view."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.node = engine.settings.name
-        self.lease_local_s = engine.grant_s * (1 - c.CLOCK_DRIFT) - c.AUTHORITY_MARGIN_S
+        self.lease_local_s = engine.runtime.lease_ttl_s * (1 - c.CLOCK_DRIFT) - c.AUTHORITY_MARGIN_S
         """s; how long authority lasts, by our own clock"""
         self.generation = 0
         self.incarnation = ""
@@ -86,7 +86,7 @@
     @property
     def newest_format(self) -> int:
         """The newest format that this node reads: shares of machines only where they are on."""
-        return c.CAPACITY_FORMAT if self.engine.shares.enabled else NEWEST_FORMAT
+        return c.CAPACITY_FORMAT if self.engine.partitions.enabled else NEWEST_FORMAT
 
     @property
     def view(self) -> View | None:
@@ -198,7 +198,7 @@
                 case _:
                     pass
 
-        self.engine.store(plan, Priority.VIEW, on_outcome)
+        self.engine.client.submit(plan, Priority.VIEW, on_outcome)
 
     def _retry_join(self) -> None:
         self.joining = False
@@ -218,7 +218,9 @@
             self.touch_sent = sent
             self._read_self()
 
-        self.engine.store(GrantLease(int(self.engine.grant_s * 1000)), Priority.LEASE, granted)
+        self.engine.client.submit(
+            GrantLease(int(self.engine.runtime.lease_ttl_s * 1000)), Priority.LEASE, granted
+        )
 
     def _read_self(self) -> None:
         """Reads predecessor and view afresh, then joins in one transaction.
@@ -233,7 +235,7 @@
                 return
             if isinstance(outcome, Row):
                 self.engine.replica.put(VIEW, outcome.value, outcome.version)
-            self.engine.store(GetKey(MEMBERS + self.node), Priority.LEASE, read_member)
+            self.engine.client.submit(GetKey(MEMBERS + self.node), Priority.LEASE, read_member)
 
         def read_member(outcome: StoreOutcome) -> None:
             if not isinstance(outcome, Row | Missing):
@@ -244,7 +246,7 @@
                 self.engine.replica.members.pop(self.node, None)
             self._commit_join(old.version if old else 0, old.value.get("lease") if old else None)
 
-        self.engine.store(GetKey(VIEW), Priority.LEASE, read)
+        self.engine.client.submit(GetKey(VIEW), Priority.LEASE, read)
 
     def _commit_join(self, old_version: int, old_lease: int | None) -> None:
         """Take the member key and a new view together.
@@ -283,7 +285,7 @@
                     sorted(new.members),
                 )
                 if old_lease is not None and old_lease != lease:
-                    self.engine.store(RevokeLease(old_lease), Priority.VIEW, lambda _: None)
+                    self.engine.client.submit(RevokeLease(old_lease), Priority.VIEW, lambda _: None)
             elif isinstance(outcome, Conflict):
                 # Guards against joining that never goes on: the state service may answer
                 # the conflict and refuse what is read next.
@@ -291,7 +293,7 @@
             else:
                 self._retry_join()
 
-        self.engine.store(plan, Priority.LEASE, on_outcome)
+        self.engine.client.submit(plan, Priority.LEASE, on_outcome)
 
     def _touch(self) -> None:
         self.touching = True
@@ -315,7 +317,7 @@
                     )
 
         assert lease is not None  # joined, so there is one
-        self.engine.store(RenewLease(lease), Priority.LEASE, touched)
+        self.engine.client.submit(RenewLease(lease), Priority.LEASE, touched)
         self.confirm()
 
     def confirm(self) -> None:
@@ -337,7 +339,7 @@
                 else:
                     self._lost("excluded from the view")
 
-        self.engine.store(GetKey(VIEW), Priority.LEASE, read)
+        self.engine.client.submit(GetKey(VIEW), Priority.LEASE, read)
 
     def _lost(self, why: str) -> None:
         log.warning("%s: %s; joining again", self.incarnation, why)
@@ -356,7 +358,9 @@
         overrides = self._next_overrides(members, detached)
         view = View((old.term if old else 0) + 1, members, leader, overrides, detached)
         dropped = len(overrides)
-        while view.overrides and len(wire.encode(view.encode())) > self.engine.value_bytes:
+        while (
+            view.overrides and len(wire.encode(view.encode())) > self.engine.client.max_value_bytes
+        ):
             # A worker without its override goes round once more; a view that the state
             # service refuses as too large would leave the cluster without one.
             kept = len(view.overrides) * 9 // 10
@@ -461,7 +465,7 @@
                 case _:
                     self.next_view = self.engine.now + c.TOUCH_RETRY_S
 
-        self.engine.store(plan, Priority.VIEW, on_outcome)
+        self.engine.client.submit(plan, Priority.VIEW, on_outcome)
 
     def on_view(self) -> None:
         """A newer view is known."""
--- /dev/null
+++ b/appledock/core/operator_settings.py
@@ -0,0 +1,85 @@
+"""Settings that operators change while the cluster runs: declarations, checks, present values."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from appledock import constants as c
+
+
+@dataclass(frozen=True, slots=True)
+class SettingDeclaration:
+    """One setting of the operators: its default, range, unit and what it is for."""
+
+    default: float
+    minimum: float
+    maximum: float
+    unit: str
+    description: str
+
+
+DECLARATIONS: dict[str, SettingDeclaration] = {
+    "idle_return_s": SettingDeclaration(
+        c.IDLE_RETURN_S, 1, 3600, "s", "how long an idle machine is kept before it is returned"
+    ),
+    "step_tasks": SettingDeclaration(
+        c.STEP_TASKS, 1, 1000, "tasks", "size of one step of an array"
+    ),
+    "sample": SettingDeclaration(c.SAMPLE, 1, 1000, "machines", "machines looked at for each task"),
+    "machines_max": SettingDeclaration(
+        100_000, 0, 100_000, "machines", "the leader rents no more once so many are up or booting"
+    ),
+    "lost_work_weight": SettingDeclaration(
+        c.LOST_WORK_WEIGHT,
+        0,
+        100,
+        "ratio",
+        "a second of thrown away work against a second of waiting",
+    ),
+    "moves_paused": SettingDeclaration(0, 0, 1, "0 or 1", "1: no task is moved for balance"),
+    "moves_dry_run": SettingDeclaration(0, 0, 1, "0 or 1", "1: moves are only logged and counted"),
+}
+
+
+class InvalidSettingError(ValueError):
+    """A value that cannot be taken; the text names the setting and what is allowed."""
+
+
+def validate(name: str, value: Any) -> float:
+    """The value of a setting; raises InvalidSettingError if it cannot be taken."""
+    declaration = DECLARATIONS.get(name)
+    if declaration is None:
+        known = ", ".join(sorted(DECLARATIONS))
+        raise InvalidSettingError(f"{name}: unknown setting; known are {known}")
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        raise InvalidSettingError(f"{name}: a number is needed")
+    if not declaration.minimum <= value <= declaration.maximum:
+        raise InvalidSettingError(
+            f"{name}: allowed are {declaration.minimum:g} to {declaration.maximum:g}"
+            f" {declaration.unit}"
+        )
+    return value
+
+
+class OperatorSettings:
+    """The values in force, one by name: `settings["sample"]`."""
+
+    def __init__(self) -> None:
+        self.values = self._defaults()
+
+    def __getitem__(self, name: str) -> float:
+        return self.values[name]
+
+    def apply(self, stored: dict[str, Any]) -> None:
+        """Take over the stored values; one that cannot be taken keeps its default."""
+        self.values = self._defaults()
+        for name, value in stored.items():
+            try:
+                self.values[name] = validate(name, value)
+            except InvalidSettingError:
+                continue
+
+    @staticmethod
+    def _defaults() -> dict[str, float]:
+        return {name: declaration.default for name, declaration in DECLARATIONS.items()}
--- a/appledock/core/quota/quota.py
+++ b/appledock/core/quota/quota.py
@@ -25,13 +25,13 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs.record import Job
-from appledock.core.store.calls import Committed, StoreOutcome, UnknownOutcome
+from appledock.core.records.job import Job
 from appledock.core.store.replica import Team
+from appledock.core.store_calls import Committed, StoreOutcome, UnknownOutcome
 from appledock.settings import Team as TeamLimits
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,7 +133,7 @@
 class Quota:
     """This controller's dealings with the teams' records."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.e = engine
         self.pending: dict[str, tuple[int, Amounts]] = {}
         """job -> version that unanswered writes build on, and the most they make it hold"""
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -8,8 +8,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs.record import Job
-from appledock.core.scheduling.placement import Room
+from appledock.core.machines.machine_capacity import MachineCapacity
+from appledock.core.records.job import Job
 from appledock.rebalancing.locality import DataSets, Place, situation
 from appledock.rebalancing.picture import Load, MachineLoad, RunningTask, means
 from appledock.rebalancing.planner import Plan, Planner, Proposal
@@ -18,7 +18,7 @@
 from appledock.rebalancing.speeds import Speeds
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
 class Rebalancer:
     """Off without settings: then nothing is scored, planned or sent."""
 
-    def __init__(self, engine: Engine, settings: Rebalancing | None) -> None:
+    def __init__(self, engine: Controller, settings: Rebalancing | None) -> None:
         self.engine = engine
         self.settings = settings
         self.enabled = settings is not None
@@ -67,7 +67,7 @@
         if not self.enabled or now < self.means_at + c.MEANS_EVERY_S:
             return
         self.means_at = now
-        rooms = self.engine.rooms.table.values()
+        rooms = self.engine.capacity_index.table.values()
         self.scoring.means = means(
             (room.type.cpus, room.load) for room in rooms if room.load is not None
         )
@@ -78,8 +78,10 @@
         if not self.datasets.datasets:
             return
         places = [
-            Place(room.machine, room.type.name, room.zone, name not in self.engine.rooms.open)
-            for name, room in self.engine.rooms.table.items()
+            Place(
+                room.machine, room.type.name, room.zone, name not in self.engine.capacity_index.open
+            )
+            for name, room in self.engine.capacity_index.table.items()
         ]
         for data in self.datasets.datasets:
             found = situation(data, places)
@@ -95,8 +97,8 @@
         """
         for name in data.types:
             if (
-                self.engine.types
-                and name not in self.engine.types
+                self.engine.machine_types
+                and name not in self.engine.machine_types
                 and name not in self.unknown_types
             ):
                 self.unknown_types.add(name)
@@ -108,13 +110,13 @@
         engine, settings = self.engine, self.settings
         if settings is None or not engine.membership.acting():
             return
-        engine.rooms.refresh()
+        engine.capacity_index.refresh()
         self.refresh_means()
         if not settings.moves.enabled or engine.now < self.next_pass:
             return
         self.next_pass = engine.now + settings.moves.every_s * (0.9 + 0.2 * engine.rng.random())
         self._smooth(settings.moves.smooth_s)
-        if engine.admin["moves_paused"]:
+        if engine.operator_settings["moves_paused"]:
             return
         self.blocked = {name: row for name, row in self.blocked.items() if row[0] > engine.now}
         self._plan_own()
@@ -134,13 +136,13 @@
         fullest = Load()
         for load in self.smoothed.values():
             fullest = fullest.raised(load)
-        for name, room in self.engine.rooms.table.items():
+        for name, room in self.engine.capacity_index.table.items():
             if room.load is not None:
                 known = self.smoothed.get(name) or room.load.raised(fullest)
                 smoothed[name] = known.followed(room.load, weight)
         self.smoothed = smoothed
 
-    def _machine(self, room: Room) -> MachineLoad:
+    def _machine(self, room: MachineCapacity) -> MachineLoad:
         assert room.load is not None
         return MachineLoad(
             room.machine,
@@ -163,7 +165,7 @@
         me = self.engine.settings.name
         machines = [
             self._machine(room)
-            for _, room in sorted(self.engine.rooms.table.items())
+            for _, room in sorted(self.engine.capacity_index.table.items())
             if room.owner == me and room.load is not None
         ]
         plan = self.planner.plan(
@@ -186,7 +188,7 @@
         """
         machines = [
             self._machine(room)
-            for _, room in sorted(self.engine.rooms.table.items())
+            for _, room in sorted(self.engine.capacity_index.table.items())
             if room.load is not None
         ]
         by_owner: dict[str, list[MachineLoad]] = {}
@@ -255,7 +257,7 @@
 
     def _carry_out(self, plan: Plan) -> None:
         for proposal in plan.proposals:
-            if self.engine.admin["moves_dry_run"]:
+            if self.engine.operator_settings["moves_dry_run"]:
                 self.engine.moves.outcomes["dry run"] += 1
                 log.info("dry run: %s", proposal)
             else:
@@ -266,12 +268,12 @@
         """Loads, bounds, moves and what stands against them, for the administration API."""
         if self.settings is None:
             return {"enabled": False}
-        self.engine.rooms.refresh()
+        self.engine.capacity_index.refresh()
         moves = self.engine.moves
         return {
             "enabled": True,
-            "paused": bool(self.engine.admin["moves_paused"]),
-            "dry_run": bool(self.engine.admin["moves_dry_run"]),
+            "paused": bool(self.engine.operator_settings["moves_paused"]),
+            "dry_run": bool(self.engine.operator_settings["moves_dry_run"]),
             "bound": self.settings.bound,
             "mean": round(self.scoring.means.total, 4),
             "workers": self._workers(),
@@ -303,7 +305,7 @@
 
     def _workers(self) -> list[dict[str, Any]]:
         rows = []
-        for name, room in sorted(self.engine.rooms.table.items()):
+        for name, room in sorted(self.engine.capacity_index.table.items()):
             if room.load is None:
                 continue
             rows.append(
@@ -328,7 +330,7 @@
         for team, mean in sorted(self.scoring.means.teams.items()):
             most, machine, tasks = max(
                 (room.load.of(team), name, room.load.counts.get(team, 0))
-                for name, room in self.engine.rooms.table.items()
+                for name, room in self.engine.capacity_index.table.items()
                 if room.load is not None
             )
             rows.append(
--- /dev/null
+++ b/appledock/core/records/__init__.py
@@ -0,0 +1,1 @@
+"""Stored records as typed values: jobs, their dependencies, ownership of machines."""
--- a/appledock/core/jobs/attempt_groups.py
+++ b/appledock/core/records/attempt_groups.py
@@ -18,7 +18,7 @@
 from itertools import groupby
 from typing import Any
 
-from appledock.core.jobs.intervals import IntervalSet
+from appledock.core.records.intervals import IntervalSet
 
 _NAME = re.compile(r"\A(.*?)([0-9]{1,9})\Z", re.DOTALL)
 _WORD = re.compile(
--- a/appledock/core/jobs/dependencies.py
+++ b/appledock/core/records/dependencies.py
@@ -16,7 +16,7 @@
 from appledock import wire
 
 if TYPE_CHECKING:
-    from appledock.core.jobs.record import Job
+    from appledock.core.records.job import Job
 
 
 class Dependencies:
@@ -147,6 +147,10 @@
         return False
 
     # --- what presses -----------------------------------------------------
+    def inherited_rank(self, job: Job) -> int:
+        """The job's priority, or the higher one of a job that needs it."""
+        return self.pressing(job)[0]
+
     def pressing(self, job: Job) -> tuple[int, float]:
         """Rank and latest end (time of day) that the job has through the jobs that need
         it: the highest rank of them, and the earliest end that leaves time, by their
--- a/appledock/core/jobs/record.py
+++ b/appledock/core/records/job.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from appledock import wire
-from appledock.core.jobs import attempt_groups as compact
-from appledock.core.jobs.intervals import IntervalSet
+from appledock.core.records import attempt_groups as compact
+from appledock.core.records.intervals import IntervalSet
 
 
 @dataclass(slots=True)
--- a/appledock/core/scheduling/handoff.py
+++ b/appledock/core/scheduling/handoff.py
@@ -6,18 +6,17 @@
 from typing import TYPE_CHECKING
 
 from appledock import constants as c
-from appledock.core.jobs.record import Job
-from appledock.core.scheduling import placement
-from appledock.core.scheduling.placement import Room
+from appledock.core.machines.machine_capacity import MachineCapacity, room_for
+from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class HandOff:
     """Picks the controller whose workers report most room."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.mine_since: dict[str, float] = {}
         """job handed to us -> when we learned of it"""
@@ -32,25 +31,25 @@
             self.mine_since.setdefault(job.id, self.engine.now)
 
     def target(
-        self, job: Job, rooms: list[Room], left: int, gang: bool, zones: dict[str, int]
+        self, job: Job, rooms: list[MachineCapacity], left: int, gang: bool, zones: dict[str, int]
     ) -> str | None:
         """Name the controller for the `left` tasks; None: they stay here."""
         view = self.engine.replica.view
         assert view is not None
-        by_owner: dict[str, list[Room]] = {}
+        by_owner: dict[str, list[MachineCapacity]] = {}
         for room in rooms:
             if room.owner != self.engine.settings.name and room.owner in view.members:
                 by_owner.setdefault(room.owner, []).append(room)
         best = {
             owner: fit
             for owner, theirs in by_owner.items()
-            if (fit := placement.room_for(job.spec, theirs, zones))
+            if (fit := room_for(job.spec, theirs, zones))
         }
         if gang:
             whole = {node: fit for node, fit in best.items() if fit >= left}
             if whole:
                 return max(sorted(whole), key=whole.__getitem__)
-            everywhere = placement.room_for(job.spec, rooms, zones)
+            everywhere = room_for(job.spec, rooms, zones)
             if everywhere >= left and view.leader != self.engine.settings.name:
                 return view.leader
             return None
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -20,15 +20,16 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.events import PeerSend
-from appledock.core.jobs.record import Attempt, Job
+from appledock.core.machines.capacity_index import Entry
+from appledock.core.machines.machine_capacity import MachineCapacity, allowed_on
 from appledock.core.messages import MoveEnded, MoveHeld, MoveMessage, MoveOrder, MoveRequested
+from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
-from appledock.core.scheduling.capacity_index import Entry
-from appledock.core.scheduling.placement import Room, Sampling
+from appledock.core.scheduling.placement import Sampling
 from appledock.rebalancing.settings import Moves as MoveRules
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
     from appledock.rebalancing.planner import Proposal
 
 log = logging.getLogger(__name__)
@@ -81,7 +82,7 @@
 class Moves:
     """Keeps room for moves, stops tasks for them, and gives the next attempts that room."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.planned: dict[int, UnderWay] = {}
         """ours as planner"""
@@ -102,7 +103,7 @@
     @property
     def enabled(self) -> bool:
         """Does any part move tasks?"""
-        return self.engine.rebalancer.enabled or self.engine.shares.enabled
+        return self.engine.rebalancer.enabled or self.engine.partitions.enabled
 
     @property
     def rules(self) -> MoveRules:
@@ -171,7 +172,7 @@
             return
         job = engine.replica.jobs[order.job]
         self.holds[order.job] = self._under_way(order)
-        engine.rooms.hold(order.destination, job.spec)
+        engine.capacity_index.hold(order.destination, job.spec)
         self._send(engine.replica.job_owner(job), MoveHeld(order))
 
     def _refused_here(self, order: MoveOrder) -> Outcome | None:
@@ -183,15 +184,15 @@
             return refusal
         if not engine.workers.owned(order.destination):
             return Outcome.NOT_OURS
-        if order.job in self.holds or engine.rooms.held.get(order.destination):
+        if order.job in self.holds or engine.capacity_index.held.get(order.destination):
             # One at a time: several planners may choose the same empty machine.
             return Outcome.BUSY
-        engine.rooms.refresh()
-        room = engine.rooms.table.get(order.destination)
+        engine.capacity_index.refresh()
+        room = engine.capacity_index.table.get(order.destination)
         if room is None:
             return Outcome.LOST
         spec = engine.replica.jobs[order.job].spec
-        if not placement.allowed_on(spec, room):
+        if not allowed_on(spec, room):
             return Outcome.NOT_ALLOWED
         if not room.fits(spec):
             return Outcome.NO_ROOM
@@ -218,8 +219,8 @@
         engine = self.engine
         spec = engine.replica.jobs[order.job].spec
         self.active[order.job] = self._under_way(order)
-        engine.rooms.hold(order.destination, spec)
-        engine.steps.stop(order.job, order.source, {order.task})
+        engine.capacity_index.hold(order.destination, spec)
+        engine.reconciler.stop(order.job, order.source, {order.task})
 
     def _refused_by_job(self, order: MoveOrder) -> Outcome | None:
         engine = self.engine
@@ -231,14 +232,14 @@
             return Outcome.NOT_OURS
         if not self.enabled:
             return Outcome.OFF
-        drains = engine.shares.moves_off(job.spec, order.source)
+        drains = engine.partitions.moves_off(job.spec, order.source)
         if not drains and not engine.rebalancer.movable(job.spec):
             return Outcome.NOT_ALLOWED
-        if order.job in self.active or not engine.steps.writer.ready(job):
+        if order.job in self.active or not engine.job_writer.ready(job):
             return Outcome.BUSY
         if engine.now < self.cooling.get(order.job, c.LONG_AGO):
             return Outcome.COOLING
-        if engine.steps.pacing.crowded() or engine.steps.pacing.pressed():
+        if engine.pacing.crowded() or engine.pacing.pressed():
             return Outcome.WRITES
         return (
             self._refused_by_task(job, order)
@@ -255,13 +256,13 @@
         held = self.holds.get(order.job)
         if held is not None and held.order == order:
             return None  # the room is ours to keep, and kept
-        self.engine.rooms.refresh()
-        room = self.engine.rooms.table.get(order.destination)
+        self.engine.capacity_index.refresh()
+        room = self.engine.capacity_index.table.get(order.destination)
         if room is None:
             return Outcome.LOST
         if not room.fits(job.spec):
             return Outcome.NO_ROOM
-        return None if placement.allowed_on(job.spec, room) else Outcome.NOT_ALLOWED
+        return None if allowed_on(job.spec, room) else Outcome.NOT_ALLOWED
 
     def _refused_by_task(self, job: Job, order: MoveOrder) -> Outcome | None:
         attempt = open_attempt(job, order)
@@ -301,7 +302,7 @@
 
     def place_held(
         self, job: Job, rest: Job, zones: dict[str, int] | None
-    ) -> list[tuple[Room, int]]:
+    ) -> list[tuple[MachineCapacity, int]]:
         """Put the next attempt of the stopped task into the room that is kept for it.
 
         Empty as long as the task is not settled, and if the room is not there any more: then
@@ -311,14 +312,14 @@
         if under_way is None or open_attempt(rest, under_way.order) is not None:
             return []
         engine, order = self.engine, under_way.order
-        room = engine.rooms.table.get(order.destination)
-        if room is None or not engine.steps.preemption.free_for(room.machine, job):
+        room = engine.capacity_index.table.get(order.destination)
+        if room is None or not engine.preemption.free_for(room.machine, job):
             self._end(order, Outcome.LOST)
             return []
-        room.take(job.spec, -1)  # the room that is kept
+        room.release(job.spec, 1)  # the room that is kept
         placed = placement.place(job.spec, 1, [room], Sampling(engine.rng), zones or {})
         if not placed:
-            room.take(job.spec, 1)
+            room.reserve(job.spec, 1)
             self._end(order, Outcome.LOST)
         return placed
 
@@ -356,7 +357,11 @@
 
     def _cooldown_s(self, order: MoveOrder) -> float:
         """How long a job that was moved rests; hardly, if its machine is to be handed over."""
-        return c.DRAIN_REST_S if self.engine.shares.leaving(order.source) else self.rules.cooldown_s
+        return (
+            c.DRAIN_REST_S
+            if self.engine.partitions.leaving(order.source)
+            else self.rules.cooldown_s
+        )
 
     def _rest(self, order: MoveOrder, outcome: str) -> None:
         """As the planner: ask no more for this job for a while; its owner would refuse."""
@@ -385,8 +390,8 @@
             for under_way in (self.holds.get(order.job), self.active.get(order.job))
         )
         if not needed:
-            self.engine.rooms.drop_hold(order.destination, order.job)
-            self.engine.queue_dirty = True
+            self.engine.capacity_index.drop_hold(order.destination, order.job)
+            self.engine.reconcile_queue.placement_due = True
 
     # --- time and views ---------------------------------------------------
     def tick(self) -> None:
@@ -421,7 +426,7 @@
             return Outcome.NOT_OURS
         if engine.now >= under_way.until:
             return Outcome.LATE
-        if open_attempt(job, order) is None and job.queued == 0 and engine.steps.writer.ready(job):
+        if open_attempt(job, order) is None and job.queued == 0 and engine.job_writer.ready(job):
             return Outcome.CHANGED  # it completed before the stop reached it
         return None
 
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -6,17 +6,18 @@
 from typing import TYPE_CHECKING
 
 from appledock import constants as c
-from appledock.core.jobs.record import Job
+from appledock.core.jobs.reconcile_queue import PendingReason
+from appledock.core.records.job import Job
 from appledock.core.store.rate_limiter import Priority
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class Pacing:
     """Spends the state service's writes where they are felt most."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.gathering: dict[str, float] = {}
         """array -> since when it waits for room for a larger step"""
@@ -29,7 +30,7 @@
 
     def crowded(self) -> bool:
         """Do steps wait for the state service's limit?"""
-        return self.engine.budget.waiting(Priority.STEP) > c.CROWDED
+        return self.engine.client.limiter.waiting(Priority.STEP) > c.CROWDED
 
     def pressed(self) -> bool:
         """Do services wait for the state service's limit?
@@ -37,13 +38,13 @@
         Then passing one on for an image costs others more than it saves: two writes instead
         of one.
         """
-        return self.engine.budget.waiting(Priority.URGENT) > c.CROWDED
+        return self.engine.client.limiter.waiting(Priority.URGENT) > c.CROWDED
 
     def gather_pause(self) -> float:
         """Seconds until arrays are placed again."""
         if self.crowded():
             return c.GATHER_CROWDED_S
-        return c.GATHER_SPARE_S if self.engine.budget.spare_writes() else c.GATHER_S
+        return c.GATHER_SPARE_S if self.engine.client.limiter.spare_writes() else c.GATHER_S
 
     def hold_back(self) -> bool:
         """Must arrays wait, for a while, until users and services have got their writes?
@@ -64,10 +65,14 @@
         """Seconds between two lists of finished tasks of the job."""
         team = job.spec.team
         if self.engine.quota.exhausted(team) or any(
-            self.engine.steps.blocked.get(other) == "team limit"
+            self.engine.reconcile_queue.pending_reasons.get(other) is PendingReason.TEAM_LIMIT
             for other in self.engine.replica.by_team.get(team, ())
         ):
-            return c.PROGRESS_SPARE_S if self.engine.budget.spare_writes() else c.PROGRESS_EVERY_S
+            return (
+                c.PROGRESS_SPARE_S
+                if self.engine.client.limiter.spare_writes()
+                else c.PROGRESS_EVERY_S
+            )
         return c.PROGRESS_CROWDED_S if self.crowded() else c.PROGRESS_RELAXED_S
 
     def gathers(self, job: Job, rest: Job, tasks: int) -> bool:
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -14,13 +14,18 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs.record import Job
+from appledock.core.machines.machine_capacity import (
+    MachineCapacity,
+    allowed_on,
+    fetch_s,
+    zone_cap,
+    zone_open,
+)
 from appledock.core.quota import quota
-from appledock.core.scheduling import placement
-from appledock.core.scheduling.placement import Room
+from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -42,20 +47,20 @@
     """A machine that could be cleared, and what that costs in seconds."""
 
     cost: float
-    room: Room
+    room: MachineCapacity
     victims: list[Victim]
 
 
 @dataclass(slots=True)
 class Claim:
-    """Room being made for a job."""
+    """Capacity being made for a job."""
 
     machine: str
     until: float
 
 
 def choose(
-    spec: wire.JobSpec, room: Room, victims: list[Victim], short: quota.Amounts = NOTHING
+    spec: wire.JobSpec, room: MachineCapacity, victims: list[Victim], short: quota.Amounts = NOTHING
 ) -> list[Victim] | None:
     """The cheapest victims, cheapest first, that make room for one task and free
     `short` of their team's limit; None if even all of them do not."""
@@ -85,7 +90,7 @@
 class Preemption:
     """Claims on machines and the victims that clear them."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.e = engine
         self.claims: dict[str, list[Claim]] = {}
         """job -> machines being cleared for it"""
@@ -98,7 +103,11 @@
         for job_id in list(self.claims):
             job = self.e.replica.jobs.get(job_id)
             left = [claim for claim in self.claims[job_id] if claim.until > now]
-            if left and job is not None and (job.queued > 0 or job_id in self.e.steps.freed):
+            if (
+                left
+                and job is not None
+                and (job.queued > 0 or job_id in self.e.reconcile_queue.capacity_freed_at)
+            ):
                 self.claims[job_id] = left
             else:
                 del self.claims[job_id]
@@ -119,7 +128,7 @@
         else:
             self.claims.pop(job_id, None)
 
-    def victims(self, job: Job, room: Room) -> list[Victim]:
+    def victims(self, job: Job, room: MachineCapacity) -> list[Victim]:
         """Tasks on the machine that may be stopped for the job."""
         worker = self.e.workers.table.get(room.machine)
         result: list[Victim] = []
@@ -130,7 +139,11 @@
             # A job that others need is spared as they are, but stops nobody for their sake:
             # wide early stages with the rank of the last one had 600 tasks stopped and
             # started again on one day, and the writes that this took were what lacked.
-            if self.e.rank(other) >= job.spec.rank or other.cancelled or other.spec.gang:
+            if (
+                self.e.replica.needs.inherited_rank(other) >= job.spec.rank
+                or other.cancelled
+                or other.spec.gang
+            ):
                 continue
             for attempt in attempts:
                 if attempt.stopping or attempt.session != room.session:
@@ -150,24 +163,24 @@
         """Machines of a sample that could be cleared for a task of the job, the
         cheapest first."""
         spec = job.spec
-        cap = placement.zone_cap(spec)
+        cap = zone_cap(spec)
         used = {zone for zone, number in zones.items() if number}
         short = self._short(job) if within_team else NOTHING
         result = []
-        rooms = list(self.e.rooms.table.values())
+        rooms = list(self.e.capacity_index.table.values())
         if len(rooms) > c.CLEAR_SAMPLE:
             # Half of the sample among those that have the image, if there are any: an
             # image of 5 GB takes longer than a boot.
-            held = sorted(self.e.rooms.holders.get(spec.image, ()))
+            held = sorted(self.e.capacity_index.holders.get(spec.image, ()))
             half = c.CLEAR_SAMPLE // 2
             names = set(held if len(held) <= half else self.e.rng.sample(held, half))
             rest = self.e.rng.sample(rooms, c.CLEAR_SAMPLE - len(names))
-            rooms = [self.e.rooms.table[name] for name in sorted(names)] + [
+            rooms = [self.e.capacity_index.table[name] for name in sorted(names)] + [
                 room for room in rest if room.machine not in names
             ]
         for room in rooms:
             if (
-                not placement.allowed_on(spec, room)
+                not allowed_on(spec, room)
                 or zones.get(room.zone, 0) >= cap
                 or (spec.one_zone and used and room.zone not in used)
                 or not self.free_for(room.machine, job)
@@ -179,7 +192,7 @@
                 victims = [v for v in victims if v.job.spec.team == spec.team]
             chosen = choose(spec, room, victims, short)
             if chosen is not None:
-                cost = placement.fetch_s(spec, room) + self.e.admin["lost_work_weight"] * sum(
+                cost = fetch_s(spec, room) + self.e.operator_settings["lost_work_weight"] * sum(
                     victim.lost for victim in chosen
                 ) / max(spec.cpus, 0.1)
                 result.append(Option(cost, room, chosen))
@@ -201,7 +214,7 @@
         if count <= 0:
             return None
         options = self._options(job, zones, within_team)
-        ours = self.e.shares.places_everywhere(job)
+        ours = self.e.partitions.places_everywhere(job)
         me = self.e.settings.name
         own = [option for option in options if ours or option.room.owner == me]
         if not own:
@@ -212,7 +225,7 @@
             self._clear(job, option)
         return None
 
-    def better(self, job: Job, rooms: list[Room], zones: dict[str, int]) -> str | None:
+    def better(self, job: Job, rooms: list[MachineCapacity], zones: dict[str, int]) -> str | None:
         """Where a task of the job would wait least for its image, if that is not
         on a free machine of ours: another controller's name, or our own when a
         machine of ours is being cleared. None: place it as usual."""
@@ -224,11 +237,11 @@
         for room in rooms:
             if (
                 room.fits(spec)
-                and placement.allowed_on(spec, room)
-                and placement.zone_open(spec, room.zone, zones)
+                and allowed_on(spec, room)
+                and zone_open(spec, room.zone, zones)
                 and self.free_for(room.machine, job)
             ):
-                wait, foreign = placement.fetch_s(spec, room), room.owner != me
+                wait, foreign = fetch_s(spec, room), room.owner != me
                 if not foreign:
                     own = min(own, wait)
                 row = (wait, foreign, room.machine, room.owner)
@@ -260,4 +273,4 @@
             self._stop(victim, machine)
 
     def _stop(self, victim: Victim, machine: str) -> None:
-        self.e.steps.ask_to_stop(victim.job, machine, {victim.task})
+        self.e.reconciler.ask_to_stop(victim.job, machine, {victim.task})
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -5,16 +5,16 @@
 from typing import TYPE_CHECKING
 
 from appledock import constants as c
-from appledock.core.jobs.record import Job
+from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class QueueOrder:
     """Decides by class of job, and inside a class by what is nearest to its end."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.ready_at: dict[str, float] = {}
         """job that needed others -> time of day when the last of them was done, as far as
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -1,89 +1,76 @@
-"""Steps of jobs: record what is settled and request what comes next, in one write."""
+"""Reconciler of jobs: record what is settled and request what comes next, in one write."""
 
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from appledock import constants as c
 from appledock import wire
 from appledock.core.events import PeerSend
-from appledock.core.jobs.record import Attempt, Job
-from appledock.core.jobs.settlement import Settlement
-from appledock.core.jobs.writer import JobWriter
+from appledock.core.jobs.reconcile_queue import PendingReason
+from appledock.core.machines.machine_capacity import MachineCapacity, allowed_on
 from appledock.core.messages import StopTasks
+from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
-from appledock.core.scheduling.handoff import HandOff
-from appledock.core.scheduling.pacing import Pacing
-from appledock.core.scheduling.placement import Room, Sampling
-from appledock.core.scheduling.preemption import Preemption
+from appledock.core.scheduling.placement import Sampling
 from appledock.core.store.rate_limiter import Priority
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
 
-class Steps:
+class Reconciler:
     """Moves the jobs that this controller owns."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.e = engine
-        self.changed_workers: set[str] = set()
-        self.dirty: set[str] = set()
-        self.later: set[str] = set()
-        """jobs to be looked at again soon"""
         self.next_later = 0.0
         self.lost_since: dict[str, float] = {}
         self.stops: dict[str, dict[str, set[int]]] = {}
         """job -> machine -> tasks that are to be stopped there"""
-        self.blocked: dict[str, str] = {}
-        """job -> why its queued tasks wait, for the administration API"""
-        self.freed: dict[str, float] = {}
-        """job -> since when it has lost tasks that are not recorded as lost yet"""
-        self.settlement = Settlement(engine)
-        self.preemption = Preemption(engine)
-        self.writer = JobWriter(engine)
-        self.handoff = HandOff(engine)
-        self.pacing = Pacing(engine)
+        self.queue = engine.reconcile_queue
+        self.settlement = engine.settlement
+        self.preemption = engine.preemption
+        self.writer = engine.job_writer
+        self.handoff = engine.handoff
+        self.pacing = engine.pacing
         self.next_queue = 0.0
         self.next_arrays = 0.0
         self.next_sweep = 0.0
         self.next_release = 0.0
 
-    def worker_changed(self, worker: str) -> None:
-        self.changed_workers.add(worker)
-
     # --- timers -----------------------------------------------------------
     def tick(self) -> None:
         if not self.e.membership.acting():
             return
         replica = self.e.replica
-        for worker in self.changed_workers:
-            self.dirty.update(replica.by_machine.get(worker, ()))
+        for worker in self.queue.changed_workers:
+            self.queue.jobs.update(replica.by_machine.get(worker, ()))
             self.settlement.machine_changed(worker)
-        self.changed_workers.clear()
+        self.queue.changed_workers.clear()
         if self.e.now >= self.next_sweep:
             self.next_sweep = self.e.now + c.SWEEP_EVERY_S
             for job_id, open_job in replica.jobs.items():
                 if (open_job.attempts or replica.withdrawn(job_id)) and self.e.owns_job(open_job):
-                    self.dirty.add(job_id)
+                    self.queue.jobs.add(job_id)
                     self.settlement.examine_all(job_id)
             self._watch_lost()
             if replica.queued:
                 # Some reasons to wait end with time alone: a job handed to us may be
                 # handed on only after a while, and in a quiet cluster nothing else
                 # happened that would have made us look again.
-                self.e.queue_dirty = True
+                self.queue.placement_due = True
         if self.e.now >= self.next_release:
             self.next_release = self.e.now + c.RELEASE_EVERY_S
             self.writer.release_shares()
-        if self.later and self.e.now >= self.next_later:
+        if self.queue.deferred_jobs and self.e.now >= self.next_later:
             self.next_later = self.e.now + c.QUEUE_EVERY_S
-            self.dirty |= self.later
-            self.later.clear()
-        due, self.dirty = self.dirty, set()
+            self.queue.jobs |= self.queue.deferred_jobs
+            self.queue.deferred_jobs.clear()
+        due, self.queue.jobs = self.queue.jobs, set()
         for job_id in sorted(due):
             job = replica.jobs.get(job_id)
             if job is None:
@@ -95,20 +82,15 @@
                 self.handoff.forget(job_id)
                 # Kept, a wish would stop whatever runs there once the job is ours again.
                 self.stops.pop(job_id, None)
-        if self.e.now >= self.next_queue and self.e.queue_dirty:
+        if self.e.now >= self.next_queue and self.queue.placement_due:
             self.next_queue = self.e.now + c.QUEUE_EVERY_S
-            self.e.queue_dirty = False
+            self.queue.placement_due = False
             self._place_all()
 
     def _clear(self, job_id: str) -> None:
-        tables: tuple[dict[str, Any], ...] = (
-            self.lost_since,
-            self.blocked,
-            self.stops,
-            self.freed,
-        )
-        for table in tables:
-            table.pop(job_id, None)
+        self.lost_since.pop(job_id, None)
+        self.stops.pop(job_id, None)
+        self.queue.forget(job_id)
         self.settlement.forget(job_id)
         self.handoff.forget(job_id)
         self.writer.forget(job_id)
@@ -149,7 +131,7 @@
         """
         self.stops.setdefault(job_id, {}).setdefault(machine, set()).update(tasks)
         self.writer.withdraw(job_id)
-        self.dirty.add(job_id)
+        self.queue.jobs.add(job_id)
 
     def ask_to_stop(self, job: Job, machine: str, tasks: set[int]) -> None:
         """Stop tasks of anybody's job: its owner does it."""
@@ -183,7 +165,7 @@
             # Those cancelled with another one too: refused once, their end was never
             # written, since nothing else happens to them.
             if job.attempts or self.e.replica.withdrawn(job.id):
-                self.later.add(job.id)
+                self.queue.deferred_jobs.add(job.id)
             return
         new = self.settlement.settled(job)
         over = self.writer.over(new or job)
@@ -193,10 +175,10 @@
                 self.writer.commit(job, stopped, Priority.URGENT)
                 return
         if new is None or new.queued <= job.queued:
-            self.freed.pop(job.id, None)
+            self.queue.capacity_freed_at.pop(job.id, None)
         if new is None and not over:
             return
-        self.e.queue_dirty = True
+        self.queue.placement_due = True
         if over:
             # Other jobs can start only once this end is written.
             needed = job.id in self.e.replica.needs.dependents
@@ -204,13 +186,13 @@
                 job, self.settlement.apply(job), Priority.URGENT if needed else Priority.FINAL
             )
         elif new is not None and new.queued > job.queued and self._step_first(job.id):
-            self.later.add(job.id)
+            self.queue.deferred_jobs.add(job.id)
         elif self.e.now >= self.writer.written_at.get(job.id, -1e9) + self.pacing.progress_every(
             job
         ):
             self.writer.commit(job, self.settlement.apply(job), Priority.PROGRESS)
         else:
-            self.later.add(job.id)
+            self.queue.deferred_jobs.add(job.id)
 
     def _step_first(self, job_id: str) -> bool:
         """Lost tasks go again in the very write that records them as lost.
@@ -219,7 +201,10 @@
         patience of lists of finished tasks, the replicas of forty machines lost at once
         took two writes each, and the first ones waited for six seconds.
         """
-        return self.e.now - self.freed.setdefault(job_id, self.e.now) < c.STEP_FIRST_S
+        return (
+            self.e.now - self.queue.capacity_freed_at.setdefault(job_id, self.e.now)
+            < c.STEP_FIRST_S
+        )
 
     # --- placing ----------------------------------------------------------
     def _place_all(self) -> None:
@@ -229,7 +214,9 @@
             for job in (
                 replica.jobs[j]
                 for j in replica.queued.union(
-                    j for j in self.freed if j in replica.jobs and j not in replica.needs.waiting
+                    j
+                    for j in self.queue.capacity_freed_at
+                    if j in replica.jobs and j not in replica.needs.waiting
                 )
             )
             if self.e.owns_job(job)
@@ -241,49 +228,54 @@
             self.next_arrays = self.e.now + self.pacing.gather_pause()
         ready = [job for job in waiting if self.writer.ready(job) and (arrays or job.spec.service)]
         if len(ready) < len(waiting):
-            self.e.queue_dirty = True
+            self.queue.placement_due = True
         if not ready:
             return
-        self.e.rooms.refresh()
+        self.e.capacity_index.refresh()
         self.e.rebalancer.refresh_means()
-        rooms = list(self.e.rooms.open.values())
+        rooms = list(self.e.capacity_index.open.values())
         own = [room for room in rooms if room.owner == self.e.settings.name]
         self.preemption.refresh()
         full = _Full()
         for job in sorted(ready, key=lambda job: (self.e.queue_order.urgency(job), job.id)):
             if not self.writer.ready(job):
-                self.e.queue_dirty = True  # a step of another one took its write back
+                self.queue.placement_due = True  # a step of another one took its write back
                 continue
-            if full.covers(job.spec, self.e.rank(job)) and not self.e.moves.moving(job.id):
+            if full.covers(
+                job.spec, self.e.replica.needs.inherited_rank(job)
+            ) and not self.e.moves.moving(job.id):
                 # Like tasks are decided as a class: nothing this large fits now.
-                self.blocked[job.id] = "no room"
+                self.queue.pending_reasons[job.id] = PendingReason.NO_CAPACITY
                 continue
-            if not self._place(job, rooms, own) and self.blocked.get(job.id) == "no room":
-                full.add(job.spec, self.e.rank(job))
+            if (
+                not self._place(job, rooms, own)
+                and self.queue.pending_reasons.get(job.id) == PendingReason.NO_CAPACITY
+            ):
+                full.add(job.spec, self.e.replica.needs.inherited_rank(job))
 
-    def _place(self, job: Job, rooms: list[Room], own: list[Room]) -> bool:
+    def _place(self, job: Job, rooms: list[MachineCapacity], own: list[MachineCapacity]) -> bool:
         """Request the job's next step, or hand it on; False if neither can be."""
         if self.preemption.claimed:
             own = [room for room in own if self.preemption.free_for(room.machine, job)]
         if job.spec.team not in self.e.teams:
-            self.blocked[job.id] = "unknown team"
+            self.queue.pending_reasons[job.id] = PendingReason.UNKNOWN_TEAM
             return False
         rest = self.settlement.settled(job) or job
         count = self._step_size(job, rest)
         zones = self.zones(rest)
         if count <= 0:
-            self.blocked[job.id] = "team limit"
+            self.queue.pending_reasons[job.id] = PendingReason.TEAM_LIMIT
             return zones is not None and self._within_team(job, zones)
         if job.spec.kind == wire.GANG and rest.attempts:
-            self.blocked[job.id] = "rest of the gang is not settled"
+            self.queue.pending_reasons[job.id] = PendingReason.GANG_UNSETTLED
             return False
         if zones is None and (job.spec.one_zone or job.spec.spread):
-            self.blocked[job.id] = "machines of its running tasks unknown"
+            self.queue.pending_reasons[job.id] = PendingReason.ZONES_UNKNOWN
             return False
         moved = self.e.moves.place_held(job, rest, zones)
         if moved:
             return self._request_step(job, rest, moved, None)
-        ours = self.e.shares.places_everywhere(job)
+        ours = self.e.partitions.places_everywhere(job)
         if ours:
             # Its partition's machines are filled by us alone, whoever owns their workers.
             own = [
@@ -295,13 +287,13 @@
         if job.spec.service and not job.spec.gang and zones is not None and elsewhere:
             better = self._better_elsewhere(job, rooms, own, zones)
             if better == self.e.settings.name:
-                self.blocked[job.id] = "room is being made"
+                self.queue.pending_reasons[job.id] = PendingReason.PREEMPTING
                 return False
             if better is not None:
                 return self.hand_over(job, better)
         placed = self._find_room(job, count, rooms, own, zones or {})
         if not placed and self.preemption.claims.get(job.id):
-            self.blocked[job.id] = "room is being made"
+            self.queue.pending_reasons[job.id] = PendingReason.PREEMPTING
             return False
         left = count - sum(number for _, number in placed)
         used = dict(zones or {})
@@ -315,16 +307,16 @@
             and handoff is None
             and self.pacing.gathers(job, rest, sum(number for _, number in placed))
         ):
-            self.blocked[job.id] = "gathering room"
-            self.e.queue_dirty = True
+            self.queue.pending_reasons[job.id] = PendingReason.BATCHING
+            self.queue.placement_due = True
             for room, number in placed:
-                room.take(job.spec, -number)
+                room.release(job.spec, number)
             return False
         if not placed and handoff is None:
             handoff = self._without_room(job, count, zones)
             if handoff is None:
                 return False
-        self.blocked.pop(job.id, None)
+        self.queue.pending_reasons.pop(job.id, None)
         self.pacing.forget(job.id)
         return self._request_step(job, rest, placed, handoff)
 
@@ -333,7 +325,7 @@
         most = self.e.quota.allowed(job, rest)
         if job.spec.gang:
             return rest.queued if most >= rest.queued else 0
-        return min(rest.queued, most, int(self.e.admin["step_tasks"]))
+        return min(rest.queued, most, int(self.e.operator_settings["step_tasks"]))
 
     def _within_team(self, job: Job, zones: dict[str, int]) -> bool:
         """The team's limit lacks: its own work of lower rank makes room, here or elsewhere."""
@@ -343,20 +335,29 @@
         return handoff is not None and self.hand_over(job, handoff)
 
     def _better_elsewhere(
-        self, job: Job, rooms: list[Room], own: list[Room], zones: dict[str, int]
+        self,
+        job: Job,
+        rooms: list[MachineCapacity],
+        own: list[MachineCapacity],
+        zones: dict[str, int],
     ) -> str | None:
         """The controller with which a replica waits least for its image: a service is felt
         at once. Our own name: room is being made here. None: placed here as usual."""
         better = self.preemption.better(job, rooms, zones)
         if better is None or better == self.e.settings.name:
             return better
-        here = any(room.fits(job.spec) and placement.allowed_on(job.spec, room) for room in own)
+        here = any(room.fits(job.spec) and allowed_on(job.spec, room) for room in own)
         return None if here and self.pacing.pressed() else better
 
     def _find_room(
-        self, job: Job, count: int, rooms: list[Room], own: list[Room], zones: dict[str, int]
-    ) -> list[tuple[Room, int]]:
-        gang, sample = job.spec.gang, int(self.e.admin["sample"])
+        self,
+        job: Job,
+        count: int,
+        rooms: list[MachineCapacity],
+        own: list[MachineCapacity],
+        zones: dict[str, int],
+    ) -> list[tuple[MachineCapacity, int]]:
+        gang, sample = job.spec.gang, int(self.e.operator_settings["sample"])
         rng, scorer = self.e.rng, self.e.rebalancer.scorer(job.spec)
         sampling = Sampling(rng, sample, scorer)
         placed = placement.place(job.spec, count, own, sampling, zones, gang)
@@ -371,19 +372,19 @@
         """No controller has room: make some. The controller whose machines could be
         cleared, if none of ours can."""
         if job.spec.service and self.writer.take_back(job):
-            self.blocked[job.id] = "room is being made"
-            self.e.queue_dirty = True
+            self.queue.pending_reasons[job.id] = PendingReason.PREEMPTING
+            self.queue.placement_due = True
             return None
         handoff = None
         if not job.spec.gang and zones is not None:
             handoff = self.preemption.make_room(job, count, zones)
-        if handoff is None or self.e.shares.places_everywhere(job):
-            self.blocked[job.id] = "no room"
+        if handoff is None or self.e.partitions.places_everywhere(job):
+            self.queue.pending_reasons[job.id] = PendingReason.NO_CAPACITY
             return None
         return handoff
 
     def _request_step(
-        self, job: Job, rest: Job, placed: list[tuple[Room, int]], handoff: str | None
+        self, job: Job, rest: Job, placed: list[tuple[MachineCapacity, int]], handoff: str | None
     ) -> bool:
         """Write the step: what is settled, the new attempts, and who owns the job then."""
         view = self.e.replica.view
@@ -403,30 +404,30 @@
             new.handoff = (handoff, view.members[handoff])
         elif new.handoff and view.members.get(new.handoff[0]) != new.handoff[1]:
             new.handoff = None
-        if not self.e.fits(self.e.slim(new)):
+        if not self.e.codec.fits(self.e.codec.drop_needless_types(new)):
             # The record holds only so many attempts at a time: the rest of the
             # tasks wait until some are settled, the job is never stuck.
             for room, _ in placed:
-                self.e.rooms.touch(room.machine)
+                self.e.capacity_index.touch(room.machine)
             if job.spec.gang or len(placed) < 2:
-                self.blocked[job.id] = "record full"
+                self.queue.pending_reasons[job.id] = PendingReason.RECORD_FULL
                 return False
             return self._commit_part(job, new, placed)
         reserved = [(room.machine, job.spec, number) for room, number in placed]
         if self.writer.commit(job, new, self._priority(job), reserved):
             return True
         for machine, _, _ in reserved:
-            self.e.rooms.touch(machine)
+            self.e.capacity_index.touch(machine)
         return False
 
-    def _commit_part(self, job: Job, new: Job, placed: list[tuple[Room, int]]) -> bool:
+    def _commit_part(self, job: Job, new: Job, placed: list[tuple[MachineCapacity, int]]) -> bool:
         """The step with half of its machines, and half of that, until it fits."""
         new.handoff = job.handoff
-        while placed and not self.e.fits(new):
+        while placed and not self.e.codec.fits(new):
             drop = len(placed) - len(placed) // 2
             placed, new.attempts = placed[:-drop], new.attempts[:-drop]
         if not placed:
-            self.blocked[job.id] = "record full"
+            self.queue.pending_reasons[job.id] = PendingReason.RECORD_FULL
             return False
         return self.writer.commit(
             job,
--- a/appledock/core/store/client.py
+++ b/appledock/core/store/client.py
@@ -10,7 +10,9 @@
 from appledock import wire
 from appledock.core.events import StoreCall, StoreReply
 from appledock.core.runtime import Runtime
-from appledock.core.store.calls import (
+from appledock.core.store.keys import key_kind
+from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
+from appledock.core.store_calls import (
     Conflict,
     NotExecuted,
     NotExecutedReason,
@@ -21,8 +23,6 @@
     Transaction,
     WatchKeys,
 )
-from appledock.core.store.keys import key_kind
-from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
 
 log = logging.getLogger(__name__)
 
--- a/appledock/core/store/rate_limiter.py
+++ b/appledock/core/store/rate_limiter.py
@@ -9,7 +9,7 @@
 from enum import IntEnum
 
 from appledock import constants as c
-from appledock.core.store.calls import StoreOutcome, StoreRequest
+from appledock.core.store_calls import StoreOutcome, StoreRequest
 
 
 class Priority(IntEnum):
--- a/appledock/core/store/reader.py
+++ b/appledock/core/store/reader.py
@@ -8,7 +8,9 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.store.calls import (
+from appledock.core.store.keys import LIVE
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store_calls import (
     GetKey,
     HistoryCompacted,
     ListKeys,
@@ -19,11 +21,9 @@
     Watched,
     WatchKeys,
 )
-from appledock.core.store.keys import LIVE
-from appledock.core.store.rate_limiter import Priority
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
 class StateReader:
     """Keeps this controller's picture of the state service up to date."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.loaded = False
         self.loading = False
@@ -77,7 +77,7 @@
                     return
             self.read_keys(rest, then, failed)
 
-        self.engine.store(GetKey(key), Priority.USER, on_outcome)
+        self.engine.client.submit(GetKey(key), Priority.USER, on_outcome)
 
     # --- everything -------------------------------------------------------
     def _load(self) -> None:
@@ -100,7 +100,7 @@
             else:
                 self._loaded(rows, began)
 
-        self.engine.store(ListKeys(LIVE, after, c.LIST_LIMIT), Priority.LEASE, on_outcome)
+        self.engine.client.submit(ListKeys(LIVE, after, c.LIST_LIMIT), Priority.LEASE, on_outcome)
 
     def _loaded(self, rows: list[wire.Row], revision: int) -> None:
         self.engine.replica.load(rows, revision)
@@ -133,6 +133,6 @@
                         self.engine.now + c.RETRY_MIN_S + self.engine.rng.random() * 0.2
                     )
 
-        self.engine.store(
+        self.engine.client.submit(
             WatchKeys(c.KEY_ROOT, replica.revision, c.FOLLOW_BLOCK_MS), Priority.VIEW, on_outcome
         )
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from appledock import constants as c
-from appledock.core.jobs.dependencies import Dependencies
-from appledock.core.jobs.record import Attempt, Job, decode
-from appledock.core.store.capacity_records import CAPACITY, CapacityRecords
+from appledock.core.records.capacity import CAPACITY, CapacityRecords
+from appledock.core.records.dependencies import Dependencies
+from appledock.core.records.job import Attempt, Job, decode
 from appledock.core.store.keys import CATALOGUE, FINAL, FORMAT, JOBS, MEMBERS, SETTINGS, TEAMS, VIEW
 
 log = logging.getLogger(__name__)
--- a/appledock/core/workers/answers.py
+++ b/appledock/core/workers/answers.py
@@ -14,7 +14,7 @@
 from appledock.core.workers.table import WorkerTable
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -23,7 +23,7 @@
     """Answers reports as far as this controller may."""
 
     def __init__(
-        self, engine: Engine, workers: WorkerTable, gossip: Gossip, detachment: Detachment
+        self, engine: Controller, workers: WorkerTable, gossip: Gossip, detachment: Detachment
     ) -> None:
         self.engine = engine
         self.workers = workers
@@ -53,7 +53,7 @@
         worker = self.workers.table.get(report.worker)
         if worker is not None and worker.report is not None:
             self.engine.workers.learn(report)
-        self.engine.cancels.seen(report)
+        self.engine.cancellation.seen(report)
 
     def _answer_as_owner(self, request_id: int, report: wire.Report) -> None:
         member = self.engine.membership
--- a/appledock/core/workers/commands.py
+++ b/appledock/core/workers/commands.py
@@ -6,11 +6,11 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs.record import Attempt, Job
+from appledock.core.records.job import Attempt, Job
 from appledock.core.workers.record import TaskKey, Worker
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 Recorded = tuple[Job, Attempt]
@@ -20,7 +20,7 @@
 class Commands:
     """Makes the commands for a worker."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
 
     def commands(self, worker: Worker, direct: bool) -> list[wire.Command]:
--- a/appledock/core/workers/detachment.py
+++ b/appledock/core/workers/detachment.py
@@ -11,7 +11,7 @@
 from appledock.core.workers.table import WorkerTable
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -19,7 +19,7 @@
 class Detachment:
     """Finds such members, and finds out when we are one ourselves."""
 
-    def __init__(self, engine: Engine, workers: WorkerTable) -> None:
+    def __init__(self, engine: Controller, workers: WorkerTable) -> None:
         self.engine = engine
         self.workers = workers
         self.unanswered: dict[str, dict[str, float]] = {}
--- a/appledock/core/workers/evidence.py
+++ b/appledock/core/workers/evidence.py
@@ -5,12 +5,12 @@
 from typing import TYPE_CHECKING
 
 from appledock import wire
-from appledock.core.jobs.record import Attempt, Job
+from appledock.core.records.job import Attempt, Job
 from appledock.core.workers.record import TaskKey, Worker
 from appledock.core.workers.table import WorkerTable
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 DONE = "done"
 ERROR = "error"
@@ -25,7 +25,7 @@
     nothing and are not looked at here.
     """
 
-    def __init__(self, engine: Engine, workers: WorkerTable) -> None:
+    def __init__(self, engine: Controller, workers: WorkerTable) -> None:
         self.engine = engine
         self.workers = workers
 
--- a/appledock/core/workers/gossip.py
+++ b/appledock/core/workers/gossip.py
@@ -21,13 +21,13 @@
 from appledock.core.workers.table import WorkerTable
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class Gossip:
     """Passes reports and proofs on, and takes in those of the peers."""
 
-    def __init__(self, engine: Engine, workers: WorkerTable) -> None:
+    def __init__(self, engine: Controller, workers: WorkerTable) -> None:
         self.engine = engine
         self.workers = workers
         self.unchanged: set[str] = set()
@@ -58,7 +58,7 @@
         report = worker.report
         if report is None:
             return
-        changed = worker.id in self.engine.steps.changed_workers
+        changed = worker.id in self.engine.reconcile_queue.changed_workers
         if changed or self.engine.now - worker.passed_on >= c.PEER_RESEND_S:
             worker.passed_on = self.engine.now
             self._send_report(worker, report)
@@ -158,5 +158,5 @@
             if worker.session == row.session:
                 worker.heard_at = max(worker.heard_at, now - row.heard_s)
                 worker.well_at = max(worker.well_at, now - row.well_s)
-                if worker.id not in self.engine.rooms.table:
-                    self.engine.rooms.touch(worker.id)
+                if worker.id not in self.engine.capacity_index.table:
+                    self.engine.capacity_index.touch(worker.id)
--- a/appledock/core/workers/liveness.py
+++ b/appledock/core/workers/liveness.py
@@ -12,7 +12,7 @@
 from appledock.core.workers.table import WorkerTable
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
     from appledock.core.store.replica import View
 
 log = logging.getLogger(__name__)
@@ -21,7 +21,7 @@
 class Liveness:
     """Watches the workers' leases."""
 
-    def __init__(self, engine: Engine, workers: WorkerTable, gossip: Gossip) -> None:
+    def __init__(self, engine: Controller, workers: WorkerTable, gossip: Gossip) -> None:
         self.engine = engine
         self.workers = workers
         self.gossip = gossip
@@ -116,10 +116,10 @@
             self.workers.orders_due.add(name)
             if old is None or view.term != old.term + 1:
                 # A view in between may have had any owner.
-                worker.bound = max(worker.bound, now + self.engine.grant_s)
+                worker.bound = max(worker.bound, now + self.engine.runtime.lease_ttl_s)
                 continue
             owner = old.owner_of(name)
             if view.members.get(owner) != old.members[owner]:
                 worker.bound = max(worker.bound, now)
             elif owner != self.engine.settings.name:
-                worker.bound = max(worker.bound, now + self.engine.grant_s)
+                worker.bound = max(worker.bound, now + self.engine.runtime.lease_ttl_s)
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -6,8 +6,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs.record import Attempt, Job
 from appledock.core.messages import WorkerMessage
+from appledock.core.records.job import Attempt, Job
 from appledock.core.workers.answers import Answers
 from appledock.core.workers.commands import Commands
 from appledock.core.workers.detachment import Detachment
@@ -20,7 +20,7 @@
 from appledock.core.workers.table import WorkerTable
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
     from appledock.core.store.replica import View
 
 
@@ -31,7 +31,7 @@
     for here, as the rest of the core does.
     """
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         super().__init__(engine)
         self.reports = Reports(engine, self)
         self.gossip = Gossip(engine, self)
--- a/appledock/core/workers/orders.py
+++ b/appledock/core/workers/orders.py
@@ -13,7 +13,7 @@
 from appledock.core.workers.table import WorkerTable
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 class Orders:
     """Sends commands at once."""
 
-    def __init__(self, engine: Engine, workers: WorkerTable, gossip: Gossip) -> None:
+    def __init__(self, engine: Controller, workers: WorkerTable, gossip: Gossip) -> None:
         self.engine = engine
         self.workers = workers
         self.gossip = gossip
--- a/appledock/core/workers/reports.py
+++ b/appledock/core/workers/reports.py
@@ -7,12 +7,12 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.jobs.record import split_task
+from appledock.core.records.job import split_task
 from appledock.core.workers.record import ReportNumber, TaskKey, Worker
 from appledock.core.workers.table import WorkerTable
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -20,7 +20,7 @@
 class Reports:
     """Keeps each worker's row up to date with its reports."""
 
-    def __init__(self, engine: Engine, workers: WorkerTable) -> None:
+    def __init__(self, engine: Controller, workers: WorkerTable) -> None:
         self.engine = engine
         self.workers = workers
 
@@ -52,11 +52,11 @@
         worker.drop_void_launches(report.token, old is None or old.token != report.token)
         self._note_tasks(worker)
         if old is None or _differs(old, before, report, worker.tasks):
-            self.engine.steps.worker_changed(worker.id)
-            self.engine.rooms.touch(worker.id)
-            self.engine.queue_dirty = True
-        elif worker.id not in self.engine.rooms.table:
-            self.engine.rooms.touch(worker.id)
+            self.engine.reconcile_queue.changed_workers.add(worker.id)
+            self.engine.capacity_index.touch(worker.id)
+            self.engine.reconcile_queue.placement_due = True
+        elif worker.id not in self.engine.capacity_index.table:
+            self.engine.capacity_index.touch(worker.id)
         return True
 
     def _note_times(self, worker: Worker, report: wire.Report, well_s: float | None) -> None:
--- a/appledock/core/workers/table.py
+++ b/appledock/core/workers/table.py
@@ -9,13 +9,13 @@
 from appledock.core.workers.record import Worker
 
 if TYPE_CHECKING:
-    from appledock.core.engine import Engine
+    from appledock.core.controller import Controller
 
 
 class WorkerTable:
     """All workers known, by machine."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.table: dict[str, Worker] = {}
         self.gone: dict[str, float] = {}
@@ -32,7 +32,7 @@
             # Another controller may have answered it under a view it still
             # believes in; that ends within one lease from now.
             worker = self.table[name] = Worker(
-                name, bound=max(self.start_bound, self.engine.now + self.engine.grant_s)
+                name, bound=max(self.start_bound, self.engine.now + self.engine.runtime.lease_ttl_s)
             )
         return worker
 
@@ -45,9 +45,9 @@
         worker = self.get(machine)
         if session > worker.lapsed:
             worker.lapsed = session
-            self.engine.steps.worker_changed(machine)
-            self.engine.rooms.touch(machine)
-            self.engine.queue_dirty = True
+            self.engine.reconcile_queue.changed_workers.add(machine)
+            self.engine.capacity_index.touch(machine)
+            self.engine.reconcile_queue.placement_due = True
 
     def set_gone(self, machines: Iterable[str]) -> None:
         """These machines no longer exist."""
@@ -55,8 +55,8 @@
             if machine not in self.gone:
                 self.gone[machine] = self.engine.now
                 self.table.pop(machine, None)
-                self.engine.rooms.touch(machine)
-                self.engine.steps.worker_changed(machine)
+                self.engine.capacity_index.touch(machine)
+                self.engine.reconcile_queue.changed_workers.add(machine)
                 self.engine.rebalancer.speeds.forget(machine)
         if len(self.gone) > c.GONE_MAX:
             for machine in sorted(self.gone, key=self.gone.__getitem__)[: c.GONE_MAX // 2]:
--- a/appledock/rebalancing/scoring.py
+++ b/appledock/rebalancing/scoring.py
@@ -7,7 +7,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.scheduling.placement import Room, fetch_s, misplaced, tightness
+from appledock.core.machines.machine_capacity import MachineCapacity, fetch_s, tightness
+from appledock.core.scheduling.placement import misplaced
 from appledock.rebalancing.locality import DataSets
 from appledock.rebalancing.picture import Means, task_share
 from appledock.rebalancing.settings import ClassWeights, Rebalancing
@@ -32,7 +33,7 @@
     bound: float
     slowness: Callable[[str], float]
 
-    def score(self, room: Room) -> tuple[float, ...]:
+    def score(self, room: MachineCapacity) -> tuple[float, ...]:
         """No failures, the right kind, then the weighted sum."""
         return (
             float(room.strikes > 0),
@@ -40,7 +41,7 @@
             round(self._weighted(room), 6),
         )
 
-    def _weighted(self, room: Room) -> float:
+    def _weighted(self, room: MachineCapacity) -> float:
         weights, spec = self.weights, self.spec
         result = weights.locality * self.distance(room)
         if room.load is not None:
@@ -54,7 +55,7 @@
             result += weights.speed * self.slowness(room.machine)
         return result
 
-    def distance(self, room: Room) -> float:
+    def distance(self, room: MachineCapacity) -> float:
         """To the job's data; a team at its bound gains nothing by being close."""
         far = self.datasets.distance(self.spec, room.machine, room.type.name, room.zone)
         if far < 1.0 and room.load is not None:
@@ -64,7 +65,7 @@
                 return 1.0
         return far
 
-    def close(self, room: Room) -> bool:
+    def close(self, room: MachineCapacity) -> bool:
         """Does it hold the data of the job, with the team below its bound there?"""
         return (
             self.weights.locality > 0
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -8,14 +8,14 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.api.user_requests import Requests
-from appledock.core.jobs.cancellation import Cancels
-from appledock.core.jobs.record import Attempt, Job
+from appledock.core.api.user_requests import UserRequests
+from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.quota import quota
-from appledock.core.scheduling.reconciler import Steps
-from appledock.core.store.calls import StoreRequest, Transaction
+from appledock.core.records.job import Attempt, Job
+from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import JOBS
+from appledock.core.store_calls import StoreRequest, Transaction
 from appledock.core.workers import Worker, Workers
 
 Patch = pytest.MonkeyPatch
@@ -90,7 +90,7 @@
 
 
 def zones_unseen(patch: Patch) -> None:
-    patch.setattr(Steps, "zones", lambda self, job: {})
+    patch.setattr(Reconciler, "zones", lambda self, job: {})
 
 
 def no_job_version(patch: Patch) -> None:
@@ -107,14 +107,14 @@
 
 
 def all_is_accepted(patch: Patch) -> None:
-    patch.setattr(Requests, "verdict", lambda self, spec: None)
+    patch.setattr(UserRequests, "verdict", lambda self, spec: None)
 
 
 def no_word_of_mouth(patch: Patch) -> None:
     """Nor deletions: what is left is time, since leases end in `cancel_s`."""
-    patch.setattr(Cancels, "told", lambda *_: None)
-    patch.setattr(Cancels, "_halt", lambda *_: None)
-    patch.setattr(Cancels, "_delete", lambda *_: None)
+    patch.setattr(CancellationEnforcer, "told", lambda *_: None)
+    patch.setattr(CancellationEnforcer, "_halt", lambda *_: None)
+    patch.setattr(CancellationEnforcer, "_delete", lambda *_: None)
 
 
 def nothing_but_long_leases(patch: Patch) -> None:
@@ -135,9 +135,9 @@
 
 
 def answers_without_proof(patch: Patch) -> None:
-    def tell(self: Requests) -> None:
+    def tell(self: UserRequests) -> None:
         polls, self.polls = self.polls, []
         for asked in polls:
             self._tell(asked, True)
 
-    patch.setattr(Requests, "_prove", tell)
+    patch.setattr(UserRequests, "_prove", tell)
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -16,10 +16,10 @@
 from functools import partial
 from typing import Any
 
-from appledock.core.api.user_requests import Requests
-from appledock.core.engine import Engine
+from appledock.core.api.user_requests import UserRequests
+from appledock.core.controller import Controller
 from appledock.core.fleet import Fleet
-from appledock.core.scheduling.reconciler import Steps
+from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.keys import FINAL, TEAMS
 from appledock.core.workers import Workers
 from tests.standins import deployment
@@ -30,14 +30,14 @@
 PIPELINE_EVERY_S = 6
 """s between two pipelines"""
 WORK: list[tuple[str, type, str]] = [
-    ("batch", Engine, "handle"),
+    ("batch", Controller, "handle"),
     ("report", Workers, "on_report"),
     ("message of a peer", Workers, "on_peer"),
     ("look at leases", Workers, "tick"),
-    ("placement pass", Steps, "_place_all"),
+    ("placement pass", Reconciler, "_place_all"),
     ("fleet plan", Fleet, "_plan"),
     ("fleet returns", Fleet, "_return"),
-    ("proof of polls", Requests, "_prove"),
+    ("proof of polls", UserRequests, "_prove"),
     ("view change", Workers, "on_view"),
 ]
 
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -413,12 +413,30 @@
 
     MODULES: ClassVar[dict[str, str]] = {
         **BaselineCode.MODULES,
-        "jobs": "core.jobs.record",
+        "jobs": "core.records.job",
         "replica": "core.store.replica",
         "keys": "core.store.keys",
-        "calls": "core.store.calls",
+        "calls": "core.store_calls",
+        "engine": "core.controller",
     }
 
+    def controller(
+        self,
+        settings_file: bytes,
+        incarnation: str,
+        rng: random.Random,
+        rebalancing: Any = None,
+        capacity: Any = None,
+    ) -> Any:
+        settings = self.settings.parse(settings_file)
+        return self.engine.Controller(settings, incarnation, rng, rebalancing, capacity)
+
+    def healthy(self, controller: Any) -> bool:
+        return bool(controller.health.is_healthy())
+
+    def shares_in_force(self, controller: Any) -> bool:
+        return bool(controller.partitions.in_force())
+
     def store_reply(self, call: Any, outcome: str) -> Any:
         outcome_type = {"refused": self.calls.NotExecuted, "unknown": self.calls.UnknownOutcome}
         return self.events.StoreReply(self.call_id(call), outcome_type[outcome]())
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -13,10 +13,10 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.engine import Engine
+from appledock.core.controller import Controller
 from appledock.core.fleet.demand import queued_demand
 from appledock.core.fleet.machines import Machines
-from appledock.core.jobs.record import Job
+from appledock.core.records.job import Job
 from appledock.core.store.keys import VIEW
 from appledock.net.http import Answer, Server
 from appledock.net.peers import frame
@@ -134,7 +134,7 @@
 
 
 # --- links between controllers ---------------------------------------------------
-def owner_of_all() -> Engine:
+def owner_of_all() -> Controller:
     """An engine that owns 4,000 workers with eight tasks each."""
     e = engine()
     e.replica.put(VIEW, {"term": 5, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
@@ -189,7 +189,7 @@
 def test_a_view_holds_as_many_overrides_as_fit_a_value() -> None:
     """A hundred at most, those of machines long gone among them, whatever the value holds."""
     e = owner_of_all()
-    e.value_bytes = 14_000
+    e.client.max_value_bytes = 14_000
     wanted = {f"vm-{number:06d}": "n0" for number in range(250)}
     e.membership.want_override = dict(wanted)
     view = e.membership._next_view({"n0": "x.1"})
@@ -199,7 +199,7 @@
     e.workers.set_gone(gone)
     e.membership.want_override = {}
     assert set(e.membership._next_view({"n0": "x.1"}).overrides) == set(wanted) - set(gone)
-    e.value_bytes = 3000
+    e.client.max_value_bytes = 3000
     view = e.membership._next_view({"n0": "x.1"})
     assert len(view.overrides) > 30 and len(wire.encode(view.encode())) <= 3000
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -11,8 +11,8 @@
 from appledock.app import App
 from appledock.core import events as ev
 from appledock.core.events import StoreCall
-from appledock.core.store.calls import GetKey, NotExecuted, RenewLease, StoreOutcome, UnknownOutcome
 from appledock.core.store.rate_limiter import Priority
+from appledock.core.store_calls import GetKey, NotExecuted, RenewLease, StoreOutcome, UnknownOutcome
 from tests.standins.deployment import settings
 from tests.test_launches import NOW, leading
 
@@ -59,7 +59,7 @@
     """One job on which the steps failed kept all calls to the state service back: the
     controller lost its lease, and the next owner of that job did as well."""
     e = leading()
-    monkeypatch.setattr(e.steps, "tick", lambda: 1 / 0)
+    monkeypatch.setattr(e.reconciler, "tick", lambda: 1 / 0)
     effects = e.handle([ev.Tick()], NOW + c.TOUCH_EVERY_S, 0.0)
     requests = [x.request for x in effects if isinstance(x, StoreCall)]
     assert any(isinstance(request, RenewLease) for request in requests)
@@ -68,8 +68,8 @@
 def test_calls_given_up_together_all_hear_of_it() -> None:
     e = leading()
     heard: list[StoreOutcome] = []
-    e.budget.requests.level = e.budget.requests.rate = 0.0
-    e.store(GetKey("ad/a"), Priority.STEP, lambda reply: 1 / 0, 0.1)  # type: ignore[arg-type, return-value]
-    e.store(GetKey("ad/b"), Priority.STEP, heard.append, 0.1)
+    e.client.limiter.requests.level = e.client.limiter.requests.rate = 0.0
+    e.client.submit(GetKey("ad/a"), Priority.STEP, lambda reply: 1 / 0, 0.1)  # type: ignore[arg-type, return-value]
+    e.client.submit(GetKey("ad/b"), Priority.STEP, heard.append, 0.1)
     e.handle([], NOW + 1, 0.0)
     assert heard == [NotExecuted()]
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -8,12 +8,12 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.api.user_requests import Requests
-from appledock.core.jobs.dependencies import Dependencies
-from appledock.core.jobs.record import Attempt, Job
-from appledock.core.store.calls import GetKey, NotExecuted, Transaction, UnknownOutcome
+from appledock.core.api.user_requests import UserRequests
+from appledock.core.records.dependencies import Dependencies
+from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import FINAL, FORMAT, JOBS
 from appledock.core.store.replica import Replica
+from appledock.core.store_calls import GetKey, NotExecuted, Transaction, UnknownOutcome
 from tests.standins.chains import (
     DEEP,
     DIAMONDS,
@@ -119,7 +119,7 @@
     assert {world.judge.final[job][0] for job in world.judge.accepted} == {"withdrawn"}
     # Answered once its own record is proven, whatever the picture has of the others.
     monkeypatch.setattr(
-        Requests, "_tell_current", lambda self, asked, revision: self._tell(asked, False)
+        UserRequests, "_tell_current", lambda self, asked, revision: self._tell(asked, False)
     )
     assert "went_back" in lagging().judge.kinds()
 
@@ -190,7 +190,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        Requests, "_tell_current", lambda self, asked, revision: self._tell(asked, False)
+        UserRequests, "_tell_current", lambda self, asked, revision: self._tell(asked, False)
     )
     assert cancelled_at_the_root(1, DEEP)[2] != []
 
@@ -438,10 +438,10 @@
         Job(spec(id="job-1", rank="best_effort", sail_s=None), 0.0, 2, attempts=running)
     )
     standard = Job(spec(id="job-5", rank="standard"), 0.0, 3)
-    assert [victim.job.id for victim in e.steps.preemption.victims(standard, room)] == ["job-1"]
+    assert [victim.job.id for victim in e.preemption.victims(standard, room)] == ["job-1"]
     e.replica.set_job(Job(spec(id="job-2", rank="urgent", tethers=["job-1"]), 0.0, 4))
     assert e.rank(e.replica.jobs["job-1"]) == wire.RANKS["urgent"]
-    assert e.steps.preemption.victims(standard, room) == []
+    assert e.preemption.victims(standard, room) == []
     # Nor does its inherited rank stop others: that of `standard` is lower than urgent.
     e.replica.set_job(
         Job(
@@ -453,4 +453,4 @@
     )
     e.workers.get("vm-2")
     other = type("Place", (), {"machine": "vm-2", "session": 1})()
-    assert e.steps.preemption.victims(e.replica.jobs["job-1"], other) == []
+    assert e.preemption.victims(e.replica.jobs["job-1"], other) == []
--- a/tests/test_compact.py
+++ b/tests/test_compact.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from appledock import wire
-from appledock.core.jobs import attempt_groups as compact
-from appledock.core.jobs.intervals import IntervalSet
-from appledock.core.jobs.record import Attempt, Job, decode
+from appledock.core.records import attempt_groups as compact
+from appledock.core.records.intervals import IntervalSet
+from appledock.core.records.job import Attempt, Job, decode
 from tests.test_requests import spec
 
 MACHINES = st.one_of(
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -10,16 +10,16 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.engine import Engine
+from appledock.core.controller import Controller
 from appledock.core.fleet import Returning
-from appledock.core.store.calls import Transaction
 from appledock.core.store.keys import CATALOGUE
+from appledock.core.store_calls import Transaction
 from tests.test_launches import NOW, leading, report
 
 IDLE = {"kind": "cordon", "worker": "vm-1", "why": "idle"}
 
 
-def live_on(e: Engine, seconds: float) -> list[ev.Effect]:
+def live_on(e: Controller, seconds: float) -> list[ev.Effect]:
     """The machine goes on reporting, the controller keeps its authority."""
     effects: list[ev.Effect] = []
     for step in range(int(seconds)):
@@ -29,13 +29,13 @@
     return effects
 
 
-def said(e: Engine) -> list[Any]:
+def said(e: Controller) -> list[Any]:
     """What the peers are told now, as it comes to them."""
     effects = e.handle([], NOW, 0.0)
     return [json.loads(wire.encode(x.message)) for x in effects if isinstance(x, ev.PeerSend)]
 
 
-def follower() -> Engine:
+def follower() -> Controller:
     e = leading()
     e.handle([ev.Reported(1, report(1))], NOW, 0.0)
     view = e.replica.view
@@ -89,12 +89,12 @@
         catalogue._on_types(ev.CloudReply(0, ev.CloudOutcome.OK, wire.MachineTypes(types)))
         plans = [
             call.request
-            for queue in e.budget.queues
+            for queue in e.client.limiter.queues
             for call in queue
             if isinstance(call.request, Transaction)
         ]
         puts = [put for plan in plans for put in plan.writes if put.key == CATALOGUE]
-        for queue in e.budget.queues:
+        for queue in e.client.limiter.queues:
             queue.clear()
         if puts:
             version = e.replica.catalogue[0] + 1
