--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,16 +13,17 @@
 from appledock import wire
 from appledock.core.fleet import MachineKind
 from appledock.core.fleet.model import BootingMachine
-from appledock.core.jobs.record import Attempt, Job, decode
+from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.messages import Heartbeat
 from appledock.core.quota import quota
+from appledock.core.records.job import Attempt, Job, decode
 from appledock.core.scheduling import placement, preemption
 from appledock.core.scheduling.objectives import Objectives
-from appledock.core.scheduling.placement import Room, Sampling
-from appledock.core.store.calls import Put, Transaction
+from appledock.core.scheduling.placement import Sampling
 from appledock.core.store.keys import JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
 from appledock.core.store.replica import Replica, View
+from appledock.core.store_calls import Put, Transaction
 from appledock.settings import Objective
 from tests.test_grown import owner_of_nothing
 from tests.test_requests import engine, spec
@@ -38,8 +39,8 @@
     spot: bool = False,
     memory: float = 16,
     images: frozenset[str] = frozenset(),
-) -> Room:
-    return Room(name, KIND, zone, spot, 1, cpus, 0, memory, images)
+) -> MachineCapacity:
+    return MachineCapacity(name, KIND, zone, spot, 1, cpus, 0, memory, images)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -255,7 +256,7 @@
     ]
     e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, tasks=tasks))
     high = Job(spec(id="job-9", rank="production"), 0)
-    found = e.steps.preemption.victims(high, room("vm-1", 0))
+    found = e.preemption.victims(high, room("vm-1", 0))
     assert [victim.task for victim in found] == [1]
 
 
@@ -342,7 +343,7 @@
     cores: float, tasks: int, spot: bool, kind: tuple[str, str, bool]
 ) -> None:
     e = engine()
-    e.types = {"h4": KIND, "h8": BIG}
+    e.machine_types.update({"h4": KIND, "h8": BIG})
     offers = e.fleet.offers
     job = spec(cores=cores, standby=spot, crates=tasks, memory_gb=1.0)
     assert offers.cheapest(job, tasks) == kind
@@ -376,10 +377,10 @@
     e = engine()
     job = Job(spec(crates=4), 0, 5)
     job.attempts.append(Attempt("vm-1", 1, 1, 1, False, {0, 1, 2}))
-    e.steps.writer.busy.add(job.id)
-    e.steps.stop(job.id, "vm-1", {0})
-    e.steps.stop(job.id, "vm-1", {2})
-    assert e.steps._apply_stops(job)
+    e.job_writer.busy.add(job.id)
+    e.reconciler.stop(job.id, "vm-1", {0})
+    e.reconciler.stop(job.id, "vm-1", {2})
+    assert e.reconciler._apply_stops(job)
     assert sorted((a.stopping, sorted(a.tasks)) for a in job.attempts) == [
         (False, [1]),
         (True, [0, 2]),
@@ -395,7 +396,7 @@
         e.replica.set_job(job)
     e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, True, notice_s=9.0))
     e.fleet.cordons.drain(())
-    assert e.steps.stops == {"job-1": {"vm-1": {0}}}
+    assert e.reconciler.stops == {"job-1": {"vm-1": {0}}}
 
 
 def test_machines_that_died_idle_are_given_back_too() -> None:
@@ -429,7 +430,7 @@
 
 def test_room_for_a_service_is_made_where_its_image_is() -> None:
     e = engine()
-    e.types = {"h4": KIND}
+    e.machine_types.update({"h4": KIND})
     e.replica.put("ad/live/view", {"term": 1, "members": {"n0": "x"}, "leader": "n0"}, 1)
     for number in range(200):
         name, task = f"vm-{number:03}", f"job-{number + 100}"
@@ -449,12 +450,12 @@
             )
         )
     e.workers.table["vm-150"].images["img"] = e.now
-    e.rooms.touch_all()
-    e.rooms.refresh()
-    assert e.rooms.holders["img"] == {"vm-150"}
+    e.capacity_index.touch_all()
+    e.capacity_index.refresh()
+    assert e.capacity_index.holders["img"] == {"vm-150"}
     high = Job(spec(id="job-9", rank="production", shape="daemon", cores=4.0, crates=1), 0)
-    assert e.steps.preemption.better(high, [], {}) == "n0"
-    assert e.steps.preemption.claimed == {"vm-150": "job-9"}
+    assert e.preemption.better(high, [], {}) == "n0"
+    assert e.preemption.claimed == {"vm-150": "job-9"}
 
 
 def test_idle_machines_are_kept_while_tasks_queue_that_fit_them() -> None:
@@ -463,12 +464,12 @@
 
     def returned(size: float) -> set[str]:
         e = engine()
-        e.types = {"h4": KIND}
+        e.machine_types.update({"h4": KIND})
         e.replica.put("ad/live/view", {"term": 1, "members": {"n0": "x"}, "leader": "n0"}, 1)
         e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1))
         e.workers.table["vm-1"].idle_since = e.now - 20
         e.replica.set_job(Job(spec(cores=size), 0, 5))
-        e.rooms.refresh()
+        e.capacity_index.refresh()
         e.fleet._return(e.fleet._demand())
         return set(e.fleet.returns.returning)
 
@@ -478,13 +479,13 @@
 
 def test_arrays_hold_no_room_while_users_and_services_wait_for_writes() -> None:
     e = engine()
-    assert not e.steps.pacing.hold_back()
+    assert not e.pacing.hold_back()
     for _ in range(5):
-        e.budget.add(call(Priority.USER, 1))
+        e.client.limiter.add(call(Priority.USER, 1))
     held = []
     for _ in range(50):  # ten seconds
         e.now += 0.2
-        held.append(e.steps.pacing.hold_back())
+        held.append(e.pacing.hold_back())
     assert held[:14] == [True] * 14
     assert 2 <= held.count(False) <= 4  # held back, but not for ever
 
@@ -494,11 +495,11 @@
     them after a wave of lost machines, arrays of the others took two thirds."""
     e = engine()
     e.heartbeats.on_peer(Heartbeat("n1", 0.1, writes=9.0, pressed=True))
-    assert e.steps.pacing.hold_back()
+    assert e.pacing.hold_back()
     e.now += c.HEARTBEAT_LOST_S + 1
-    assert not e.steps.pacing.hold_back()  # it may be over since: nobody is heard
+    assert not e.pacing.hold_back()  # it may be over since: nobody is heard
     e.heartbeats.on_peer(Heartbeat("n1", 0.1, writes=9.0, pressed=False))
-    assert not e.steps.pacing.hold_back()
+    assert not e.pacing.hold_back()
 
 
 def test_objectives_order_arrays_by_class_and_unknown_ones_are_ignored(
@@ -543,26 +544,30 @@
     """A step that waited for its write kept the record busy, so that stops came too late
     for those they made room for, and kept machines from services."""
     e = owner_of_nothing()
-    e.types = {"h4": KIND}
+    e.machine_types.update({"h4": KIND})
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
     mine = [f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0"]
     vm = next(f"vm-{i}" for i in range(99) if e.replica.owner_of(f"vm-{i}") == "n0")
     e.workers.learn(wire.Report(vm, "10.0.0.9:9", "h4", "a", 1, 1, 5))
     array = Job(spec(id=mine[0], crates=4), 0.0, 2)
     e.replica.set_job(array)
-    e.budget.writes.rate, e.budget.max_write_rate, e.budget.writes.level = 0.0, 0.0, -9.0
+    e.client.limiter.writes.rate, e.client.limiter.max_write_rate, e.client.limiter.writes.level = (
+        0.0,
+        0.0,
+        -9.0,
+    )
     e.handle([], e.now + 0.2, 0.0)
-    assert e.rooms.reserved_on == {vm: {mine[0]: 4}} and mine[0] in e.steps.writer.busy
+    assert e.capacity_index.reserved_on == {vm: {mine[0]: 4}} and mine[0] in e.job_writer.busy
     service = Job(spec(id=mine[1], crates=1, cores=4.0, rank="production", shape="daemon"), 0.0, 3)
     e.replica.set_job(service)
     for _ in range(3):
         e.membership.touch_sent = e.membership.view_sent = e.now
         e.handle([], e.now + 0.11, 0.0)
-    assert e.rooms.reserved_on == {vm: {mine[1]: 1}}
-    assert mine[0] not in e.steps.writer.busy and mine[1] in e.steps.writer.busy
+    assert e.capacity_index.reserved_on == {vm: {mine[1]: 1}}
+    assert mine[0] not in e.job_writer.busy and mine[1] in e.job_writer.busy
     # A stop takes the waiting write of its own job back too, but not an urgent one.
-    e.steps.stop(mine[1], vm, {0})
-    assert mine[1] in e.steps.writer.busy
+    e.reconciler.stop(mine[1], vm, {0})
+    assert mine[1] in e.job_writer.busy
 
 
 def test_lists_of_finished_tasks_are_written_often_only_for_a_team_at_its_limit() -> None:
@@ -571,16 +576,16 @@
     one, other = Job(spec(id="job-000001"), 0.0, 1), Job(spec(id="job-000002"), 0.0, 2)
     e.replica.set_job(one)
     e.replica.set_job(other)
-    assert e.steps.pacing.progress_every(one) == c.PROGRESS_RELAXED_S
-    e.steps.blocked["job-000002"] = "team limit"
-    e.budget.writes.level = 0.0
-    assert e.steps.pacing.progress_every(one) == c.PROGRESS_EVERY_S
-    e.budget.writes.level = e.budget.writes.rate
-    assert e.steps.pacing.progress_every(one) == c.PROGRESS_SPARE_S  # nobody lacks these writes
-    e.steps.blocked["job-000002"] = "no room"
+    assert e.pacing.progress_every(one) == c.PROGRESS_RELAXED_S
+    e.reconcile_queue.pending_reasons["job-000002"] = "team limit"
+    e.client.limiter.writes.level = 0.0
+    assert e.pacing.progress_every(one) == c.PROGRESS_EVERY_S
+    e.client.limiter.writes.level = e.client.limiter.writes.rate
+    assert e.pacing.progress_every(one) == c.PROGRESS_SPARE_S  # nobody lacks these writes
+    e.reconcile_queue.pending_reasons["job-000002"] = "no room"
     for _ in range(c.CROWDED + 1):
-        e.store(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
-    assert e.steps.pacing.progress_every(one) == c.PROGRESS_CROWDED_S
+        e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
+    assert e.pacing.progress_every(one) == c.PROGRESS_CROWDED_S
 
 
 def test_charges_are_given_back_soon_where_another_controllers_jobs_lack_the_limit() -> None:
@@ -598,9 +603,9 @@
     waiting = Job(spec(id="job-000002", crates=1, owner="red", cores=2.0), 0.0, 2)
     e.replica.set_job(waiting)
     e.quota.forget_caches()
-    assert e.quota.exhausted("red") and not e.steps.blocked
-    e.budget.writes.level = e.budget.writes.rate
-    assert e.steps.pacing.progress_every(running) == c.PROGRESS_SPARE_S
+    assert e.quota.exhausted("red") and not e.reconcile_queue.pending_reasons
+    e.client.limiter.writes.level = e.client.limiter.writes.rate
+    assert e.pacing.progress_every(running) == c.PROGRESS_SPARE_S
 
 
 def test_a_launch_of_an_earlier_term_asks_for_no_further_one() -> None:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from appledock import wire
-from appledock.core.jobs.record import Job
+from appledock.core.records.job import Job
 from appledock.core.store.keys import FINAL, JOBS
 from appledock.core.store.replica import Replica
 from tests.test_requests import spec
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -10,9 +10,9 @@
 from appledock import wire
 from appledock.core.fleet.forecast import Forecast
 from appledock.core.fleet.model import Demand
-from appledock.core.jobs.record import Job
-from appledock.core.store.calls import Put, Transaction
+from appledock.core.records.job import Job
 from appledock.core.store.rate_limiter import Priority
+from appledock.core.store_calls import Put, Transaction
 from tests.standins import chains
 from tests.standins.world import World
 from tests.test_grown import owner_of_nothing, report
@@ -86,11 +86,11 @@
 def test_idle_machines_are_kept_for_a_coming_stage_only_as_far_as_it_needs_them() -> None:
     """Kept for any coming stage, nearly all idle machines stayed."""
     e = owner_of_nothing()
-    e.types = {"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])}
+    e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
     names = [f"vm-{number:06d}" for number in range(6)]
     for name in names:
         e.workers.learn(report(name, 1))
-    e.rooms.refresh()
+    e.capacity_index.refresh()
     returns = e.fleet.returns
     stage = Job(spec(id="job-000001", crates=9, cores=2.0, memory_gb=1.0), 0.0, 1)
 
@@ -106,14 +106,14 @@
 def test_arrays_gather_room_for_a_larger_step_while_writes_lack() -> None:
     e = owner_of_nothing()
     job = Job(spec(id="job-000001", crates=30), 0.0, 1)
-    assert not e.steps.pacing.gathers(job, job, 2)
+    assert not e.pacing.gathers(job, job, 2)
     for _ in range(c.CROWDED + 1):
-        e.store(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
-    assert not e.steps.pacing.gathers(job, job, c.GATHER_TASKS)
-    assert e.steps.pacing.gathers(job, job, 2)
+        e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
+    assert not e.pacing.gathers(job, job, c.GATHER_TASKS)
+    assert e.pacing.gathers(job, job, 2)
     nearly_done = Job(spec(id="job-000002", crates=2), 0.0, 1)
-    assert not e.steps.pacing.gathers(nearly_done, nearly_done, 2)
+    assert not e.pacing.gathers(nearly_done, nearly_done, 2)
     service = Job(spec(id="job-000003", crates=4, shape="daemon"), 0.0, 1)
-    assert not e.steps.pacing.gathers(service, service, 1)
+    assert not e.pacing.gathers(service, service, 1)
     e.now += c.GATHER_STEP_S
-    assert not e.steps.pacing.gathers(job, job, 2)
+    assert not e.pacing.gathers(job, job, 2)
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -13,14 +13,14 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.api.user_requests import Requests
-from appledock.core.engine import Engine
-from appledock.core.jobs.record import Attempt, Job, decode
+from appledock.core.api.user_requests import UserRequests
+from appledock.core.controller import Controller
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.messages import Heartbeat
-from appledock.core.scheduling.reconciler import Steps
-from appledock.core.store.calls import Transaction
+from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.keys import JOBS, VIEW
+from appledock.core.store_calls import Transaction
 from appledock.core.workers import Worker, Workers
 from tests.standins.world import World
 from tests.test_requests import engine, spec
@@ -127,7 +127,7 @@
     assert copies_of_a_dead_machine() != set()
 
 
-def owner_of_nothing() -> Engine:
+def owner_of_nothing() -> Controller:
     """An engine that acts under a view in which `n1` owns the machine `vm-x`."""
     e = engine()
     e.replica.put(
@@ -168,8 +168,8 @@
     for step in range(40):
         world.clock.run(25.0 + step / 4)
         for node in world.nodes.values():
-            node.engine.rooms.refresh()
-            assert len(node.engine.rooms.table) == up
+            node.engine.capacity_index.refresh()
+            assert len(node.engine.capacity_index.table) == up
 
 
 def test_copies_at_a_stranger_move_no_worker(monkeypatch: Patch) -> None:
@@ -205,12 +205,12 @@
     healthy = []
     for step in range(25):
         world.clock.run(24.0 + step)
-        healthy.append(world.nodes["n1"].engine.healthy())
+        healthy.append(world.nodes["n1"].engine.health.is_healthy())
     world.clock.run(120.0)
     assert world.judge.broken == []
     assert world.judge.day_end(peace=50.0) == []
     assert world.unfinished() == []
-    assert world.nodes["n1"].engine.healthy()
+    assert world.nodes["n1"].engine.health.is_healthy()
     return healthy, world
 
 
@@ -226,7 +226,7 @@
     world.state.outage(12.0)
     for step in range(12):
         world.clock.run(12.0 + step)
-        assert all(node.engine.healthy() for node in world.nodes.values())
+        assert all(node.engine.health.is_healthy() for node in world.nodes.values())
 
 
 def test_jobs_of_a_controller_that_is_shut_out_do_not_wait_for_its_lease(
@@ -258,10 +258,10 @@
     not hear that the machine is gone."""
     names = [f"vm-{i}" for i in range(6)]
 
-    def returned() -> tuple[Engine, set[str]]:
+    def returned() -> tuple[Controller, set[str]]:
         e = owner_of_nothing()
         e.fleet.led_since = e.now - 60
-        e.types = {"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])}
+        e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
         for name in names:
             e.workers.learn(report(name, 1))
             e.workers.table[name].idle_since = e.now - 50
@@ -307,7 +307,7 @@
         assert world.judge.day_end(peace=50.0) == []
         assert world.unfinished() == []
     # Without the term in the settlement of launches never seen, this breaks.
-    monkeypatch.setattr(Steps, "_watch_lost", lambda self: None)
+    monkeypatch.setattr(Reconciler, "_watch_lost", lambda self: None)
     verdict = Workers.verdict
 
     def hasty(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
@@ -342,9 +342,9 @@
 
 def test_a_job_about_which_nobody_answers_is_noticed(monkeypatch: Patch) -> None:
     world = World(10)
-    poll = Requests.poll
+    poll = UserRequests.poll
     monkeypatch.setattr(
-        Requests, "poll", lambda self, cmd: poll(self, cmd) if cmd.job != "job-000002" else None
+        UserRequests, "poll", lambda self, cmd: poll(self, cmd) if cmd.job != "job-000002" else None
     )
     for number in (1, 2, 3):
         world.clock.at(1.0, lambda n=number: world.submit(small(world, n, True), None))
@@ -358,8 +358,8 @@
 def test_a_step_that_does_not_fit_its_record_is_made_smaller() -> None:
     """A record over the limit of the state service blocked its job for ever."""
     e = owner_of_nothing()
-    e.types = {"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])}
-    e.value_bytes = 1500
+    e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
+    e.client.max_value_bytes = 1500
     e.membership.incarnation = "x.1"
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
     for number in range(300):
@@ -379,7 +379,7 @@
     puts = [put.value for plan in plans for put in plan.writes if put.key == JOBS + job_id]
     assert len(puts) == 1
     assert 5 < len(puts[0]["open"]) < 60
-    assert len(wire.encode(puts[0])) <= e.value_bytes
+    assert len(wire.encode(puts[0])) <= e.client.max_value_bytes
 
 
 def test_one_silent_machine_gives_no_new_term() -> None:
@@ -398,7 +398,7 @@
             e.now += 1.0
             if not silent:
                 e.workers.learn(report("vm-1", 2 + step))
-            Steps._watch_lost(e.steps)
+            Reconciler._watch_lost(e.reconciler)
         return e.membership.want_term
 
     assert wants(silent=False)
--- a/tests/test_intervals.py
+++ b/tests/test_intervals.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from appledock.core.jobs.intervals import IntervalSet
+from appledock.core.records.intervals import IntervalSet
 
 
 @settings(derandomize=True, max_examples=200)
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -4,7 +4,8 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.store.calls import (
+from appledock.core.store.keys import VIEW
+from appledock.core.store_calls import (
     Acknowledged,
     GetKey,
     GrantLease,
@@ -13,7 +14,6 @@
     RenewLease,
     Transaction,
 )
-from appledock.core.store.keys import VIEW
 from tests.test_requests import engine
 
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -5,11 +5,11 @@
 import pytest
 
 from appledock import wire
-from appledock.core.api.user_requests import Requests
-from appledock.core.jobs.cancellation import Cancels
-from appledock.core.jobs.record import Attempt, Job
+from appledock.core.api.user_requests import UserRequests
+from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.membership.membership import Membership
 from appledock.core.quota import quota
+from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
 from appledock.core.workers import Workers
 from tests.guards import absence_settles, no_job_version, silence_settles
@@ -99,12 +99,12 @@
 
 
 def test_answers_without_proof(monkeypatch: Patch) -> None:
-    def tell(self: Requests) -> None:
+    def tell(self: UserRequests) -> None:
         polls, self.polls = self.polls, []
         for asked in polls:
             self._tell(asked, True)
 
-    monkeypatch.setattr(Requests, "_prove", tell)
+    monkeypatch.setattr(UserRequests, "_prove", tell)
     assert kinds(range(10), "isolate", "crash") & {"went_back", "forgotten"}
 
 
@@ -120,15 +120,17 @@
         ],
     )
     assert "ran_cancelled" not in play(0, seconds=110.0).judge.kinds()
-    monkeypatch.setattr(Cancels, "_halt", lambda *_: None)
+    monkeypatch.setattr(CancellationEnforcer, "_halt", lambda *_: None)
     deleted: list[str] = []
-    delete = Cancels._delete
+    delete = CancellationEnforcer._delete
     monkeypatch.setattr(
-        Cancels, "_delete", lambda self, names: (deleted.extend(names), delete(self, names))[1]
+        CancellationEnforcer,
+        "_delete",
+        lambda self, names: (deleted.extend(names), delete(self, names))[1],
     )
     assert "ran_cancelled" not in play(0, seconds=110.0).judge.kinds()
     assert deleted
-    monkeypatch.setattr(Cancels, "_delete", lambda *_: None)
+    monkeypatch.setattr(CancellationEnforcer, "_delete", lambda *_: None)
     assert "ran_cancelled" in kinds(range(1))
 
 
--- a/tests/test_launches.py
+++ b/tests/test_launches.py
@@ -6,15 +6,15 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.engine import Engine
-from appledock.core.jobs.record import Attempt, Job
+from appledock.core.controller import Controller
+from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import MEMBERS, VIEW
 from tests.test_requests import engine, spec
 
 NOW = 200.0
 
 
-def leading(now: float = NOW) -> Engine:
+def leading(now: float = NOW) -> Controller:
     """The only member of its view, with authority, and one machine that reports."""
     e = engine()
     e.reader.watching = True
@@ -32,7 +32,7 @@
     return wire.Report("vm-1", "10.0.0.9:1", "h4", "a", 1, seq, token, False, None, tasks or [])
 
 
-def running(e: Engine, version: int, stopping: bool = False) -> Job:
+def running(e: Controller, version: int, stopping: bool = False) -> Job:
     job = Job(spec(crates=1), 0, version, 1)
     job.attempts.append(Attempt("vm-1", 1, 1, 1, stopping, {0}))
     e.replica.set_job(job)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -7,8 +7,8 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.jobs.record import Job
-from appledock.core.store.calls import Put, Transaction
+from appledock.core.records.job import Job
+from appledock.core.store_calls import Put, Transaction
 from tests.standins.world import World
 from tests.test_grown import owner_of_nothing
 from tests.test_requests import spec
@@ -107,7 +107,7 @@
     """A job is ours by hand-off, we own no machine, and nothing more happens: is it handed
     on to the controller whose machine is free?"""
     e = owner_of_nothing()
-    e.types = {"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])}
+    e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
     name = next(f"vm-{i}" for i in range(99) if e.replica.owner_of(f"vm-{i}") == "n1")
     e.replica.set_job(Job(spec(owner="red", crates=2), e.wall, 5, handoff=("n0", "x.1")))
--- a/tests/test_old_words.py
+++ b/tests/test_old_words.py
@@ -56,15 +56,18 @@
     e.handle([ev.PeerMessage(stop)], NOW, 0.0)
     job.handoff = ("n0", "x.1")
     e.handle([ev.PeerMessage(stop)], NOW, 0.0)
-    assert [bool(e.steps.stops), bool(e.steps.writer.calls)] == [False, True]  # that one is written
-    del e.steps.writer.calls[job.id]
-    e.steps.writer.busy.clear()
+    assert [bool(e.reconciler.stops), bool(e.job_writer.calls)] == [
+        False,
+        True,
+    ]  # that one is written
+    del e.job_writer.calls[job.id]
+    e.job_writer.busy.clear()
     job.handoff = ("n1", "y")
     e.handle([ev.PeerMessage(stop)], NOW + 1, 0.0)
     job.handoff = ("n0", "x.1")
-    e.steps.dirty.add(job.id)
+    e.reconcile_queue.jobs.add(job.id)
     e.handle([ev.Tick()], NOW + 2, 0.0)
-    assert not e.steps.writer.calls
+    assert not e.job_writer.calls
 
 
 @pytest.mark.parametrize("why", ["mute", "silent", "never came up", "failed"])
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -7,9 +7,9 @@
 from appledock import wire
 from appledock.core import events as ev
 from appledock.core.fleet import Fleet
+from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.quota import quota
-from appledock.core.scheduling import placement
-from appledock.core.store.calls import Transaction
+from appledock.core.store_calls import Transaction
 from tests.standins.world import World
 from tests.test_launches import NOW, leading
 from tests.test_requests import spec
@@ -22,7 +22,7 @@
     for every job, and so did the fleet's plan and, behind it, the answers to users."""
     job = spec(**{"crates": 7, "cores": 0.0, "memory_gb": 0.0, field: size})
     kind = wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a"], gpus=1.0)
-    room = placement.Room("m", kind, "a", False, 1, 4, 1, 16)
+    room = MachineCapacity("m", kind, "a", False, 1, 4, 1, 16)
     assert quota.Amounts(5.0, 1.0).count(job) == 7
     assert room.count(job) == 100_000
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -18,7 +18,8 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.cli import main
-from appledock.core.scheduling.placement import Room, Sampling, place
+from appledock.core.machines.machine_capacity import MachineCapacity
+from appledock.core.scheduling.placement import Sampling, place
 from appledock.rebalancing.locality import DataSets
 from appledock.rebalancing.picture import Load, MachineLoad, Means, RunningTask, means
 from appledock.rebalancing.planner import Obstacle, Plan, Planner
@@ -213,7 +214,7 @@
             if where == number
         ]
         for task in row.tasks:
-            row.take(task.spec, 1)
+            row.reserve(task.spec, 1)
         row.smoothed = self.smoothed.get(number, row.load).followed(row.load, self.lag)
         return row
 
@@ -433,7 +434,7 @@
     rows = fleet.rows()
     for number, tasks in by_machine.items():
         for task in tasks:
-            rows[number].take(task.spec, 1)
+            rows[number].reserve(task.spec, 1)
 
     def read(row: MachineLoad) -> list[RunningTask]:
         nonlocal reads
@@ -448,14 +449,16 @@
 
 
 # --- placement ---------------------------------------------------------------
-def rooms(count: int) -> list[Room]:
+def rooms(count: int) -> list[MachineCapacity]:
     return [
-        Room(f"m{n}", KIND, "ab"[n % 2], False, 1, 4, 0, 16, {"img-0"}, load=Load())
+        MachineCapacity(f"m{n}", KIND, "ab"[n % 2], False, 1, 4, 0, 16, {"img-0"}, load=Load())
         for n in range(count)
     ]
 
 
-def placed_on(rebalancing: Rebalancing, count: int, tasks: int, fleet: list[Room]) -> list[int]:
+def placed_on(
+    rebalancing: Rebalancing, count: int, tasks: int, fleet: list[MachineCapacity]
+) -> list[int]:
     """Tasks on each machine after `tasks` single placements of class `svc`, team red."""
     scoring = Scoring(rebalancing, DataSets(rebalancing.datasets), lambda machine: 1.0)
     for number in range(tasks):
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -10,11 +10,11 @@
 from appledock import wire
 from appledock.adapters import users
 from appledock.core import events as ev
-from appledock.core.engine import Engine
-from appledock.core.jobs.record import Job
-from appledock.core.store.calls import GetKey, NotExecuted, Transaction, WatchKeys
+from appledock.core.controller import Controller
+from appledock.core.records.job import Job
 from appledock.core.store.keys import FINAL, FORMAT, JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority
+from appledock.core.store_calls import GetKey, NotExecuted, Transaction, WatchKeys
 from tests.standins.deployment import settings
 
 SPEC = {
@@ -41,10 +41,10 @@
 }
 
 
-def engine() -> Engine:
-    e = Engine(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1))
+def engine() -> Controller:
+    e = Controller(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1))
     e.reader.loaded = True
-    e.types = {"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])}
+    e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
     e.handle([], 100.0, 0.0)
     return e
 
@@ -131,9 +131,9 @@
 def test_types_that_no_zone_offers_are_no_machines() -> None:
     """Jobs were accepted that no machine could ever be rented for."""
     e = engine()
-    e.types = {"h4": msgspec.structs.replace(e.types["h4"], zones=[])}
-    assert e.requests.verdict(spec()) == e.requests.verdict(spec(quay="a")) != ""
-    assert e.requests.verdict(spec()) is not None
+    e.machine_types.update({"h4": msgspec.structs.replace(e.machine_types["h4"], zones=[])})
+    assert e.user_requests.verdict(spec()) == e.user_requests.verdict(spec(quay="a")) != ""
+    assert e.user_requests.verdict(spec()) is not None
 
 
 def test_a_repeated_submission_of_a_long_description_is_not_refused() -> None:
@@ -213,7 +213,7 @@
 
 def test_conflicts_are_counted_by_kind_of_key() -> None:
     e = engine()
-    e.store(
+    e.client.submit(
         Transaction({TEAMS + "red": 1, FINAL + "job-1": 0}),
         Priority.USER,
         lambda reply: None,
@@ -227,7 +227,7 @@
     assert e.client.conflicts == {"teams": 1, "final": 1}
 
 
-def interleaved(e: Engine, effects: list[ev.Effect], job: str) -> list[ev.Effect]:
+def interleaved(e: Controller, effects: list[ev.Effect], job: str) -> list[ev.Effect]:
     """The job's open record is read and is there. Before its final one is read and is not,
     the job ends, and the read of another request shows that the open record is gone."""
     (read,) = calls(effects, GetKey)
@@ -241,7 +241,7 @@
     return e.handle([ev.StoreReply(read.call_id, wire.Missing(6))], 100.4, 0.0)
 
 
-def read_again(e: Engine, effects: list[ev.Effect], job: str) -> list[ev.Effect]:
+def read_again(e: Controller, effects: list[ev.Effect], job: str) -> list[ev.Effect]:
     """Nobody was told anything; both records are read once more."""
     assert not [x for x in effects if isinstance(x, ev.Reply)]
     (read,) = calls(effects, GetKey)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,8 +9,8 @@
 import msgspec
 import pytest
 
-from appledock.core.jobs.dependencies import Dependencies
 from appledock.core.membership.membership import Membership
+from appledock.core.records.dependencies import Dependencies
 from appledock.core.store.keys import FORMAT
 from tests.standins.chains import pipeline, spec
 from tests.standins.deployment import NEXT
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -18,7 +18,7 @@
 from appledock.core.capacity.drains import Drains
 from appledock.core.capacity.partitions import CapacityShares
 from appledock.core.membership.membership import Membership
-from appledock.core.store.capacity_records import CAPACITY
+from appledock.core.records.capacity import CAPACITY
 from tests.standins.sharing import MACHINES, Shared, shares
 from tests.standins.spreading import outcomes
 from tests.standins.spreading import rules as spreading
@@ -164,7 +164,7 @@
     assert answers[0][0] == 200 and len(world.used["sealing"]) == 6
     assert world.judge.starts == starts, "none was stopped and started again"
     assert world.holders() == {"sealing": 3, "front": 6}
-    state = world.nodes["n1"].engine.shares.summary()["pools"]["all"]["partitions"]["sealing"]
+    state = world.nodes["n1"].engine.partitions.summary()["pools"]["all"]["partitions"]["sealing"]
     assert len(state["leaving"]) == 3 and state["target"] == 3
     assert all(0 < row["left_s"] <= 40.0 for row in state["leaving"])
     world.array(2, "red", run_s=5.0, tasks=20)
@@ -511,8 +511,8 @@
     world.clock.run(1.0)
     world.shares = shares()
     world.clock.run(40.0)
-    assert lacking.engine.shares.enabled is False
-    assert not any(node.engine.shares.in_force() for node in world.nodes.values())
+    assert lacking.engine.partitions.enabled is False
+    assert not any(node.engine.partitions.in_force() for node in world.nodes.values())
     assert not any(key.startswith(CAPACITY) for key in world.state.rows)
     lacking.crash(0.5)
     world.clock.run(70.0)
@@ -538,7 +538,9 @@
     world.clock.run(40.0)
     assert not any(key.startswith(CAPACITY) for key in world.state.rows)
     assert all(node.engine.replica.format[1] == 2 for node in world.nodes.values())
-    rooms = [room for node in world.nodes.values() for room in node.engine.rooms.table.values()]
+    rooms = [
+        room for node in world.nodes.values() for room in node.engine.capacity_index.table.values()
+    ]
     assert rooms and all(room.gate is None and room.load is None for room in rooms)
 
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -14,11 +14,14 @@
 import pytest
 
 from appledock import constants as c
-from appledock.core.engine import Engine
-from appledock.core.jobs.record import Attempt, Job, decode
+from appledock.core.controller import Controller
 from appledock.core.quota import quota
 from appledock.core.quota.quota import Amounts, Quota
-from appledock.core.store.calls import (
+from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.store.keys import JOBS, MEMBERS, TEAMS, VIEW
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import Team
+from appledock.core.store_calls import (
     Committed,
     Conflict,
     Put,
@@ -26,9 +29,6 @@
     Transaction,
     UnknownOutcome,
 )
-from appledock.core.store.keys import JOBS, MEMBERS, TEAMS, VIEW
-from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import Team
 from tests.standins.deployment import settings
 from tests.test_grown import owner_of_nothing
 from tests.test_requests import spec
@@ -50,7 +50,7 @@
         self.log: list[tuple[int, str, Any]] = []
         self.revision = 0
         self.peak = 0.0
-        self.engines = {name: Engine(settings(name, NODES), name, self.rng) for name in NODES}
+        self.engines = {name: Controller(settings(name, NODES), name, self.rng) for name in NODES}
         self.cursors = dict.fromkeys(NODES, 0)
         self.flights: list[
             tuple[str, Transaction, dict[str, Any], Callable[[StoreOutcome], None]]
@@ -274,7 +274,7 @@
 
 
 # --- single cases -----------------------------------------------------------------
-def sharing() -> tuple[Engine, Job, Job]:
+def sharing() -> tuple[Controller, Job, Job]:
     """Two jobs of ours under a share of 4 cores, of a limit of 24."""
     e = owner_of_nothing()
     mine = [f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0"]
@@ -361,7 +361,7 @@
     assert record.shares == {"n1": (24.0, 0.0)}  # of 4 and 20
 
 
-def crowded_owner() -> tuple[Engine, Job]:
+def crowded_owner() -> tuple[Controller, Job]:
     """A controller whose steps wait for their writes, with a job of which two tasks run."""
     e = owner_of_nothing()
     e.membership.incarnation = "x.1"
@@ -374,14 +374,17 @@
     e.replica.advance(2)
     e.quota.forget_caches()
     for _ in range(c.CROWDED + 1):
-        e.store(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
+        e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
     return e, job
 
 
-def written_keys(e: Engine) -> list[list[str]]:
+def written_keys(e: Controller) -> list[list[str]]:
     """The keys that each waiting transaction changes, without the fillers'."""
     calls = [
-        call for queue in e.budget.queues for call in queue if isinstance(call.request, Transaction)
+        call
+        for queue in e.client.limiter.queues
+        for call in queue
+        if isinstance(call.request, Transaction)
     ]
     keys = [[write.key for write in call.request.writes] for call in calls]
     return [names for names in keys if names != ["ad/x"]]
@@ -391,12 +394,12 @@
     """Written by itself, the heir's larger share held what still ran here: on a day of the
     bench a team used 304 of its 300 cores."""
     e, job = crowded_owner()
-    assert e.steps.hand_over(job, "n1")
+    assert e.reconciler.hand_over(job, "n1")
     assert written_keys(e) == [[JOBS + job.id, TEAMS + "red"]]
 
 
 def test_a_share_is_raised_by_itself_while_steps_wait_for_writes() -> None:
     e, job = crowded_owner()
-    assert not e.steps.writer.commit(job, grown(job, 3), Priority.STEP)
+    assert not e.job_writer.commit(job, grown(job, 3), Priority.STEP)
     assert written_keys(e) == [[TEAMS + "red"]]
-    assert e.steps.blocked[job.id] == "team record under way"
+    assert e.reconcile_queue.pending_reasons[job.id] == "team record under way"
--- a/tests/test_short_arrays.py
+++ b/tests/test_short_arrays.py
@@ -15,7 +15,7 @@
 import pytest
 
 from appledock import constants as c
-from appledock.core.engine import Engine
+from appledock.core.controller import Controller
 from tests.standins import deployment as standin_deployment
 from tests.standins import machines as standin_machines
 from tests.standins import meetings_common
@@ -280,9 +280,9 @@
 
     def over_s() -> float:
         settings = standin_deployment.settings("n0", ["n0", "n1", "n2"])
-        engine = Engine(settings, "x", random.Random(1))
+        engine = Controller(settings, "x", random.Random(1))
         lapse_s = LEASE_S * (1 + c.CLOCK_DRIFT) + c.LAPSE_MARGIN_S
-        return engine.grant_s * (1 + c.CLOCK_DRIFT) + lapse_s
+        return engine.runtime.lease_ttl_s * (1 + c.CLOCK_DRIFT) + lapse_s
 
     assert over_s() < CANCEL_S
     assert LEASE_S + c.CANCEL_DELETE_S < CANCEL_S
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,11 +11,11 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.jobs.record import Attempt, Job
 from appledock.core.membership import membership
-from appledock.core.store.calls import Rejected, Transaction
+from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import FORMAT, JOBS, MEMBERS, VIEW
 from appledock.core.store.replica import Replica, View
+from appledock.core.store_calls import Rejected, Transaction
 from appledock.settings import SettingsError, parse
 from tests.standins.chains import pipeline
 from tests.standins.deployment import NEXT, settings_file
@@ -257,7 +257,7 @@
 
 def test_a_view_with_overrides_keeps_to_the_size_of_a_value() -> None:
     e = owner_of_nothing()
-    e.value_bytes = 1700
+    e.client.max_value_bytes = 1700
     members = dict(e.replica.view.members)
     e.membership.want_override = {f"vm-{number:06d}": "n0" for number in range(90)}
     view = e.membership._next_view(members)
@@ -268,10 +268,10 @@
 def test_a_record_stored_larger_is_written_smaller() -> None:
     """Types that the cloud does not offer are dropped from it; a cancelled one needs none."""
     e = engine()
-    e.value_bytes = 1700
+    e.client.max_value_bytes = 1700
     types = ["h4", *(f"type-{number:04d}" for number in range(200))]
     for cancelled in (False, True):
-        job = e.slim(
+        job = e.codec.drop_needless_types(
             Job(
                 spec(hulls=types),
                 0.0,
@@ -280,14 +280,17 @@
                 attempts=[Attempt("vm-1", 1, 1, 1, False, {0})],
             )
         )
-        assert job.spec.types == ["h4"] and e.fits(job)
-    assert e.slim(Job(spec(hulls=["h4", "x"]), 0.0, 3)).spec.types == ["h4", "x"]
+        assert job.spec.types == ["h4"] and e.codec.fits(job)
+    assert e.codec.drop_needless_types(Job(spec(hulls=["h4", "x"]), 0.0, 3)).spec.types == [
+        "h4",
+        "x",
+    ]
 
 
 def test_a_job_stored_larger_is_placed_once_the_limits_have_fallen() -> None:
     """All its tasks wait, so nothing else writes its record and makes it smaller."""
     e = owner_of_nothing()
-    e.types = {"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])}
+    e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
     e.membership.incarnation = "x.1"
     e.replica.put(MEMBERS + "n0", {"incarnation": "x.1", "lease": 1}, 1)
     for number in range(9):
@@ -296,7 +299,7 @@
     name = next(f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0")
     types = ["h4", *(f"type-{number:04d}" for number in range(220))]
     e.replica.set_job(Job(spec(id=name, crates=2, owner="red", hulls=types), 0.0, 2))
-    e.value_bytes = 1740
+    e.client.max_value_bytes = 1740
     for worker in e.workers.table.values():
         worker.heard_at = worker.well_at = e.now
     written = [
@@ -313,7 +316,7 @@
     """400 and 429 are told apart: what is too large comes less and less often, what was too
     fast at its next turn."""
     e = owner_of_nothing()
-    e.types = {"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])}
+    e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
     e.membership.incarnation = "x.1"
     e.replica.put(MEMBERS + "n0", {"incarnation": "x.1", "lease": 1}, 1)
     for number in range(60):
@@ -328,7 +331,7 @@
         )
     )
     tries: list[float] = []
-    bounds = {e.value_bytes}
+    bounds = {e.client.max_value_bytes}
     start = e.now
     while e.now < start + 60.0:
         for worker in e.workers.table.values():
@@ -339,13 +342,13 @@
             if any(getattr(write, "key", "") == JOBS + name for write in plan.writes):
                 tries.append(e.now)
                 e.handle([ev.StoreReply(call.call_id, Rejected())], e.now, e.wall)
-                bounds.add(e.value_bytes)
+                bounds.add(e.client.max_value_bytes)
     assert 3 <= len(tries) <= 8
     gaps = [later - earlier for earlier, later in zip(tries, tries[1:], strict=False)]
     assert gaps == sorted(gaps) and gaps[-1] > 3 * gaps[0]
     assert min(bounds) < max(bounds)
     assert e.refusals["too large or malformed"] == len(tries)
-    assert e.steps.blocked[name] == "record refused by the state service"
+    assert e.reconcile_queue.pending_reasons[name] == "record refused by the state service"
 
 
 def test_the_format_is_told_with_the_member_key() -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,9 +6,9 @@
 
 from appledock import wire
 from appledock.core.fleet.planning import Planner
-from appledock.core.jobs.record import Job
+from appledock.core.machines.machine_capacity import MachineCapacity, allowed_on, room_for
+from appledock.core.records.job import Job
 from appledock.core.scheduling import placement
-from appledock.core.scheduling.placement import Room
 from tests.standins.world import World
 from tests.test_decisions import room
 from tests.test_grown import owner_of_nothing
@@ -83,13 +83,13 @@
     rooms = [room("m1", 4, "b"), room("m2", 2, "b"), room("m3", 1, "a")]
     rooms[0].owner, rooms[1].owner, rooms[2].owner = "n1", "n1", "n2"
     last = Job(spec(crates=5, memory_gb=0.0, together=True), 0.0, 3)
-    assert e.steps.handoff.target(last, rooms, 1, False, {"a": 4}) == "n2"
+    assert e.handoff.target(last, rooms, 1, False, {"a": 4}) == "n2"
     monkeypatch.setattr(placement, "room_for", any_zone)
-    assert e.steps.handoff.target(last, rooms, 1, False, {"a": 4}) == "n1"
+    assert e.handoff.target(last, rooms, 1, False, {"a": 4}) == "n1"
 
 
-def any_zone(spec: wire.JobSpec, rooms: list[Room], zones: dict[str, int]) -> int:
-    return sum(room.count(spec) for room in rooms if placement.allowed_on(spec, room))
+def any_zone(spec: wire.JobSpec, rooms: list[MachineCapacity], zones: dict[str, int]) -> int:
+    return sum(room.count(spec) for room in rooms if allowed_on(spec, room))
 
 
 @pytest.mark.parametrize(
@@ -111,4 +111,4 @@
     rule: dict[str, object], zones: dict[str, int], fit: int
 ) -> None:
     rooms = [room("m1", 2), room("m2", 1), room("m3", 4, "b")]
-    assert placement.room_for(spec(crates=4, memory_gb=0.0, **rule), rooms, zones) == fit
+    assert room_for(spec(crates=4, memory_gb=0.0, **rule), rooms, zones) == fit
