--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -352,12 +352,6 @@
         "rebalancing_settings": "rebalancing.settings",
     }
 
-    MODULES: ClassVar[dict[str, str]] = {
-        **Code.MODULES,
-        "jobs": "core.jobs.record",
-        "replica": "core.store.replica",
-    }
-
     def controller(
         self,
         settings_file: bytes,
@@ -411,6 +405,12 @@
 class PresentCode(BaselineCode):
     """The code of this checkout: the one adapter that follows its names."""
 
+    MODULES: ClassVar[dict[str, str]] = {
+        **BaselineCode.MODULES,
+        "jobs": "core.jobs.record",
+        "replica": "core.store.replica",
+    }
+
 
 @cache
 def present() -> Code:
