--- a/tests/equivalence/compare.py
+++ b/tests/equivalence/compare.py
@@ -149,17 +149,21 @@
     """Run both versions, the baseline only if its recording is not there yet."""
     expected = baseline_recording(scenario, seed)
     actual = CACHE / f"last-{hashlib.sha256(version.encode()).hexdigest()[:8]}" / expected.name
-    failure = "" if expected.exists() else record(scenario, seed, "baseline", expected)
-    failure = failure or record(scenario, seed, version, actual)
-    if failure:
-        return Result(scenario, seed, 0, "", failure=failure)
-    content = actual.read_bytes()
+    if not expected.exists():
+        fresh = expected.with_suffix(f".{os.getpid()}")
+        if failure := record(scenario, seed, "baseline", fresh):
+            return Result(scenario, seed, 0, "", failure=failure)
+        fresh.replace(expected)
+    actual.unlink(missing_ok=True)
+    failure = record(scenario, seed, version, actual)
+    content = actual.read_bytes() if actual.exists() else b""
     return Result(
         scenario,
         seed,
         content.count(b"\n"),
         hashlib.sha256(content).hexdigest()[:12],
-        first_difference(expected, actual),
+        first_difference(expected, actual) if content else None,
+        failure,
     )
 
 
--- a/tests/equivalence/scenarios.py
+++ b/tests/equivalence/scenarios.py
@@ -2,12 +2,26 @@
 
 from __future__ import annotations
 
+import json
 from collections.abc import Callable
+from contextlib import ExitStack
 from dataclasses import dataclass
 from functools import partial
+from typing import Any
+from unittest.mock import patch
 
-from tests.standins import chains, faults, meetings, sharing, spreading
-from tests.standins.versions import production
+from appledock.rebalancing.settings import DataSet
+from tests.standins import (
+    chains,
+    faults,
+    meetings,
+    meetings_common,
+    rollout,
+    sharing,
+    short_arrays,
+    spreading,
+)
+from tests.standins.versions import production, served
 from tests.standins.world import World
 
 
@@ -70,43 +84,318 @@
 _add("upgrade-meeting", _meeting("leader_ends_unreached", upgrade=True, pipelines=True))
 
 
-# --- upgrade -----------------------------------------------------------------
-def upgrade(seed: int) -> None:
-    """The version in production serves first, and is replaced one controller at a time."""
+# --- upgrades ------------------------------------------------------------------
+for _trouble in rollout.TROUBLES:
+    _add(
+        "rollout-" + _trouble.__name__.replace("_", "-"),
+        partial(rollout.play, trouble=_trouble),
+        quick=_trouble is rollout.everything_together,
+    )
+_add(
+    "rollout-from-served",
+    lambda seed: rollout.play(seed, rollout.back_with_the_old_version, before=served()),
+)
+_add(
+    "rollout-limits-not-announced",
+    lambda seed: rollout.play(seed, rollout.limits_fall_before_all_are_new, announced=None),
+)
+
+
+def peers_of_production(seed: int) -> None:
+    """One controller of the version under test among two that stay in production's version:
+    the format of records stays the old one."""
     world = World(seed, code=production())
     clock, rng = world.clock, world.clock.rng
-    for number in range(12):
+    for number in range(14):
         spec = world.spec(number)
-        cancel = 5 + rng.random() * 30 if spec["shape"] == "daemon" else None
-        clock.at(0.5 + rng.random() * 50, partial(world.submit, spec, cancel))
-    clock.at(15.0, lambda: world.upgrade(8.0, 2.0))
-    clock.at(50.0, lambda: chains.pipeline(world, 1, 1, 5.0))
+        clock.at(0.5 + rng.random() * 50, partial(world.submit, spec, 5 + rng.random() * 60))
+    for time, name in ((12.0, "n0"), (45.0, "n1")):
+        clock.at(time, partial(rollout.replace, world, name))
+    clock.at(30.0, partial(_crash_leader, world))
+    clock.run(80.0)
+
+
+_add("upgrade-halted", peers_of_production)
+
+
+# --- kinds of work ---------------------------------------------------------------
+def _crash_leader(world: World, seconds: float = 4.0) -> None:
+    world.nodes[world.leader()].crash(seconds)
+
+
+def kinds_of_work(seed: int) -> None:
+    """Gangs, zones, deadlines and classes on few machines: work of higher priority stops
+    other work, teams reach their limits, and jobs are called off."""
+    world = World(seed, capacity=8)
+    clock, rng, submit = world.clock, world.clock.rng, meetings_common.submit
+    clock.run(6.0)
+    for owner in ("red", "blue"):
+        submit(
+            world, owner=owner, crates=10, run_s=25.0, rank="best_effort", stow_s=4.0, lash_s=1.0
+        )
+        submit(world, owner=owner, crates=3, run_s=15.0, shape="group", rank="standard")
+    for place in range(16):
+        kinds: list[dict[str, Any]] = [
+            {"shape": "daemon", "crates": 2, "cores": 2.0},
+            {"shape": "group", "crates": 3, "cores": 2.0, "run_s": 8.0},
+            {"crates": 6, "rank": "urgent", "run_s": 6.0, "sail_s": 30.0},
+            {"crates": 4, "quay": "a", "cores": 2.0, "standby": False},
+            {"crates": 3, "together": True, "run_s": 10.0},
+            {"crates": 4, "scatter": True, "run_s": 10.0},
+            {"shape": "daemon", "crates": 2, "scatter": True, "quay": None},
+            {"crates": 12, "cores": 0.5, "run_s": 5.0, "hulls": ["h4", "x9"]},
+        ]
+        cancel = 10 + rng.random() * 15 if place % 3 == 0 else None
+        owner = rng.choice(["red", "blue"])
+        clock.at(
+            12.0 + 2.5 * place,
+            partial(_submit, world, cancel, {**kinds[place % 8], "owner": owner}),
+        )
+    clock.at(30.0, partial(world.odd_requests, 20.0, 0.7))
+    clock.at(40.0, partial(_kill_machines, world, 2))
+    clock.at(44.0, partial(_crash_leader, world))
+    clock.at(50.0, partial(world.cancel_now, 4, 6.0))
+    clock.run(95.0)
+
+
+def _kill_machines(world: World, count: int) -> None:
+    for name in sorted(world.cloud.workers)[:count]:
+        world.cloud.kill(name)
+
+
+def _submit(world: World, cancel: float | None, changes: dict[str, Any]) -> None:
+    meetings_common.submit(world, cancel, **changes)
+
+
+def preemption(seed: int) -> None:
+    """Everything is full with arrays when services and urgent arrays come."""
+    world = World(seed, capacity=5)
+    clock = world.clock
+    for place in range(6):
+        changes = {
+            "crates": 8,
+            "run_s": 60.0,
+            "rank": "best_effort",
+            "owner": "red" if place % 2 else "blue",
+            "stow_s": 5.0 if place % 3 else 0.0,
+            "lash_s": 1.0 if place % 3 else 0.0,
+        }
+        clock.at(2.0 + place, partial(_submit, world, None, changes))
+    for place in range(6):
+        service: dict[str, Any] = {"shape": "daemon", "crates": 2, "cores": 2.0}
+        urgent: dict[str, Any] = {"rank": "urgent", "crates": 3, "run_s": 8.0, "sail_s": 20.0}
+        clock.at(25.0 + 4 * place, partial(_submit, world, 30.0, service if place % 2 else urgent))
+    clock.at(40.0, partial(_crash_leader, world, 0.3))
     clock.run(85.0)
 
 
-_add("upgrade", upgrade, quick=True)
+def spot_machines(seed: int) -> None:
+    """The cloud takes machines back, with and without notice, and its prices differ."""
+    world = World(seed, capacity=14)
+    clock, rng = world.clock, world.clock.rng
+    meetings_common.work(world, 60.0)
+
+    def take() -> None:
+        spot = sorted(n for n, worker in world.cloud.workers.items() if worker.row["standby"])
+        for name in rng.sample(spot, len(spot) // 2):
+            world.cloud.workers[name].be_taken(rng.choice([0.0, 5.0, 12.0]))
+            clock.after(12.5, partial(world.cloud.take, name))
 
+    for time in (25.0, 42.0):
+        clock.at(time, take)
+    clock.at(50.0, lambda: setattr(world.cloud, "out_until", 58.0))
+    clock.run(90.0)
 
-# --- capacity shares and rebalancing -------------------------------------------
-def capacity_shares(seed: int) -> None:
-    """Two partitions share all machines, and their shares change under load."""
-    world = sharing.Shared(seed, sharing.shares())
-    world.clock.run(18.0)
-    for number in range(4):
-        world.job(number, "red", tasks=2)
-        world.job(10 + number, "blue", tasks=2)
-    world.array(20, "red", run_s=30.0, tasks=8)
-    world.clock.at(40.0, lambda: world.insist(0.25, "r1"))
-    world.clock.at(41.0, lambda: world.nodes[world.leader()].crash(5.0))
-    world.clock.run(90.0)
 
+_add("kinds-of-work", kinds_of_work, quick=True)
+_add("preemption", preemption, quick=True)
+_add("spot-machines", spot_machines)
 
-def rebalancing(seed: int) -> None:
-    """Machines join a few full ones, and running tasks are moved to them."""
-    world = spreading.crowded(seed, spreading.rules(), arrays=3)
-    world.clock.at(45.0, lambda: world.nodes[world.leader()].crash(3.0))
-    world.clock.run(80.0)
 
+# --- short arrays --------------------------------------------------------------
+def short_arrays_day(*names: str) -> Callable[[int], object]:
+    """Wide arrays of short tasks in the deployment made for them."""
 
-_add("capacity-shares", capacity_shares, quick=True)
+    def run(seed: int) -> None:
+        with ExitStack() as stack:
+            for module, name, value in short_arrays.DEPLOYMENT:
+                stack.enter_context(patch.object(module, name, value))
+            short_arrays.day(seed, *names, end_s=110.0)
+
+    return run
+
+
+for _place, _names in enumerate(
+    [
+        ("wave", "all_crash"),
+        ("sick_machines", "burst", "cloud_out"),
+        ("fewer_machines", "state_refuses_one"),
+        ("zones_apart", "rolled", "boots_late"),
+        ("one_loses_its_workers", "peers_refused", "state_out"),
+    ],
+    2,
+):
+    _add("short-arrays-" + _names[0].replace("_", "-"), short_arrays_day(*_names), seed=_place)
+
+
+# --- operators -----------------------------------------------------------------
+def administration(seed: int) -> None:
+    """Operators read everything and change settings, machines and log levels, well and
+    badly, at all controllers, also while the state service or a controller is away."""
+    world = _with_policies(seed)
+    clock, rng = world.clock, world.clock.rng
+    clock.at(30.0, lambda: chains.pipeline(world, 1, 1, 6.0))
+    for step in range(120):
+        clock.at(6.0 + 0.5 * step, partial(_operate, world, ADMIN_READS[step % len(ADMIN_READS)]))
+    for step in range(60):
+        clock.at(9.0 + step, partial(_operate, world, rng.choice(ADMIN_CHANGES)))
+    for time, action in ((20.0, "cordon"), (33.0, "uncordon"), (40.0, "drain"), (52.0, "cordon")):
+        clock.at(time, partial(_operate_machine, world, action))
+    clock.at(48.0, lambda: world.state.outage(5.0))
+    clock.at(58.0, partial(_crash_leader, world))
+    clock.run(85.0)
+
+
+ADMIN_READS: list[tuple[str, str, Any]] = [
+    ("GET", "status", None),
+    ("GET", "jobs", None),
+    ("GET", "machines", None),
+    ("GET", "teams", None),
+    ("GET", "settings", None),
+    ("GET", "rebalancing", None),
+    ("GET", "capacity", None),
+    ("GET", "changes/-/0/500", None),
+    ("GET", "changes/n0.1/5/20", None),
+    ("GET", "changes/n1.1/0/x", None),
+    ("GET", "changes/n2.1/3/500", None),
+    ("GET", "nothing", None),
+    ("GET", "machines/x", None),
+    ("POST", "status", None),
+]
+"""method, path and body of what operators ask"""
+ADMIN_CHANGES: list[tuple[str, str, Any]] = [
+    ("PATCH", "settings", {"settings": {"step_tasks": 3, "sample": 5}}),
+    ("PATCH", "settings", {"settings": {"step_tasks": None, "idle_return_s": 15}}),
+    ("PATCH", "settings", {"settings": {"machines_max": 9, "lost_work_weight": 2.5}}),
+    ("PATCH", "settings", {"settings": {"moves_paused": 1}}),
+    ("PATCH", "settings", {"settings": {"moves_paused": 0, "moves_dry_run": 1}}),
+    ("PATCH", "settings", {"settings": {"moves_dry_run": None}, "version": 1}),
+    ("PATCH", "settings", {"settings": {"sample": True}}),
+    ("PATCH", "settings", {"settings": {"sample": 10**6}}),
+    ("PATCH", "settings", {"settings": {"unknown": 1}}),
+    ("PATCH", "settings", []),
+    ("PATCH", "settings", {"settings": {}, "version": "x"}),
+    ("PUT", "log-level", {"level": "debug"}),
+    ("PUT", "log-level", {"level": "loud"}),
+    ("DELETE", "log-level", None),
+    ("POST", "machines/vm-none/drain", None),
+    ("POST", "capacity/propose", {"request": "p", "shares": {"sealing": {"all": 0.25}}}),
+    ("POST", "capacity/apply", {"request": "", "shares": 3}),
+    ("POST", "capacity/apply", {"request": "q", "shares": {"nobody": {"all": 0.25}}}),
+    ("POST", "capacity/withdraw", {"request": "none"}),
+]
+
+
+def _operate(world: World, request: tuple[str, str, Any]) -> None:
+    method, path, body = request
+    node = world.nodes[world.clock.rng.choice(world.names)]
+    encoded = b"" if body is None else json.dumps(body).encode()
+    if node.up:
+        node.request(method, f"/admin/v1/{path}", encoded, lambda *_: None)
+
+
+def _operate_machine(world: World, action: str) -> None:
+    machines = sorted(world.cloud.workers)
+    for name in world.clock.rng.sample(machines, min(3, len(machines))):
+        for _ in range(2):  # at some controller that is not its owner, too
+            _operate(world, ("POST", f"machines/{name}/{action}", None))
+
+
+def _with_policies(seed: int) -> World:
+    """Rebalancing and capacity shares at once, with work of both partitions."""
+    world = World(
+        seed,
+        capacity=0,
+        rebalancing=spreading.rules(moves={"cooldown_s": 8.0}),
+        shares=sharing.shares(),
+    )
+    world.cloud.add_machines(8, 0.5)
+    world.clock.at(20.0, partial(world.cloud.add_machines, 4, 1.0, 8))
+    for number in range(6):
+        spec = spreading.service(world, number)
+        world.clock.at(5.0 + number, partial(world.submit, spec, 40.0 if number == 5 else None))
+    for number in range(10, 14):
+        spec = spreading.saving_array(world, number, 3, run_s=20.0)
+        world.clock.at(8.0 + number, partial(world.submit, spec))
+    return world
+
+
+_add("administration", administration, quick=True)
+
+
+# --- capacity shares -------------------------------------------------------------
+def shares_change(seed: int, controllers: bool, *faults_: str, **change: Any) -> None:
+    """Shares of two partitions change under load, and are changed back or withdrawn."""
+    world = sharing.busy(seed, controllers=controllers)
+    clock = world.clock
+    clock.at(40.0, partial(world.insist, 0.25, "r1"))
+    for fault in faults_:
+        clock.at(41.0, partial(faults.strike, world, fault))
+    clock.at(46.0, partial(world.change, "n0", "propose", request="p1", shares=_shares(0.6)))
+    clock.at(50.0, partial(world.apply, "n1", 0.75, "r2", **change))
+    clock.at(51.0, partial(world.change, "n2", "withdraw", request="r2"))
+    clock.at(54.0, partial(world.apply, "n2", 0.75, "r3", **change))
+    clock.run(95.0)
+
+
+def _shares(sealing: float) -> dict[str, Any]:
+    return {"sealing": {"all": sealing}, "front": {"all": round(1 - sealing, 6)}}
+
+
+def lending(seed: int) -> None:
+    """Idle machines are lent, and given back by drains and by stops of what saves."""
+    world = sharing.lending(seed, run_s=60.0, saves=bool(seed % 2))
+    world.array(2, "red", run_s=20.0, tasks=6, memory_gb=15.0)
+    world.clock.at(55.0, partial(_crash_leader, world))
+    world.clock.run(95.0)
+
+
+_add("shares", partial(shares_change, controllers=False), quick=True)
+_add("shares-controllers", partial(shares_change, controllers=True), seed=2)
+_add("shares-crash", lambda seed: shares_change(seed, True, "crash", "cut"), seed=3)
+_add("shares-outage", lambda seed: shares_change(seed, False, "outage", "alone", "die"), seed=4)
+_add("shares-lending", lending, seed=30)
+_add("shares-lending-saves", lending, seed=31)
+
+
+# --- rebalancing -----------------------------------------------------------------
+def rebalancing(seed: int, *kinds: str, **rules: Any) -> None:
+    """Machines join a few full ones, and running tasks are moved to them; later arrays and
+    services come and go, which moves tasks again."""
+    world = spreading.crowded(seed, spreading.rules(**rules), arrays=3)
+    clock, rng = world.clock, world.clock.rng
+    clock.at(45.0, partial(_crash_leader, world, 3.0))
+    for fault in kinds:
+        for time in (28.0, 34.0, 50.0):
+            clock.at(time, partial(faults.strike, world, fault))
+    for number in range(20, 28):
+        spec = spreading.saving_array(world, number, 3, run_s=10.0 + 15.0 * rng.random())
+        if number % 2:
+            spec = spreading.service(world, number, 1 + number % 3)
+        clock.at(32.0 + 2 * number - 40, partial(world.submit, spec, 25.0 if number % 4 else None))
+    clock.run(100.0)
+
+
+DATA = [
+    DataSet("near-a", zones=["a"], classes=["arr"]),
+    DataSet("near-some", machines=["vm-000001", "vm-000005"], teams=["red"]),
+    DataSet("near-type", types=["h4", "x9"], classes=["svc"]),
+]
 _add("rebalancing", rebalancing, quick=True)
+_add("rebalancing-faults", lambda seed: rebalancing(seed, "cut", "die", "alone"), seed=2)
+_add("rebalancing-crashes", lambda seed: rebalancing(seed, "crash", "outage", "deaf"), seed=3)
+_add(
+    "rebalancing-data",
+    partial(rebalancing, locality=2.0, image=0.5, speed=0.5, packing=0.2, datasets=DATA),
+    seed=4,
+)
--- a/tests/equivalence/worker.py
+++ b/tests/equivalence/worker.py
@@ -26,13 +26,16 @@
 
 
 def run(scenario: str, seed: int, version: str, output: Path) -> None:
-    """Play the scenario and write its effects to the file, which appears when it is whole."""
+    """Play the scenario and write its effects to the file, which appears when it is over."""
     logging.getLogger("appledock").propagate = False
     versions.put_under_test(chosen(version))
     partial = output.with_name(f"{output.name}.{os.getpid()}")
-    with partial.open("w") as lines, recorded(lines):
-        SCENARIOS[scenario].run(seed)
-    partial.replace(output)
+    try:
+        with partial.open("w") as lines, recorded(lines):
+            SCENARIOS[scenario].run(seed)
+    finally:
+        # Also what was recorded before a failure shows where the effects differ first.
+        partial.replace(output)
 
 
 if __name__ == "__main__":
--- a/tests/standins/sharing.py
+++ b/tests/standins/sharing.py
@@ -11,6 +11,10 @@
 from tests.standins.world import World
 
 MACHINES = 12
+IN_FORCE_S = 18.0
+"""s; by then all controllers are up, and a view came after the format"""
+CHANGE_S = 40.0
+"""s; when shares are changed, usually"""
 PARTITIONS = {"red": "sealing", "blue": "front"}
 """team -> its partition"""
 
@@ -152,3 +156,31 @@
         return all(
             node.runs.shares_in_force(node.engine) for node in self.nodes.values() if node.up
         )
+
+
+def started(seed: int, *, controllers: bool = False, machines: int = MACHINES) -> Shared:
+    """The cluster once its shares are in force, without load."""
+    world = Shared(seed, shares(controllers=controllers), machines)
+    world.clock.run(IN_FORCE_S)
+    assert world.in_force() and world.holders() == {"sealing": 6, "front": 6}
+    return world
+
+
+def busy(seed: int, *, controllers: bool = False) -> Shared:
+    """Services of both partitions, and arrays of the sealing one whose tasks cannot save."""
+    world = started(seed, controllers=controllers)
+    for number in range(4):
+        world.job(number, "red", tasks=2)
+        world.job(10 + number, "blue", tasks=2)
+    world.array(20, "red", run_s=30.0, tasks=8)
+    return world
+
+
+def lending(seed: int, **changes: Any) -> Shared:
+    """Sealing is idle and the front end has more to do than its machines take."""
+    rules = shares(lend=True, lend_after_s=5.0, give_back_s=10.0)
+    world = Shared(seed, rules)
+    world.clock.run(IN_FORCE_S)
+    world.array(1, "blue", tasks=18, memory_gb=7.8, **changes)
+    world.clock.run(CHANGE_S)
+    return world
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -429,7 +429,13 @@
         capacity: Any = None,
     ) -> Any:
         settings = self.settings.parse(settings_file)
-        return self.engine.Controller(settings, incarnation, rng, rebalancing, capacity)
+        return self.engine.Controller(
+            settings,
+            incarnation,
+            rng,
+            self._own(rebalancing, self.rebalancing_settings.Rebalancing),
+            self._own(capacity, self.capacity_settings.Capacity),
+        )
 
     def healthy(self, controller: Any) -> bool:
         return bool(controller.health.is_healthy())
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -19,33 +19,22 @@
 from appledock.core.capacity.partitions import CapacityShares
 from appledock.core.membership.membership import Membership
 from appledock.core.records.capacity import CAPACITY
-from tests.standins.sharing import MACHINES, Shared, shares
+from tests.standins.sharing import (
+    CHANGE_S,
+    IN_FORCE_S,
+    MACHINES,
+    Shared,
+    busy,
+    lending,
+    shares,
+    started,
+)
 from tests.standins.spreading import outcomes
 from tests.standins.spreading import rules as spreading
 
 Patch = pytest.MonkeyPatch
 Trouble = Callable[[Shared, str], None]
-IN_FORCE_S = 18.0
-"""s; by then all controllers are up, and a view came after the format"""
-CHANGE_S, PEACE_S, END_S = 40.0, 75.0, 170.0
-
-
-def started(seed: int, *, controllers: bool = False, machines: int = MACHINES) -> Shared:
-    """The cluster once its shares are in force, without load."""
-    world = Shared(seed, shares(controllers=controllers), machines)
-    world.clock.run(IN_FORCE_S)
-    assert world.in_force() and world.holders() == {"sealing": 6, "front": 6}
-    return world
-
-
-def busy(seed: int, *, controllers: bool = False) -> Shared:
-    """Services of both partitions, and arrays of the sealing one whose tasks cannot save."""
-    world = started(seed, controllers=controllers)
-    for number in range(4):
-        world.job(number, "red", tasks=2)
-        world.job(10 + number, "blue", tasks=2)
-    world.array(20, "red", run_s=30.0, tasks=8)
-    return world
+PEACE_S, END_S = 75.0, 170.0
 
 
 def replicas_up(world: Shared) -> bool:
@@ -332,16 +321,6 @@
 
 
 # --- loans -------------------------------------------------------------------
-def lending(seed: int, **changes: Any) -> Shared:
-    """Sealing is idle and the front end has more to do than its machines take."""
-    rules = shares(lend=True, lend_after_s=5.0, give_back_s=10.0)
-    world = Shared(seed, rules)
-    world.clock.run(IN_FORCE_S)
-    world.array(1, "blue", tasks=18, memory_gb=7.8, **changes)
-    world.clock.run(CHANGE_S)
-    return world
-
-
 def test_idle_machines_are_lent_and_given_back_by_drains() -> None:
     world = lending(30, run_s=40.0)
     assert len(world.used["front"]) == 9 and world.holders()["front"] >= 9
