--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -93,7 +93,7 @@
             },
             "revision": engine.replica.revision,
             "jobs": len(engine.replica.jobs),
-            "queued_tasks": sum(job.queued for job in engine.replica.jobs.values()),
+            "queued_tasks": sum(job.queued_task_count for job in engine.replica.jobs.values()),
             "machines": sum(w.report is not None for w in engine.workers.table.values()),
             "booting": len(engine.fleet.booting()) if engine.membership.leader() else None,
             "calls_waiting": budget.size(),
@@ -114,25 +114,27 @@
             "team": job.spec.team,
             "priority": job.spec.priority,
             "tasks": job.spec.tasks,
-            "done": len(job.done),
-            "open": job.open_tasks,
-            "queued": job.queued,
+            "done": len(job.completed_tasks),
+            "open": job.open_task_count,
+            "queued": job.queued_task_count,
             "cancelled": engine.replica.withdrawn(job.id),
             "owner": engine.replica.job_owner(job) if engine.replica.view else None,
-            "failures": job.failures,
+            "failures": job.consecutive_failures,
             "waits_for": self._waits_for(job),
             "needs": job.spec.needs or [],
-            "needs_left": engine.replica.needs.left(job.id),
-            "needed_by": sorted(engine.replica.needs.dependents.get(job.id, ())),
+            "needs_left": engine.replica.dependencies.unfinished_prerequisites(job.id),
+            "needed_by": sorted(engine.replica.dependencies.dependents.get(job.id, ())),
             "unsettled": [self._attempt(job, attempt) for attempt in job.attempts],
         }
 
     def _waits_for(self, job: Job) -> str | None:
-        needs = self.engine.replica.needs
-        if job.id in needs.doomed:
+        needs = self.engine.replica.dependencies
+        if job.id in needs.cancelled_by_dependency:
             return "its end: a job that it needs is cancelled"
-        if job.id in needs.waiting:
-            unread = any(need in needs.unknown for need in needs.left(job.id))
+        if job.id in needs.waiting_jobs:
+            unread = any(
+                need in needs.unknown_outcomes for need in needs.unfinished_prerequisites(job.id)
+            )
             return "jobs that it needs" + (", some not read yet" if unread else "")
         return self.engine.reconcile_queue.pending_reasons.get(job.id)
 
@@ -141,18 +143,19 @@
         worker = self.engine.workers.table.get(attempt.machine)
         if worker is None or worker.report is None:
             reason = "machine not heard of"
-        elif worker.report.session != attempt.session:
+        elif worker.report.session != attempt.agent_epoch:
             reason = "session change not recorded yet"
         elif any(
-            (f"{job.id}/{task}", attempt.number) not in worker.tasks for task in attempt.tasks
+            (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks
+            for task in attempt.tasks
         ):
             reason = "launch not seen"
         else:
             reason = "stopping" if attempt.stopping or job.cancelled else "running"
         return {
             "machine": attempt.machine,
-            "session": attempt.session,
-            "attempt": attempt.number,
+            "session": attempt.agent_epoch,
+            "attempt": attempt.attempt_number,
             "term": attempt.term,
             "tasks": sorted(attempt.tasks),
             "state": reason,
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -62,7 +62,7 @@
         return ClusterRow(
             engine.settings.name,
             len(engine.replica.jobs),
-            sum(job.queued for job in engine.replica.jobs.values()),
+            sum(job.queued_task_count for job in engine.replica.jobs.values()),
             round(sum(shares) / len(shares), 2) if shares else 0.0,
             moves,
             engine.moves.outcomes["done"],
--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -90,10 +90,10 @@
         if job is None:
             return None
         if self.e.replica.withdrawn(job_id):
-            return wire.JobState(job_id, wire.CANCELLED, len(job.done), 0)
+            return wire.JobState(job_id, wire.CANCELLED, len(job.completed_tasks), 0)
         running = self.e.running(job)
         return wire.JobState(
-            job_id, wire.RUNNING if running else wire.PENDING, len(job.done), running
+            job_id, wire.RUNNING if running else wire.PENDING, len(job.completed_tasks), running
         )
 
     def _admit(self, request_id: int) -> bool:
@@ -130,9 +130,9 @@
         taken back here. The proof's revision is later than any such cancellation.
         """
         replica = self.e.replica
-        if replica.withdrawn(asked.job) or asked.job not in replica.needs.waiting:
+        if replica.withdrawn(asked.job) or asked.job not in replica.dependencies.waiting_jobs:
             self._tell(asked, False)
-        elif replica.revision < revision or replica.needs.undecided(asked.job):
+        elif replica.revision < revision or replica.dependencies.has_unknown_outcome(asked.job):
             self.lagging.append((asked, revision))
         else:
             self._tell(asked, False)
@@ -140,7 +140,7 @@
     def _read_outcomes(self) -> None:
         """How needed jobs ended that are not in the picture: after a start, or if they
         ended long ago. A few at a time."""
-        unknown = self.e.replica.needs.unknown
+        unknown = self.e.replica.dependencies.unknown_outcomes
         if not unknown or not self.e.reader.loaded:
             return
         for need in sorted(unknown):
@@ -152,7 +152,7 @@
 
             def ended(need: str = need) -> None:
                 self.reading.discard(need)
-                if need in self.e.replica.needs.unknown:
+                if need in self.e.replica.dependencies.unknown_outcomes:
                     self.read_at[need] = self.e.now + c.RETRY_MAX_S
                 else:
                     self.read_at.pop(need, None)
@@ -265,7 +265,7 @@
         spec = asked.spec
         assert spec is not None
         job = Job(spec, self.e.wall)
-        job.handoff = self._first_owner(job)
+        job.handoff_target = self._first_owner(job)
         plan = Transaction(
             {JOBS + spec.id: 0, FINAL + spec.id: 0}, [Put(JOBS + spec.id, self.e.codec.encode(job))]
         )
@@ -383,7 +383,7 @@
         )
 
     def _tell_proven(self, asked: Asked, absent: bool, revision: int) -> None:
-        if asked.job in self.e.replica.needs.waiting:
+        if asked.job in self.e.replica.dependencies.waiting_jobs:
             self._tell_current(asked, revision)
         else:
             self._tell(asked, absent)
@@ -392,7 +392,7 @@
         """The cached version was old: read both keys, then answer."""
 
         def read() -> None:
-            if asked.job in self.e.replica.needs.waiting:
+            if asked.job in self.e.replica.dependencies.waiting_jobs:
                 self._poll(asked)  # the proof tells how far the picture must reach
             else:
                 self._tell(asked, True)
@@ -447,7 +447,7 @@
                 else:
                     new.version = revision
                     self.e.replica.set_job(new)
-                self.e.cancellation.told(None if over else new, job.id, revision)
+                self.e.cancellation.broadcast(None if over else new, job.id, revision)
                 self.answer(asked.request_id, 200, wire.JobState(job.id, wire.CANCELLED))
             elif isinstance(outcome, Conflict):
                 self._read_job(
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -138,7 +138,7 @@
                 worker is None
                 or not self.shares.moves_off(job.spec, machine)
                 or engine.replica.withdrawn(job_id)
-                or job.queued
+                or job.queued_task_count
                 or engine.moves.rests(job_id)
                 or not engine.moves.hears(engine.replica.job_owner(job))
             ):
@@ -148,7 +148,9 @@
             if attempt is not None and destination is not None:
                 name, load = destination
                 task = min(attempt.tasks)
-                result.append(Proposal(job_id, task, attempt.number, machine, name, 0.0, load))
+                result.append(
+                    Proposal(job_id, task, attempt.attempt_number, machine, name, 0.0, load)
+                )
         return result
 
     def _destination(self, spec: wire.JobSpec) -> tuple[str, float] | None:
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -165,7 +165,7 @@
                 and engine.owns_job(job)
                 and not engine.replica.withdrawn(job.id)
                 and not engine.moves.rests(job.id)
-                and engine.job_writer.ready(job)
+                and engine.job_writer.can_write(job)
             ):
                 assert node is not None
                 engine.reconciler.hand_over(job, node)
@@ -234,7 +234,7 @@
         longest = 0.0
         for attempt in attempts:
             for task in attempt.tasks:
-                key = (f"{spec.id}/{task}", attempt.number)
+                key = (f"{spec.id}/{task}", attempt.attempt_number)
                 ran = self.engine.now - worker.since.get(key, self.engine.now)
                 longest = max(longest, spec.estimate_s - ran, c.TASK_LEAVES_S)
         return longest
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -177,7 +177,7 @@
             worker = self.workers.table.get(attempt.machine)
             if worker is not None:
                 for task in attempt.tasks:
-                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.number))
+                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.attempt_number))
                     count += entry is not None and entry.state == wire.RUNNING
         return count
 
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -215,12 +215,15 @@
             for job_id in sorted(replica.changed_jobs):
                 if job_id in replica.jobs:
                     self.fleet.note(replica.jobs[job_id])
-                    if job_id in replica.needs.needs and job_id not in replica.needs.waiting:
+                    if (
+                        job_id in replica.dependencies.prerequisites
+                        and job_id not in replica.dependencies.waiting_jobs
+                    ):
                         self.queue_order.ready_at.setdefault(job_id, self.runtime.wall)
                 self.reconcile_queue.jobs.add(job_id)
             replica.changed_jobs.clear()
             for machine in replica.changed_machines:
-                self.settlement.machine_changed(machine)
+                self.settlement.on_machine_changed(machine)
             self.workers.orders_due |= replica.changed_machines
             self.capacity_index.dirty |= replica.changed_machines
             replica.changed_machines.clear()
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -32,13 +32,13 @@
             type_fits(job.spec, machine_type) for machine_type in engine.machine_types.values()
         ):
             continue
-        if job.failures >= c.RENT_FAILURES:
+        if job.consecutive_failures >= c.RENT_FAILURES:
             continue  # a job that fails everywhere is not worth machines
         used = held.get(job.spec.team)
         if used is None:
             used = engine.quota.held_in_all(job.spec.team)
         tasks = min(
-            job.queued,
+            job.queued_task_count,
             (quota.limit(limits) - used).most(quota.NOTHING).count(job.spec),
         )
         if tasks:
@@ -67,7 +67,7 @@
             for attempt in attempts:
                 for task in attempt.tasks:
                     left_s = _expected_left_s(
-                        engine.now, spec, worker, (f"{job_id}/{task}", attempt.number)
+                        engine.now, spec, worker, (f"{job_id}/{task}", attempt.attempt_number)
                     )
                     if left_s is not None and left_s < horizon_s:
                         freed.reserve(spec, -1)
--- a/appledock/core/fleet/headroom.py
+++ b/appledock/core/fleet/headroom.py
@@ -84,7 +84,7 @@
     def note(self, job: Job) -> None:
         """A record changed: perhaps a service has arrived."""
         if job.spec.service and job.id not in self.arrivals:
-            age_s = max(0.0, self.engine.wall - job.submitted)
+            age_s = max(0.0, self.engine.wall - job.submitted_at)
             self.arrivals[job.id] = Arrival(self.engine.now - age_s, job.spec)
 
     def wanted(self) -> Wanted:
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -30,7 +30,7 @@
     WorkerReply,
 )
 from appledock.core.messages import JobCancelled
-from appledock.core.records.job import Attempt, Job, split_task
+from appledock.core.records.job import Attempt, Job, split_task_name
 from appledock.core.store.keys import FINAL, JOBS
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
         self.next_delete = 0.0
 
     # --- gossip -----------------------------------------------------------
-    def told(self, job: Job | None, job_id: str, revision: int) -> None:
+    def broadcast(self, job: Job | None, job_id: str, revision: int) -> None:
         """A cancellation was committed by us: the peers hear of it with the user."""
         self.engine.emit(PeerSend(self._message(job_id, job, revision)))
 
@@ -101,12 +101,12 @@
             or self.engine.replica.finals.get(job_id) == wire.CANCELLED
         )
 
-    def seen(self, report: wire.Report) -> None:
+    def halt_cancelled_tasks(self, report: wire.Report) -> None:
         """A report that we may not answer: what must not go on is halted all the same."""
         tasks = [
             task
             for task in report.tasks
-            if task.state != wire.EXITED and self._cancelled(split_task(task.task)[0])
+            if task.state != wire.EXITED and self._cancelled(split_task_name(task.task)[0])
         ]
         if tasks:
             self._halt(report, tasks)
@@ -219,9 +219,11 @@
 
     @staticmethod
     def _still_there(worker: Worker, job_id: str, attempt: Attempt) -> list[wire.TaskReport]:
-        if worker.session != attempt.session:
+        if worker.session != attempt.agent_epoch:
             return []
-        entries = [worker.tasks.get((f"{job_id}/{task}", attempt.number)) for task in attempt.tasks]
+        entries = [
+            worker.tasks.get((f"{job_id}/{task}", attempt.attempt_number)) for task in attempt.tasks
+        ]
         return [entry for entry in entries if entry is not None and entry.state != wire.EXITED]
 
     # --- the last resort --------------------------------------------------
@@ -252,7 +254,7 @@
         )
         if lapsed or all(workers.verdict(job, attempt, task) is not None for task in attempt.tasks):
             return False
-        if worker.session != attempt.session:
+        if worker.session != attempt.agent_epoch:
             return False
         near = self.engine.now - worker.heard_at < 2 * self.engine.settings.cluster.workers.report_s
         return not near or bool(self._still_there(worker, job.id, attempt))
--- a/appledock/core/jobs/settlement.py
+++ b/appledock/core/jobs/settlement.py
@@ -31,7 +31,7 @@
         self._settled: dict[str, tuple[int, int, Job]] = {}
         """job -> version, number of proofs, and the job without its settled attempts"""
 
-    def machine_changed(self, machine: str) -> None:
+    def on_machine_changed(self, machine: str) -> None:
         """A report, a lapse, a deletion or a record has changed what is known of it."""
         for job_id in self.engine.replica.by_machine.get(machine, ()):
             self._stale.setdefault(job_id, set()).add(machine)
@@ -47,7 +47,7 @@
         self._unseen.discard(job_id)
         self._settled.pop(job_id, None)
 
-    def settled(self, job: Job) -> Job | None:
+    def without_settled_attempts(self, job: Job) -> Job | None:
         """The job without its settled attempts; None if no attempt is settled.
 
         The result is shared: callers do not change it.
@@ -64,9 +64,9 @@
         self._settled[job.id] = (job.version, len(verdicts), result)
         return result
 
-    def apply(self, job: Job) -> Job:
+    def copy_without_settled_attempts(self, job: Job) -> Job:
         """A copy of the job without its settled attempts, for the next record."""
-        return (self.settled(job) or job).copy()
+        return (self.without_settled_attempts(job) or job).copy()
 
     def _examine(self, job: Job) -> dict[AttemptTask, str]:
         """All proofs for the job, those of changed machines included."""
@@ -81,7 +81,7 @@
             if not everything and machines is not None and attempt.machine not in machines:
                 continue
             for task in attempt.tasks:
-                key = (attempt.number, task)
+                key = (attempt.attempt_number, task)
                 if key in verdicts:
                     continue
                 found = verdict(job, attempt, task)
@@ -96,16 +96,16 @@
         recorded = set(verdicts)
         for attempt in new.attempts:
             for task in sorted(attempt.tasks):
-                found = verdicts.get((attempt.number, task))
+                found = verdicts.get((attempt.attempt_number, task))
                 if found is None:
                     continue
-                recorded.discard((attempt.number, task))
+                recorded.discard((attempt.attempt_number, task))
                 attempt.tasks.discard(task)
                 if found == "done":
-                    new.done.add(task)
-                    new.failures = 0
+                    new.completed_tasks.add(task)
+                    new.consecutive_failures = 0
                 elif found == "error":
-                    new.failures += 1
+                    new.consecutive_failures += 1
         for key in recorded:
             # The record shows it by now.
             del verdicts[key]
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -51,30 +51,32 @@
 
     def __init__(self, engine: Controller) -> None:
         self.engine = engine
-        self.busy: set[str] = set()
+        self.jobs_in_flight: set[str] = set()
         """jobs with a write under way"""
-        self.calls: dict[str, QueuedCall] = {}
+        self.queued_calls: dict[str, QueuedCall] = {}
         """job -> its write, perhaps still waiting"""
         self.retry_at: dict[str, float] = {}
         self.written_at: dict[str, float] = {}
-        self.invalid: dict[str, int] = {}
+        self.rejection_counts: dict[str, int] = {}
         """job -> writes in a row that the state service refused as malformed or too large"""
 
     def forget(self, job_id: str) -> None:
         """The job is over."""
         for table in (self.retry_at, self.written_at):
             table.pop(job_id, None)
-        self.invalid.pop(job_id, None)
+        self.rejection_counts.pop(job_id, None)
 
-    def ready(self, job: Job) -> bool:
+    def can_write(self, job: Job) -> bool:
         """May the job be written now?"""
-        return job.id not in self.busy and self.engine.now >= self.retry_at.get(job.id, 0.0)
+        return job.id not in self.jobs_in_flight and self.engine.now >= self.retry_at.get(
+            job.id, 0.0
+        )
 
-    def over(self, job: Job) -> str | None:
+    def final_state(self, job: Job) -> str | None:
         """Say how the job has ended, if it has."""
-        if job.cancelled or job.id in self.engine.replica.needs.doomed:
+        if job.cancelled or job.id in self.engine.replica.dependencies.cancelled_by_dependency:
             return wire.CANCELLED if not job.attempts else None
-        if not job.spec.service and len(job.done) == job.spec.tasks:
+        if not job.spec.service and len(job.completed_tasks) == job.spec.tasks:
             return wire.DONE
         return None
 
@@ -87,7 +89,7 @@
     ) -> bool:
         """Write completion, next step and the team's charge in one conditional transaction."""
         engine, team = self.engine, job.spec.team
-        over = self.over(new)
+        over = self.final_state(new)
         heir = engine.replica.job_owner(new)
         possible, record = engine.quota.plan(job, new, heir)
         if not possible:
@@ -104,7 +106,7 @@
             return False
         plan = self._plan(job, new, over, record)
         plan.conditions.update(engine.partitions.conditions(reserved or []))
-        self.busy.add(job.id)
+        self.jobs_in_flight.add(job.id)
         if reserved:
             engine.capacity_index.reserve(job.id, reserved)
         ended = engine.quota.begin(job, new, team, record)
@@ -114,7 +116,7 @@
             plan, priority, lambda outcome: self._on_outcome(write, outcome), patience
         )
         if call is not None:
-            self.calls[job.id] = call
+            self.queued_calls[job.id] = call
         return call is not None
 
     def _plan(self, job: Job, new: Job, over: str | None, record: Team | None) -> Transaction:
@@ -137,8 +139,8 @@
 
     def _on_outcome(self, write: JobWrite, outcome: StoreOutcome) -> None:
         engine, job_id = self.engine, write.job.id
-        self.busy.discard(job_id)
-        self.calls.pop(job_id, None)
+        self.jobs_in_flight.discard(job_id)
+        self.queued_calls.pop(job_id, None)
         engine.capacity_index.release(job_id)
         write.ended(outcome)
         engine.reconcile_queue.placement_due = True
@@ -151,7 +153,7 @@
     def _on_written(self, write: JobWrite, revision: int) -> None:
         engine, job, new = self.engine, write.job, write.new
         self.written_at[job.id] = engine.now
-        self.invalid.pop(job.id, None)
+        self.rejection_counts.pop(job.id, None)
         engine.preemption.placed(job.id, write.reserved)
         engine.moves.placed(job.id, write.reserved)
         if write.reserved:
@@ -182,7 +184,7 @@
             case Rejected():
                 # Too large, most likely: it may fit now that the bound is lower. If not,
                 # seldom, since each try costs the others their turn.
-                tries = self.invalid[job.id] = self.invalid.get(job.id, 0) + 1
+                tries = self.rejection_counts[job.id] = self.rejection_counts.get(job.id, 0) + 1
                 engine.reconcile_queue.pending_reasons[job.id] = PendingReason.RECORD_REJECTED
                 return float(
                     min(c.ERROR_BACKOFF_MAX_S, c.ERROR_BACKOFF_S * 2 ** min(10, tries - 1))
@@ -196,7 +198,7 @@
 
         Something more urgent changes the same record, or needs the room that it reserves.
         """
-        call = self.calls.get(job_id)
+        call = self.queued_calls.get(job_id)
         if (
             call is None
             or call.priority <= Priority.URGENT
@@ -206,15 +208,15 @@
         self.retry_at[job_id] = self.engine.now
         return True
 
-    def take_back(self, job: Job) -> bool:
+    def withdraw_lower_priority_steps(self, job: Job) -> bool:
         """Steps of lower rank that are not written yet make way for a service."""
         taken = False
         for other_id, entries in list(self.engine.capacity_index.reserved.items()):
             other = self.engine.replica.jobs.get(other_id)
             if (
                 other is not None
-                and self.engine.replica.needs.inherited_rank(other)
-                < self.engine.replica.needs.inherited_rank(job)
+                and self.engine.replica.dependencies.inherited_rank(other)
+                < self.engine.replica.dependencies.inherited_rank(job)
                 and any(
                     (room := self.engine.capacity_index.table.get(machine)) is not None
                     and allowed_on(job.spec, room)
@@ -229,7 +231,7 @@
         self.engine.replica.put(TEAMS + team, record.encode(), revision)
         self.engine.quota.forget(team)
 
-    def release_shares(self) -> None:
+    def release_unused_allocations(self) -> None:
         """Give up shares of teams' limits that more urgent jobs of others lack."""
         quota = self.engine.quota
         for team in self.engine.replica.by_team:
@@ -261,20 +263,23 @@
 
     def _back_off(self, job: Job, new: Job) -> None:
         """A job that fails everywhere waits longer and longer."""
-        if new.failures > job.failures:
+        if new.consecutive_failures > job.consecutive_failures:
             pause = min(
-                c.ERROR_BACKOFF_MAX_S, c.ERROR_BACKOFF_S * 2 ** min(10, max(0, new.failures - 2))
+                c.ERROR_BACKOFF_MAX_S,
+                c.ERROR_BACKOFF_S * 2 ** min(10, max(0, new.consecutive_failures - 2)),
             )
-            if new.failures >= 2:
+            if new.consecutive_failures >= 2:
                 self.retry_at[job.id] = self.engine.now + pause
 
 
 def _log_step(write: JobWrite) -> None:
-    handed_on = write.new.handoff if write.new.handoff != write.job.handoff else None
+    handed_on = (
+        write.new.handoff_target if write.new.handoff_target != write.job.handoff_target else None
+    )
     log.info(
         "%s step %d: %s%s",
         write.job.id,
-        write.new.steps,
+        write.new.last_step,
         ", ".join(f"{count} on {machine}" for machine, _, count in write.reserved),
         f", rest to {handed_on[0]}" if handed_on else "",
     )
--- a/appledock/core/machines/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -164,10 +164,10 @@
         for job_id, attempts in self.e.replica.by_machine.get(worker.id, {}).items():
             spec = jobs[job_id].spec
             for attempt in attempts:
-                if attempt.session != room.session:
+                if attempt.agent_epoch != room.session:
                     continue
                 for task in attempt.tasks:
-                    entry = worker.tasks.get((f"{job_id}/{task}", attempt.number))
+                    entry = worker.tasks.get((f"{job_id}/{task}", attempt.attempt_number))
                     if entry is not None:
                         shown += 1
                         if entry.state == wire.EXITED:
@@ -184,7 +184,7 @@
     def _stray(self, worker: Worker) -> bool:
         """Is a task there that no record explains?"""
         known = {
-            (f"{job_id}/{task}", attempt.number)
+            (f"{job_id}/{task}", attempt.attempt_number)
             for job_id, attempts in self.e.replica.by_machine.get(worker.id, {}).items()
             for attempt in attempts
             for task in attempt.tasks
--- a/appledock/core/quota/quota.py
+++ b/appledock/core/quota/quota.py
@@ -91,7 +91,7 @@
 
 def charge(job: Job) -> Amounts:
     """What the job's unsettled attempts hold."""
-    return need(job.spec, job.open_tasks)
+    return need(job.spec, job.open_task_count)
 
 
 def total(shares: Shares) -> Amounts:
@@ -202,7 +202,7 @@
         limits = self.e.teams.get(job.spec.team)
         if limits is None:
             return False
-        more = need(job.spec, job.queued)
+        more = need(job.spec, job.queued_task_count)
         return (self.held_in_all(job.spec.team) + more).fits(guarantee(limits))
 
     def exhausted(self, team: str) -> bool:
@@ -249,9 +249,16 @@
             jobs = [replica.jobs[j] for j in replica.by_team.get(name, set()) & replica.queued]
             # A job that fails everywhere keeps nothing from the others.
             jobs.sort(
-                key=lambda job: (job.failures >= c.FAILING, self.e.queue_order.urgency(job), job.id)
+                key=lambda job: (
+                    job.consecutive_failures >= c.FAILING,
+                    self.e.queue_order.urgency(job),
+                    job.id,
+                )
             )
-            queue = [(job.id, replica.job_owner(job), need(job.spec, job.queued)) for job in jobs]
+            queue = [
+                (job.id, replica.job_owner(job), need(job.spec, job.queued_task_count))
+                for job in jobs
+            ]
             entry = walk(
                 limit(limits), self.shares(name), self.held(name), self.e.settings.name, queue
             )
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -236,22 +236,22 @@
             job = engine.replica.jobs[job_id]
             free = (
                 self.planner.movable(job.spec)
-                and job.queued == 0
+                and job.queued_task_count == 0
                 and not engine.replica.withdrawn(job_id)
                 and not engine.moves.rests(job_id)
                 and engine.moves.hears(engine.replica.job_owner(job))
             )
             for attempt in attempts:
-                if attempt.stopping or attempt.session != worker.session:
+                if attempt.stopping or attempt.agent_epoch != worker.session:
                     continue
                 for task in attempt.tasks:
-                    key = (f"{job_id}/{task}", attempt.number)
+                    key = (f"{job_id}/{task}", attempt.attempt_number)
                     shown = worker.tasks.get(key)
                     running = shown is not None and shown.state == wire.RUNNING
                     ran = engine.now - worker.since.get(key, engine.now)
                     lost = _lost_core_s(job.spec, ran)
                     result.append(
-                        RunningTask(job.spec, task, attempt.number, lost, free and running)
+                        RunningTask(job.spec, task, attempt.attempt_number, lost, free and running)
                     )
         return result
 
--- a/appledock/core/records/attempt_groups.py
+++ b/appledock/core/records/attempt_groups.py
@@ -63,7 +63,7 @@
     for key, members in groupby(ordered, key=group):
         words, end = [], -1
         for row in members:
-            runs = list(IntervalSet(sorted(row[5])).runs())
+            runs = list(IntervalSet(sorted(row[5])).intervals())
             word = base36(_split(row[0])[2])
             for place, (low, high) in enumerate(runs):
                 skip = low - end - 1
@@ -106,7 +106,7 @@
 def pack_done(done: IntervalSet) -> dict[str, str]:
     """Finished tasks: ranges, or a map of bits where that is shorter."""
     ranges = str(done)
-    highest = max((high for _, high in done.runs()), default=-1)
+    highest = max((high for _, high in done.intervals()), default=-1)
     if len(ranges) <= 8 or (highest + 8) // 8 * 4 / 3 + 4 >= len(ranges):
         return {"done": ranges} if ranges else {}
     bits = sum(1 << number for number in done)
--- a/appledock/core/records/intervals.py
+++ b/appledock/core/records/intervals.py
@@ -68,7 +68,7 @@
             self._lows.insert(place, number)
             self._highs.insert(place, number)
 
-    def runs(self) -> Iterator[tuple[int, int]]:
+    def intervals(self) -> Iterator[tuple[int, int]]:
         """The closed intervals."""
         yield from zip(self._lows, self._highs, strict=True)
 
--- a/appledock/core/records/job.py
+++ b/appledock/core/records/job.py
@@ -17,17 +17,17 @@
     """Tasks of one step that went to one machine together."""
 
     machine: str
-    session: int
-    number: int
+    agent_epoch: int
+    attempt_number: int
     term: int
     stopping: bool
     tasks: set[int]
 
     def same(self, other: Attempt) -> bool:
-        return (self.machine, self.session, self.number, self.term, self.stopping) == (
+        return (self.machine, self.agent_epoch, self.attempt_number, self.term, self.stopping) == (
             other.machine,
-            other.session,
-            other.number,
+            other.agent_epoch,
+            other.attempt_number,
             other.term,
             other.stopping,
         )
@@ -38,21 +38,21 @@
     """One open job as recorded, at the version of its key."""
 
     spec: wire.JobSpec
-    submitted: float
+    submitted_at: float
     """time of day, s"""
     version: int = 0
-    steps: int = 0
+    last_step: int = 0
     """number of the last step; it is also the attempt number of its tasks"""
-    done: IntervalSet = field(default_factory=IntervalSet)
+    completed_tasks: IntervalSet = field(default_factory=IntervalSet)
     attempts: list[Attempt] = field(default_factory=list)
     cancelled: bool = False
     cancelled_at: float = 0.0
     """time of day of the cancellation, s; 0: not known"""
-    handoff: tuple[str, str] | None = None
+    handoff_target: tuple[str, str] | None = None
     """node and incarnation that the job was handed to"""
-    failures: int = 0
+    consecutive_failures: int = 0
     """errors since a task last completed"""
-    sealed: int = -1
+    sealed_open_task_count: int = -1
     """number of open tasks, counted once when the record can change no more"""
 
     @property
@@ -61,25 +61,25 @@
 
     def seal(self) -> None:
         """The record is now shared as it stands: it is copied, not changed."""
-        self.sealed = sum(len(attempt.tasks) for attempt in self.attempts)
+        self.sealed_open_task_count = sum(len(attempt.tasks) for attempt in self.attempts)
 
     @property
-    def open_tasks(self) -> int:
-        if self.sealed >= 0:
-            return self.sealed
+    def open_task_count(self) -> int:
+        if self.sealed_open_task_count >= 0:
+            return self.sealed_open_task_count
         return sum(len(attempt.tasks) for attempt in self.attempts)
 
     @property
-    def queued(self) -> int:
+    def queued_task_count(self) -> int:
         if self.cancelled:
             return 0
-        return self.spec.tasks - len(self.done) - self.open_tasks
+        return self.spec.tasks - len(self.completed_tasks) - self.open_task_count
 
-    def queued_tasks(self, limit: int) -> list[int]:
+    def first_queued_tasks(self, limit: int) -> list[int]:
         """The first tasks that are neither done nor open."""
         open_tasks = {task for attempt in self.attempts for task in attempt.tasks}
         result: list[int] = []
-        for low, high in self.done.gaps(self.spec.tasks):
+        for low, high in self.completed_tasks.gaps(self.spec.tasks):
             for task in range(low, high + 1):
                 if task not in open_tasks:
                     result.append(task)
@@ -90,25 +90,27 @@
     def copy(self) -> Job:
         return Job(
             self.spec,
-            self.submitted,
+            self.submitted_at,
             self.version,
-            self.steps,
-            self.done.copy(),
+            self.last_step,
+            self.completed_tasks.copy(),
             [
-                Attempt(a.machine, a.session, a.number, a.term, a.stopping, set(a.tasks))
+                Attempt(
+                    a.machine, a.agent_epoch, a.attempt_number, a.term, a.stopping, set(a.tasks)
+                )
                 for a in self.attempts
             ],
             self.cancelled,
             self.cancelled_at,
-            self.handoff,
-            self.failures,
+            self.handoff_target,
+            self.consecutive_failures,
         )
 
-    def deadline(self) -> float:
+    def deadline_at(self) -> float:
         """Time of day by which the job should be complete; far away without one."""
         if self.spec.deadline_s is None:
-            return self.submitted + 1e9
-        return self.submitted + self.spec.deadline_s
+            return self.submitted_at + 1e9
+        return self.submitted_at + self.spec.deadline_s
 
     def encode(self, format_: int = 1) -> dict[str, Any]:
         """The record, in a format that every node of the cluster reads (see `FORMAT` in
@@ -119,27 +121,27 @@
                 for name, value in msgspec.structs.asdict(self.spec).items()
                 if value is not None
             },
-            "at": round(self.submitted, 3),
-            "steps": self.steps,
+            "at": round(self.submitted_at, 3),
+            "steps": self.last_step,
         }
         if format_ >= 2:
-            record.update(compact.pack_done(self.done))
+            record.update(compact.pack_done(self.completed_tasks))
             if self.attempts:
                 record["groups"] = compact.pack(
                     [
-                        (a.machine, a.session, a.number, a.term, a.stopping, a.tasks)
+                        (a.machine, a.agent_epoch, a.attempt_number, a.term, a.stopping, a.tasks)
                         for a in self.attempts
                     ]
                 )
         else:
-            if self.done:
-                record["done"] = str(self.done)
+            if self.completed_tasks:
+                record["done"] = str(self.completed_tasks)
             if self.attempts:
                 record["open"] = [
                     [
                         a.machine,
-                        a.session,
-                        a.number,
+                        a.agent_epoch,
+                        a.attempt_number,
                         a.term,
                         int(a.stopping),
                         str(IntervalSet(sorted(a.tasks))),
@@ -148,14 +150,14 @@
                 ]
         if self.cancelled:
             record["cancelled"] = round(self.cancelled_at, 3) or True
-        if self.handoff:
-            record["to"] = list(self.handoff)
-        if self.failures:
-            record["failures"] = self.failures
+        if self.handoff_target:
+            record["to"] = list(self.handoff_target)
+        if self.consecutive_failures:
+            record["failures"] = self.consecutive_failures
         return record
 
 
-def decode(record: dict[str, Any], version: int) -> Job:
+def decode_job(record: dict[str, Any], version: int) -> Job:
     """The job of a record; raises ValueError, KeyError or TypeError if malformed."""
     handoff = record.get("to")
     cancelled = record.get("cancelled", False)
@@ -177,7 +179,7 @@
     )
 
 
-def split_task(name: str) -> tuple[str, int]:
+def split_task_name(name: str) -> tuple[str, int]:
     """`job-1/3` as job id and number; another form belongs to no job."""
     job, _, number = name.rpartition("/")
     return job, int(number) if number.isdigit() else -1
--- a/appledock/core/scheduling/handoff.py
+++ b/appledock/core/scheduling/handoff.py
@@ -27,7 +27,7 @@
 
     def note_mine(self, job: Job) -> None:
         """The job is ours now."""
-        if job.handoff:
+        if job.handoff_target:
             self.mine_since.setdefault(job.id, self.engine.now)
 
     def target(
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -235,7 +235,7 @@
         drains = engine.partitions.moves_off(job.spec, order.source)
         if not drains and not engine.rebalancer.movable(job.spec):
             return Outcome.NOT_ALLOWED
-        if order.job in self.active or not engine.job_writer.ready(job):
+        if order.job in self.active or not engine.job_writer.can_write(job):
             return Outcome.BUSY
         if engine.now < self.cooling.get(order.job, c.LONG_AGO):
             return Outcome.COOLING
@@ -266,7 +266,7 @@
 
     def _refused_by_task(self, job: Job, order: MoveOrder) -> Outcome | None:
         attempt = open_attempt(job, order)
-        if attempt is None or attempt.stopping or job.queued > 0:
+        if attempt is None or attempt.stopping or job.queued_task_count > 0:
             return Outcome.CHANGED
         worker = self.engine.workers.table.get(order.source)
         if worker is None:
@@ -426,7 +426,11 @@
             return Outcome.NOT_OURS
         if engine.now >= under_way.until:
             return Outcome.LATE
-        if open_attempt(job, order) is None and job.queued == 0 and engine.job_writer.ready(job):
+        if (
+            open_attempt(job, order) is None
+            and job.queued_task_count == 0
+            and engine.job_writer.can_write(job)
+        ):
             return Outcome.CHANGED  # it completed before the stop reached it
         return None
 
@@ -434,7 +438,7 @@
         """Do the records show the job at the destination, or no job any more?"""
         job = self.engine.replica.jobs.get(order.job)
         return job is None or any(
-            attempt.machine == order.destination and attempt.number > order.attempt
+            attempt.machine == order.destination and attempt.attempt_number > order.attempt
             for attempt in job.attempts
         )
 
@@ -455,7 +459,7 @@
     for attempt in job.attempts:
         if (
             attempt.machine == order.source
-            and attempt.number == order.attempt
+            and attempt.attempt_number == order.attempt
             and order.task in attempt.tasks
         ):
             return attempt
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -82,7 +82,7 @@
         """
         if job.spec.service or job.spec.gang or not self.crowded():
             return False
-        if tasks >= min(rest.queued, c.GATHER_TASKS):
+        if tasks >= min(rest.queued_task_count, c.GATHER_TASKS):
             return False
         return (
             self.engine.now - self.gathering.setdefault(job.id, self.engine.now) < c.GATHER_STEP_S
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -106,7 +106,9 @@
             if (
                 left
                 and job is not None
-                and (job.queued > 0 or job_id in self.e.reconcile_queue.capacity_freed_at)
+                and (
+                    job.queued_task_count > 0 or job_id in self.e.reconcile_queue.capacity_freed_at
+                )
             ):
                 self.claims[job_id] = left
             else:
@@ -140,16 +142,16 @@
             # wide early stages with the rank of the last one had 600 tasks stopped and
             # started again on one day, and the writes that this took were what lacked.
             if (
-                self.e.replica.needs.inherited_rank(other) >= job.spec.rank
+                self.e.replica.dependencies.inherited_rank(other) >= job.spec.rank
                 or other.cancelled
                 or other.spec.gang
             ):
                 continue
             for attempt in attempts:
-                if attempt.stopping or attempt.session != room.session:
+                if attempt.stopping or attempt.agent_epoch != room.session:
                     continue
                 for task in attempt.tasks:
-                    key = (f"{other_id}/{task}", attempt.number)
+                    key = (f"{other_id}/{task}", attempt.attempt_number)
                     shown = worker.tasks.get(key)
                     if shown is not None and shown.state == wire.EXITED:
                         continue  # over, and only not recorded yet
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -26,25 +26,31 @@
 
     def since(self, job: Job) -> float:
         """Time of day from which the job waits for being served."""
-        return self.ready_at.get(job.id, job.submitted)
+        return self.ready_at.get(job.id, job.submitted_at)
 
     def urgency(self, job: Job) -> tuple[float, ...]:
         """Sort key of the queue: guarantee, rank, then slack and age inside the class.
 
         A job that others need has the highest rank of them, and their ends less what they take.
         """
-        rank, end = self.engine.replica.needs.pressing(job)
+        rank, end = self.engine.replica.dependencies.inherited_priority(job)
         since = self.since(job)
         waited = self.engine.wall - since
-        if waited > self.engine.objectives.aged(job.spec) and not job.attempts and not job.done:
+        if (
+            waited > self.engine.objectives.aged(job.spec)
+            and not job.attempts
+            and not job.completed_tasks
+        ):
             # Ageing: first within its rank, later before all: every job begins. One
             # whose tasks were all stopped again to make room has not begun.
             return (-1 if waited > c.OVERDUE_S else 0, -rank, -1, since)
         inside = self.engine.quota.inside(job)
         ends = [since + limit for limit in self.engine.objectives.finished_in(job.spec)]
         if job.spec.deadline_s is not None:
-            ends += [job.submitted + limit for limit in self.engine.objectives.deadlines(job.spec)]
-        elif end < job.deadline():
+            ends += [
+                job.submitted_at + limit for limit in self.engine.objectives.deadlines(job.spec)
+            ]
+        elif end < job.deadline_at():
             ends.append(end)
         if job.spec.service or not ends:
             return (0 if inside else 1, -rank, 0, since)
@@ -57,5 +63,5 @@
             # Too late for every aim: in order of age, so that none waits for ever, and
             # none that can still be in time waits for it.
             return (0 if inside else 1, -rank, hope, since)
-        left = (job.spec.tasks - len(job.done)) * max(job.spec.estimate_s, 1.0)
+        left = (job.spec.tasks - len(job.completed_tasks)) * max(job.spec.estimate_s, 1.0)
         return (0 if inside else 1, -rank, hope, left * max(job.spec.cpus, 0.1))
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -49,7 +49,7 @@
         replica = self.e.replica
         for worker in self.queue.changed_workers:
             self.queue.jobs.update(replica.by_machine.get(worker, ()))
-            self.settlement.machine_changed(worker)
+            self.settlement.on_machine_changed(worker)
         self.queue.changed_workers.clear()
         if self.e.now >= self.next_sweep:
             self.next_sweep = self.e.now + c.SWEEP_EVERY_S
@@ -65,7 +65,7 @@
                 self.queue.placement_due = True
         if self.e.now >= self.next_release:
             self.next_release = self.e.now + c.RELEASE_EVERY_S
-            self.writer.release_shares()
+            self.writer.release_unused_allocations()
         if self.queue.deferred_jobs and self.e.now >= self.next_later:
             self.next_later = self.e.now + c.QUEUE_EVERY_S
             self.queue.jobs |= self.queue.deferred_jobs
@@ -119,7 +119,8 @@
             # costs the whole cluster; its lease or its deletion settles it.
             return False
         return any(
-            (f"{job.id}/{task}", attempt.number) not in worker.tasks for task in attempt.tasks
+            (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks
+            for task in attempt.tasks
         )
 
     # --- stopping ---------------------------------------------------------
@@ -155,42 +156,57 @@
                 else:
                     attempt.tasks -= hit
                     job.attempts.append(
-                        Attempt(machine, attempt.session, attempt.number, attempt.term, True, hit)
+                        Attempt(
+                            machine,
+                            attempt.agent_epoch,
+                            attempt.attempt_number,
+                            attempt.term,
+                            True,
+                            hit,
+                        )
                     )
         return changed
 
     # --- settling ---------------------------------------------------------
     def _settle(self, job: Job) -> None:
-        if not self.writer.ready(job):
+        if not self.writer.can_write(job):
             # Those cancelled with another one too: refused once, their end was never
             # written, since nothing else happens to them.
             if job.attempts or self.e.replica.withdrawn(job.id):
                 self.queue.deferred_jobs.add(job.id)
             return
-        new = self.settlement.settled(job)
-        over = self.writer.over(new or job)
+        new = self.settlement.without_settled_attempts(job)
+        over = self.writer.final_state(new or job)
         if job.id in self.stops and not over:
-            stopped = self.settlement.apply(job)
+            stopped = self.settlement.copy_without_settled_attempts(job)
             if self._apply_stops(stopped):
                 self.writer.commit(job, stopped, Priority.URGENT)
                 return
-        if new is None or new.queued <= job.queued:
+        if new is None or new.queued_task_count <= job.queued_task_count:
             self.queue.capacity_freed_at.pop(job.id, None)
         if new is None and not over:
             return
         self.queue.placement_due = True
         if over:
             # Other jobs can start only once this end is written.
-            needed = job.id in self.e.replica.needs.dependents
+            needed = job.id in self.e.replica.dependencies.dependents
             self.writer.commit(
-                job, self.settlement.apply(job), Priority.URGENT if needed else Priority.FINAL
+                job,
+                self.settlement.copy_without_settled_attempts(job),
+                Priority.URGENT if needed else Priority.FINAL,
             )
-        elif new is not None and new.queued > job.queued and self._step_first(job.id):
+        elif (
+            new is not None
+            and new.queued_task_count > job.queued_task_count
+            and self._step_first(job.id)
+        ):
             self.queue.deferred_jobs.add(job.id)
         elif self.e.now >= self.writer.written_at.get(job.id, -1e9) + self.pacing.progress_every(
             job
         ):
-            self.writer.commit(job, self.settlement.apply(job), Priority.PROGRESS)
+            self.writer.commit(
+                job, self.settlement.copy_without_settled_attempts(job), Priority.PROGRESS
+            )
         else:
             self.queue.deferred_jobs.add(job.id)
 
@@ -216,7 +232,7 @@
                 for j in replica.queued.union(
                     j
                     for j in self.queue.capacity_freed_at
-                    if j in replica.jobs and j not in replica.needs.waiting
+                    if j in replica.jobs and j not in replica.dependencies.waiting_jobs
                 )
             )
             if self.e.owns_job(job)
@@ -226,7 +242,9 @@
         arrays = bool(waiting) and self.e.now >= self.next_arrays and not self.pacing.hold_back()
         if arrays:
             self.next_arrays = self.e.now + self.pacing.gather_pause()
-        ready = [job for job in waiting if self.writer.ready(job) and (arrays or job.spec.service)]
+        ready = [
+            job for job in waiting if self.writer.can_write(job) and (arrays or job.spec.service)
+        ]
         if len(ready) < len(waiting):
             self.queue.placement_due = True
         if not ready:
@@ -238,11 +256,11 @@
         self.preemption.refresh()
         full = _Full()
         for job in sorted(ready, key=lambda job: (self.e.queue_order.urgency(job), job.id)):
-            if not self.writer.ready(job):
+            if not self.writer.can_write(job):
                 self.queue.placement_due = True  # a step of another one took its write back
                 continue
             if full.covers(
-                job.spec, self.e.replica.needs.inherited_rank(job)
+                job.spec, self.e.replica.dependencies.inherited_rank(job)
             ) and not self.e.moves.moving(job.id):
                 # Like tasks are decided as a class: nothing this large fits now.
                 self.queue.pending_reasons[job.id] = PendingReason.NO_CAPACITY
@@ -251,7 +269,7 @@
                 not self._place(job, rooms, own)
                 and self.queue.pending_reasons.get(job.id) == PendingReason.NO_CAPACITY
             ):
-                full.add(job.spec, self.e.replica.needs.inherited_rank(job))
+                full.add(job.spec, self.e.replica.dependencies.inherited_rank(job))
 
     def _place(self, job: Job, rooms: list[MachineCapacity], own: list[MachineCapacity]) -> bool:
         """Request the job's next step, or hand it on; False if neither can be."""
@@ -260,7 +278,7 @@
         if job.spec.team not in self.e.teams:
             self.queue.pending_reasons[job.id] = PendingReason.UNKNOWN_TEAM
             return False
-        rest = self.settlement.settled(job) or job
+        rest = self.settlement.without_settled_attempts(job) or job
         count = self._step_size(job, rest)
         zones = self.zones(rest)
         if count <= 0:
@@ -324,8 +342,8 @@
         """How many tasks the next step may have; 0: the team's limit allows none."""
         most = self.e.quota.allowed(job, rest)
         if job.spec.gang:
-            return rest.queued if most >= rest.queued else 0
-        return min(rest.queued, most, int(self.e.operator_settings["step_tasks"]))
+            return rest.queued_task_count if most >= rest.queued_task_count else 0
+        return min(rest.queued_task_count, most, int(self.e.operator_settings["step_tasks"]))
 
     def _within_team(self, job: Job, zones: dict[str, int]) -> bool:
         """The team's limit lacks: its own work of lower rank makes room, here or elsewhere."""
@@ -371,7 +389,7 @@
     def _without_room(self, job: Job, count: int, zones: dict[str, int] | None) -> str | None:
         """No controller has room: make some. The controller whose machines could be
         cleared, if none of ours can."""
-        if job.spec.service and self.writer.take_back(job):
+        if job.spec.service and self.writer.withdraw_lower_priority_steps(job):
             self.queue.pending_reasons[job.id] = PendingReason.PREEMPTING
             self.queue.placement_due = True
             return None
@@ -390,20 +408,22 @@
         view = self.e.replica.view
         assert view is not None
         new = rest.copy()
-        tasks = new.queued_tasks(sum(number for _, number in placed))
+        tasks = new.first_queued_tasks(sum(number for _, number in placed))
         if placed:
             # Being handed on is no beginning: jobs passed round for minutes counted as
             # begun, and their age moved them no further.
-            new.steps += 1
+            new.last_step += 1
         for room, number in placed:
             part, tasks = tasks[:number], tasks[number:]
             new.attempts.append(
-                Attempt(room.machine, room.session, new.steps, view.term, False, set(part))
+                Attempt(room.machine, room.session, new.last_step, view.term, False, set(part))
             )
         if handoff is not None:
-            new.handoff = (handoff, view.members[handoff])
-        elif new.handoff and view.members.get(new.handoff[0]) != new.handoff[1]:
-            new.handoff = None
+            new.handoff_target = (handoff, view.members[handoff])
+        elif (
+            new.handoff_target and view.members.get(new.handoff_target[0]) != new.handoff_target[1]
+        ):
+            new.handoff_target = None
         if not self.e.codec.fits(self.e.codec.drop_needless_types(new)):
             # The record holds only so many attempts at a time: the rest of the
             # tasks wait until some are settled, the job is never stuck.
@@ -422,7 +442,7 @@
 
     def _commit_part(self, job: Job, new: Job, placed: list[tuple[MachineCapacity, int]]) -> bool:
         """The step with half of its machines, and half of that, until it fits."""
-        new.handoff = job.handoff
+        new.handoff_target = job.handoff_target
         while placed and not self.e.codec.fits(new):
             drop = len(placed) - len(placed) // 2
             placed, new.attempts = placed[:-drop], new.attempts[:-drop]
@@ -444,8 +464,8 @@
         """Pass a job on without placing anything."""
         view = self.e.replica.view
         assert view is not None
-        new = self.settlement.apply(job)
-        new.handoff = (node, view.members[node])
+        new = self.settlement.copy_without_settled_attempts(job)
+        new.handoff_target = (node, view.members[node])
         return self.writer.commit(job, new, self._priority(job))
 
     def zones(self, job: Job) -> dict[str, int] | None:
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -16,8 +16,8 @@
 
 from appledock import constants as c
 from appledock.core.records.capacity import CAPACITY, CapacityRecords
-from appledock.core.records.dependencies import Dependencies
-from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.dependencies import DependencyGraph
+from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.store.keys import CATALOGUE, FINAL, FORMAT, JOBS, MEMBERS, SETTINGS, TEAMS, VIEW
 
 log = logging.getLogger(__name__)
@@ -118,7 +118,7 @@
         self.format: tuple[int, int] = (0, 1)
         """version of the record, and the format of records that is in use"""
         self.capacity = CapacityRecords()
-        self.needs = Dependencies()
+        self.dependencies = DependencyGraph()
         self.queued: set[str] = set()
         """open jobs with tasks that wait for a step, and for no other job"""
         self.marks: dict[str, int] = {}
@@ -152,8 +152,11 @@
 
     def job_owner(self, job: Job) -> str:
         assert self.view is not None
-        if job.handoff and self.view.members.get(job.handoff[0]) == job.handoff[1]:
-            return job.handoff[0]
+        if (
+            job.handoff_target
+            and self.view.members.get(job.handoff_target[0]) == job.handoff_target[1]
+        ):
+            return job.handoff_target[0]
         return self.owner_of(job.id)
 
     def team(self, name: str) -> Team:
@@ -194,7 +197,7 @@
 
     def _put(self, key: str, value: Any, version: int) -> None:
         if key.startswith(JOBS):
-            self._set_job(decode(value, version))
+            self._set_job(decode_job(value, version))
         elif key.startswith(FINAL):
             self.add_final(key[len(FINAL) :], value["state"])
         elif key.startswith(TEAMS):
@@ -255,12 +258,12 @@
         self.finals[job] = state
         if len(self.finals) > c.FINAL_CACHE:
             self.finals.popitem(last=False)
-        self.needs.final(job, state)
+        self.dependencies.on_job_ended(job, state)
         self._follow_needs()
 
     def _follow_needs(self) -> None:
         """Jobs that became ready, or are cancelled with one that they need."""
-        changed, self.needs.changed = self.needs.changed, set()
+        changed, self.dependencies.changed_jobs = self.dependencies.changed_jobs, set()
         for job_id in changed:
             job = self.jobs.get(job_id)
             if job is not None:
@@ -269,14 +272,14 @@
                 self.changed_teams.add(job.spec.team)
 
     def _queue(self, job: Job) -> None:
-        if job.queued > 0 and job.id not in self.needs.waiting:
+        if job.queued_task_count > 0 and job.id not in self.dependencies.waiting_jobs:
             self.queued.add(job.id)
         else:
             self.queued.discard(job.id)
 
     def withdrawn(self, job_id: str) -> bool:
         """Is the open job cancelled, by its user or with one that it needs?"""
-        return job_id in self.cancelled or job_id in self.needs.doomed
+        return job_id in self.cancelled or job_id in self.dependencies.cancelled_by_dependency
 
     def set_job(self, job: Job) -> None:
         """A record that this controller has just committed."""
@@ -289,7 +292,7 @@
         job.seal()
         self._index(old, job)
         self.by_team.setdefault(job.spec.team, set()).add(job.id)
-        self.needs.job(job, self.jobs, self.finals)
+        self.dependencies.on_job_recorded(job, self.jobs, self.finals)
         self._queue(job)
         if job.cancelled:
             self.cancelled.add(job.id)
@@ -322,7 +325,7 @@
             self._index(job, None)
             self.queued.discard(job_id)
             self.cancelled.discard(job_id)
-            self.needs.dropped(job_id)
+            self.dependencies.on_record_deleted(job_id)
             self.changed_teams.add(job.spec.team)
             team = self.by_team.get(job.spec.team)
             if team is not None:
--- a/appledock/core/workers/answers.py
+++ b/appledock/core/workers/answers.py
@@ -53,7 +53,7 @@
         worker = self.workers.table.get(report.worker)
         if worker is not None and worker.report is not None:
             self.engine.workers.learn(report)
-        self.engine.cancellation.seen(report)
+        self.engine.cancellation.halt_cancelled_tasks(report)
 
     def _answer_as_owner(self, request_id: int, report: wire.Report) -> None:
         member = self.engine.membership
--- a/appledock/core/workers/commands.py
+++ b/appledock/core/workers/commands.py
@@ -55,10 +55,10 @@
         for job_id, attempts in sorted(replica.by_machine.get(worker.id, {}).items()):
             job = replica.jobs[job_id]
             for attempt in attempts:
-                if attempt.session == session:
+                if attempt.agent_epoch == session:
                     row = (job, attempt)
                     for number in attempt.tasks:
-                        recorded[(f"{job_id}/{number}", attempt.number)] = row
+                        recorded[(f"{job_id}/{number}", attempt.attempt_number)] = row
         return recorded
 
     def _halt(
--- a/appledock/core/workers/evidence.py
+++ b/appledock/core/workers/evidence.py
@@ -37,24 +37,24 @@
         if worker is None:
             return None
         report = worker.report
-        if report is None or report.session < attempt.session:
-            return SETTLED if attempt.session <= worker.lapsed else None
-        if report.session > attempt.session:
+        if report is None or report.session < attempt.agent_epoch:
+            return SETTLED if attempt.agent_epoch <= worker.lapsed else None
+        if report.session > attempt.agent_epoch:
             return SETTLED
-        key = (f"{job.id}/{task}", attempt.number)
+        key = (f"{job.id}/{task}", attempt.attempt_number)
         entry = worker.tasks.get(key)
         if entry is None:
             # Orders of the step's term are refused once the worker shows a higher one,
             # and launches are only sent under the term of their step.
             over = (
                 report.token > attempt.term
-                or attempt.session <= worker.lapsed
+                or attempt.agent_epoch <= worker.lapsed
                 or self._never_launched(worker, job, attempt, key)
             )
             return SETTLED if over else None
         if entry.state == wire.EXITED:
             return _of_exited(job, entry)
-        return SETTLED if attempt.session <= worker.lapsed else None
+        return SETTLED if attempt.agent_epoch <= worker.lapsed else None
 
     def _never_launched(self, worker: Worker, job: Job, attempt: Attempt, key: TaskKey) -> bool:
         """Only the owner launches, it never did, and the record forbids it now."""
--- a/appledock/core/workers/liveness.py
+++ b/appledock/core/workers/liveness.py
@@ -58,7 +58,7 @@
 
     def _newest_recorded_session(self, machine: str) -> int:
         attempts = self.engine.replica.by_machine[machine].values()
-        return max((attempt.session for row in attempts for attempt in row), default=0)
+        return max((attempt.agent_epoch for row in attempts for attempt in row), default=0)
 
     # --- direct questions -------------------------------------------------
     def _worth_asking(self, worker: Worker) -> bool:
@@ -76,7 +76,7 @@
         engine = self.engine
         return any(
             engine.owns_job(engine.replica.jobs[job_id])
-            and any(attempt.session > worker.lapsed for attempt in attempts)
+            and any(attempt.agent_epoch > worker.lapsed for attempt in attempts)
             for job_id, attempts in engine.replica.by_machine.get(worker.id, {}).items()
         )
 
--- a/appledock/core/workers/reports.py
+++ b/appledock/core/workers/reports.py
@@ -7,7 +7,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.records.job import split_task
+from appledock.core.records.job import split_task_name
 from appledock.core.workers.record import ReportNumber, TaskKey, Worker
 from appledock.core.workers.table import WorkerTable
 
@@ -91,12 +91,12 @@
                     started = now
                 since[key] = started
             elif entry.why == wire.DONE and key in worker.since:
-                done = jobs.get(split_task(entry.task)[0])
+                done = jobs.get(split_task_name(entry.task)[0])
                 if done is not None:
                     self.engine.rebalancer.completed(worker.id, done, now - worker.since[key])
             busy = busy or entry.state != wire.EXITED
             if running or entry.state == wire.SAVING or entry.why == wire.DONE:
-                job = jobs.get(split_task(entry.task)[0])
+                job = jobs.get(split_task_name(entry.task)[0])
                 if job is not None:
                     worker.images[job.spec.image] = now
         worker.since = since
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -44,8 +44,8 @@
         worker = self.table.get(attempt.machine)
         if (
             worker is not None
-            and worker.session == attempt.session
-            and (f"{job.id}/{task}", attempt.number) not in worker.tasks
+            and worker.session == attempt.agent_epoch
+            and (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks
         ):
             return "settled"
         return VERDICT(self, job, attempt, task)
@@ -112,7 +112,7 @@
 
 def no_word_of_mouth(patch: Patch) -> None:
     """Nor deletions: what is left is time, since leases end in `cancel_s`."""
-    patch.setattr(CancellationEnforcer, "told", lambda *_: None)
+    patch.setattr(CancellationEnforcer, "broadcast", lambda *_: None)
     patch.setattr(CancellationEnforcer, "_halt", lambda *_: None)
     patch.setattr(CancellationEnforcer, "_delete", lambda *_: None)
 
--- a/tests/standins/golden.py
+++ b/tests/standins/golden.py
@@ -119,9 +119,7 @@
         ({}, {"cancelled": True}),
         (needs, {}),
     ):
-        job = code.jobs.Job(code.wire.JobSpec(**spec, **more), 12.5, 7, 3, **changes)
-        for task in (1, 4, 5, 6, 80):
-            job.done.add(task)
+        job = code.job(code.wire.JobSpec(**spec, **more), (1, 4, 5, 6, 80), **changes)
         job.attempts = [
             code.jobs.Attempt("vm-000007", 1, 2, 41, False, {0, 2, 7, 8}),
             code.jobs.Attempt("vm-000008", 1, 2, 41, False, {9, 10, 11}),
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -324,6 +324,13 @@
             }[kind]
         )
 
+    def job(self, spec: Any, completed: tuple[int, ...], **fields: Any) -> Any:
+        """A job submitted at 12.5 s, at version 7 and step 3; `fields` by their first names."""
+        job = self.jobs.Job(spec, 12.5, 7, 3, **fields)
+        for task in completed:
+            job.done.add(task)
+        return job
+
     def encode_job(self, job: Any, format_: int) -> Any:
         return job.encode(format_)
 
@@ -437,6 +444,14 @@
     def shares_in_force(self, controller: Any) -> bool:
         return bool(controller.partitions.in_force())
 
+    def job(self, spec: Any, completed: tuple[int, ...], **fields: Any) -> Any:
+        names = {"handoff": "handoff_target", "failures": "consecutive_failures"}
+        fields = {names.get(name, name): value for name, value in fields.items()}
+        job = self.jobs.Job(spec, 12.5, 7, 3, **fields)
+        for task in completed:
+            job.completed_tasks.add(task)
+        return job
+
     def store_reply(self, call: Any, outcome: str) -> Any:
         outcome_type = {"refused": self.calls.NotExecuted, "unknown": self.calls.UnknownOutcome}
         return self.events.StoreReply(self.call_id(call), outcome_type[outcome]())
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -9,7 +9,7 @@
 from appledock import wire
 from appledock.core import events as ev
 from appledock.core.api.user_requests import UserRequests
-from appledock.core.records.dependencies import Dependencies
+from appledock.core.records.dependencies import DependencyGraph
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import FINAL, FORMAT, JOBS
 from appledock.core.store.replica import Replica
@@ -69,18 +69,18 @@
 
 
 def test_tasks_that_do_not_wait_are_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    check = Dependencies._check
+    check = DependencyGraph._check
 
-    def ready(self: Dependencies, job_id: str) -> None:
+    def ready(self: DependencyGraph, job_id: str) -> None:
         check(self, job_id)
-        self.waiting.clear()
+        self.waiting_jobs.clear()
 
-    monkeypatch.setattr(Dependencies, "_check", ready)
+    monkeypatch.setattr(DependencyGraph, "_check", ready)
     assert "too_early" in day(1).judge.kinds()
 
 
 def test_a_cascade_that_stops_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Dependencies, "_ended_badly", lambda self, need: False)
+    monkeypatch.setattr(DependencyGraph, "_ended_badly", lambda self, need: False)
     assert "orphaned" in day(1, until=60.0).judge.kinds()
 
 
@@ -219,15 +219,15 @@
     stages: Stages, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with monkeypatch.context() as changed:
-        changed.setattr(Dependencies, "_ended_badly", lambda self, need: False)
+        changed.setattr(DependencyGraph, "_ended_badly", lambda self, need: False)
         assert "orphaned" in cancelled_at_the_root(1, stages)[0].judge.kinds()
-    check = Dependencies._check
+    check = DependencyGraph._check
 
-    def ready(self: Dependencies, job_id: str) -> None:
+    def ready(self: DependencyGraph, job_id: str) -> None:
         check(self, job_id)
-        self.waiting.clear()
+        self.waiting_jobs.clear()
 
-    monkeypatch.setattr(Dependencies, "_check", ready)
+    monkeypatch.setattr(DependencyGraph, "_check", ready)
     assert "too_early" in done_in_order(stages)[0].judge.kinds()
 
 
@@ -407,7 +407,7 @@
     """It is read; until then the job behind it is neither placed nor answered for."""
     e = ready_engine()
     e.replica.set_job(Job(spec(id="job-2", tethers=["job-1"]), 0.0, 3))
-    assert "job-2" not in e.replica.queued and e.replica.needs.undecided("job-2")
+    assert "job-2" not in e.replica.queued and e.replica.dependencies.has_unknown_outcome("job-2")
     effects = e.handle([ev.Tick()], 100.1, 0.0)
     read = next(x for x in calls(effects, GetKey) if x.request.key.startswith(JOBS))
     effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(9))], 100.2, 0.0)
--- a/tests/test_compact.py
+++ b/tests/test_compact.py
@@ -11,7 +11,7 @@
 from appledock import wire
 from appledock.core.records import attempt_groups as compact
 from appledock.core.records.intervals import IntervalSet
-from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.job import Attempt, Job, decode_job
 from tests.test_requests import spec
 
 MACHINES = st.one_of(
@@ -47,25 +47,25 @@
     def key(attempt: Attempt) -> tuple[object, ...]:
         return (
             attempt.machine,
-            attempt.session,
-            attempt.number,
+            attempt.agent_epoch,
+            attempt.attempt_number,
             attempt.term,
             attempt.stopping,
             sorted(attempt.tasks),
         )
 
     for format_ in (1, 2):
-        again = decode(json.loads(wire.encode(job.encode(format_))), 7)
+        again = decode_job(json.loads(wire.encode(job.encode(format_))), 7)
         assert sorted(map(key, again.attempts)) == sorted(map(key, job.attempts))
-        assert list(again.done) == sorted(done)
+        assert list(again.completed_tasks) == sorted(done)
         assert (
             again.spec,
-            again.submitted,
-            again.steps,
+            again.submitted_at,
+            again.last_step,
             again.cancelled,
             again.cancelled_at,
-            again.handoff,
-            again.failures,
+            again.handoff_target,
+            again.consecutive_failures,
         ) == (job.spec, 12.5, 3, True, 13.25, ("n1", "x.1"), 2)
 
 
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -56,24 +56,24 @@
     its job was looked at, under faults."""
     since: dict[tuple[str, str, int, int], float] = {}
     longest = 0.0
-    settled = Settlement.settled
+    settled = Settlement.without_settled_attempts
 
     def compare(self: Settlement, job: Job) -> Job | None:
         nonlocal longest
         result = settled(self, job)
         left = result if result is not None else job
-        open_now = {(a.number, task) for a in left.attempts for task in a.tasks}
+        open_now = {(a.attempt_number, task) for a in left.attempts for task in a.tasks}
         for attempt in job.attempts:
             for task in attempt.tasks:
-                key = (self.engine.incarnation, job.id, attempt.number, task)
+                key = (self.engine.incarnation, job.id, attempt.attempt_number, task)
                 proven = self.engine.workers.verdict(job, attempt, task) is not None
-                if proven and (attempt.number, task) in open_now:
+                if proven and (attempt.attempt_number, task) in open_now:
                     longest = max(longest, self.engine.now - since.setdefault(key, self.engine.now))
                 else:
                     since.pop(key, None)
         return result
 
-    patch.setattr(Settlement, "settled", compare)
+    patch.setattr(Settlement, "without_settled_attempts", compare)
     world = World(seed)
     for number in range(20):
         one = world.spec(number)
@@ -89,6 +89,6 @@
     assert overlooked(monkeypatch, 11) <= c.SWEEP_EVERY_S + c.QUEUE_EVERY_S
     monkeypatch.undo()
     # Without the sweep and the news of machines, proofs stay unnoticed.
-    monkeypatch.setattr(Settlement, "machine_changed", lambda self, machine: None)
+    monkeypatch.setattr(Settlement, "on_machine_changed", lambda self, machine: None)
     monkeypatch.setattr(Settlement, "examine_all", lambda self, job_id: None)
     assert overlooked(monkeypatch, 11) > c.SWEEP_EVERY_S + c.QUEUE_EVERY_S
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -16,7 +16,7 @@
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.messages import Heartbeat
 from appledock.core.quota import quota
-from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling import placement, preemption
 from appledock.core.scheduling.objectives import Objectives
 from appledock.core.scheduling.placement import Sampling
@@ -273,12 +273,14 @@
 
 
 def test_records_survive_the_state_service() -> None:
-    job = Job(spec(crates=9, hulls=["h4"]), 5.0, 3, 4, cancelled=True, handoff=("n1", "x"))
-    job.done.add(0)
+    job = Job(spec(crates=9, hulls=["h4"]), 5.0, 3, 4, cancelled=True, handoff_target=("n1", "x"))
+    job.completed_tasks.add(0)
     job.attempts.append(Attempt("vm-1", 2, 4, 7, True, {1, 2, 5}))
-    again = decode(msgspec.json.decode(wire.encode(job.encode())), 3)
+    again = decode_job(msgspec.json.decode(wire.encode(job.encode())), 3)
     assert again.encode() == job.encode()
-    assert again.queued_tasks(9) == [3, 4, 6, 7, 8] and again.queued == 0  # cancelled
+    assert (
+        again.first_queued_tasks(9) == [3, 4, 6, 7, 8] and again.queued_task_count == 0
+    )  # cancelled
 
 
 def test_malformed_records_are_logged_and_left_out() -> None:
@@ -377,7 +379,7 @@
     e = engine()
     job = Job(spec(crates=4), 0, 5)
     job.attempts.append(Attempt("vm-1", 1, 1, 1, False, {0, 1, 2}))
-    e.job_writer.busy.add(job.id)
+    e.job_writer.jobs_in_flight.add(job.id)
     e.reconciler.stop(job.id, "vm-1", {0})
     e.reconciler.stop(job.id, "vm-1", {2})
     assert e.reconciler._apply_stops(job)
@@ -534,9 +536,9 @@
     e = engine()
     e.wall = 1000.0
     young = Job(spec(id="job-000001", sail_s=500.0), 1000.0 - 5, 1)
-    passed = Job(spec(id="job-000002", crates=9, sail_s=500.0), 1000.0 - 70, 1, steps=3)
+    passed = Job(spec(id="job-000002", crates=9, sail_s=500.0), 1000.0 - 70, 1, last_step=3)
     assert e.queue_order.urgency(passed) < e.queue_order.urgency(young)
-    passed.done.add(0)
+    passed.completed_tasks.add(0)
     assert e.queue_order.urgency(passed) > e.queue_order.urgency(young)
 
 
@@ -557,17 +559,20 @@
         -9.0,
     )
     e.handle([], e.now + 0.2, 0.0)
-    assert e.capacity_index.reserved_on == {vm: {mine[0]: 4}} and mine[0] in e.job_writer.busy
+    assert (
+        e.capacity_index.reserved_on == {vm: {mine[0]: 4}}
+        and mine[0] in e.job_writer.jobs_in_flight
+    )
     service = Job(spec(id=mine[1], crates=1, cores=4.0, rank="production", shape="daemon"), 0.0, 3)
     e.replica.set_job(service)
     for _ in range(3):
         e.membership.touch_sent = e.membership.view_sent = e.now
         e.handle([], e.now + 0.11, 0.0)
     assert e.capacity_index.reserved_on == {vm: {mine[1]: 1}}
-    assert mine[0] not in e.job_writer.busy and mine[1] in e.job_writer.busy
+    assert mine[0] not in e.job_writer.jobs_in_flight and mine[1] in e.job_writer.jobs_in_flight
     # A stop takes the waiting write of its own job back too, but not an urgent one.
     e.reconciler.stop(mine[1], vm, {0})
-    assert mine[1] in e.job_writer.busy
+    assert mine[1] in e.job_writer.jobs_in_flight
 
 
 def test_lists_of_finished_tasks_are_written_often_only_for_a_team_at_its_limit() -> None:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -55,31 +55,33 @@
         job = Job(self.specs[name], 100.0)
         return min(
             [
-                job.deadline(),
+                job.deadline_at(),
                 *(self.end(other) - self.specs[other].estimate_s for other in self.behind(name)),
             ]
         )
 
 
 def compare(model: Model, replica: Replica) -> None:
-    needs = replica.needs
+    needs = replica.dependencies
     for name in model.open():
         job = replica.jobs[name]
-        assert (name not in needs.waiting) == model.ready(name), name
+        assert (name not in needs.waiting_jobs) == model.ready(name), name
         assert replica.withdrawn(name) == model.doomed(name), name
         assert (name in replica.queued) == (model.ready(name) and name not in model.cancelled)
-        assert not needs.undecided(name)
-        assert needs.pressing(job) == (model.rank(name), model.end(name)), name
-        assert needs.left(name) == [
+        assert not needs.has_unknown_outcome(name)
+        assert needs.inherited_priority(job) == (model.rank(name), model.end(name)), name
+        assert needs.unfinished_prerequisites(name) == [
             need for need in dict.fromkeys(model.needs(name)) if model.ended.get(need) != wire.DONE
         ]
-    assert not needs.unknown
+    assert not needs.unknown_outcomes
     # Nothing is kept of chains that are over.
-    assert set(needs.needs) == {name for name in model.open() if model.needs(name)}
+    assert set(needs.prerequisites) == {name for name in model.open() if model.needs(name)}
     assert set(needs.dependents) == {need for name in model.open() for need in model.needs(name)}
-    assert needs.doomed <= set(needs.needs) and needs.waiting <= set(needs.needs)
-    assert set(needs.open) <= set(needs.needs) | set(needs.dependents)
-    assert set(needs.outcome) <= set(needs.dependents)
+    assert needs.cancelled_by_dependency <= set(needs.prerequisites) and needs.waiting_jobs <= set(
+        needs.prerequisites
+    )
+    assert set(needs.open_jobs) <= set(needs.prerequisites) | set(needs.dependents)
+    assert set(needs.outcomes) <= set(needs.dependents)
 
 
 def started_anew(model: Model) -> Replica:
@@ -89,12 +91,12 @@
         job = Job(model.specs[name], 100.0, version, cancelled=name in model.cancelled)
         replica.set_job(job)
     needed = {need for name in model.open() for need in model.needs(name)}
-    assert replica.needs.unknown == {need for need in needed if need in model.ended}
+    assert replica.dependencies.unknown_outcomes == {need for need in needed if need in model.ended}
     for name in model.open():
-        assert replica.needs.undecided(name) == any(
+        assert replica.dependencies.has_unknown_outcome(name) == any(
             need in model.ended for need in above(model, name, set())
         )
-    for need in sorted(replica.needs.unknown):
+    for need in sorted(replica.dependencies.unknown_outcomes):
         replica.put(FINAL + need, {"state": model.ended[need]}, 1000)
     return replica
 
@@ -153,7 +155,9 @@
         elif what == "anew":
             replica = started_anew(model)
             revision = 1000 + revision
-        for need in sorted(replica.needs.unknown):  # ended before this controller started
+        for need in sorted(
+            replica.dependencies.unknown_outcomes
+        ):  # ended before this controller started
             replica.put(FINAL + need, {"state": model.ended[need]}, revision)
         compare(model, replica)
 
@@ -164,8 +168,8 @@
         needs = [f"job-{number - 1}"] if number else None
         replica.set_job(Job(spec(id=f"job-{number}", tethers=needs), 100.0, number + 1))
     last = replica.jobs["job-2999"]
-    assert replica.needs.pressing(replica.jobs["job-0"])[0] == last.spec.rank
+    assert replica.dependencies.inherited_priority(replica.jobs["job-0"])[0] == last.spec.rank
     first = replica.jobs["job-0"].copy()
     first.cancelled, first.version = True, 5000
     replica.set_job(first)
-    assert len(replica.needs.doomed) == 2999
+    assert len(replica.dependencies.cancelled_by_dependency) == 2999
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -17,7 +17,7 @@
 from appledock.core.controller import Controller
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.messages import Heartbeat
-from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.keys import JOBS, VIEW
 from appledock.core.store_calls import Transaction
@@ -68,9 +68,9 @@
     for step in range(400):
         world.clock.run(30.0 + step / 10)
         for key, row in world.state.rows.items():
-            for place in decode(row[0], row[1]).attempts if key.startswith(JOBS) else ():
-                if place.machine == victim and (key, place.number) not in seen:
-                    seen.add((key, place.number))
+            for place in decode_job(row[0], row[1]).attempts if key.startswith(JOBS) else ():
+                if place.machine == victim and (key, place.attempt_number) not in seen:
+                    seen.add((key, place.attempt_number))
                     late += step > 120  # later than 12 s, one lease
         down += 0.1 * ("job-000001/0" not in world.judge.on)
     assert world.judge.broken == []
@@ -115,7 +115,7 @@
             place.machine
             for key, row in world.state.rows.items()
             if key.startswith(JOBS)
-            for place in decode(row[0], row[1]).attempts
+            for place in decode_job(row[0], row[1]).attempts
         }
     assert world.judge.broken == []
     return used & {victim}
@@ -312,7 +312,7 @@
 
     def hasty(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
         worker = self.table.get(attempt.machine)
-        if worker is not None and (f"{job.id}/{task}", attempt.number) not in worker.tasks:
+        if worker is not None and (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks:
             return "settled"
         return verdict(self, job, attempt, task)
 
--- a/tests/test_old_words.py
+++ b/tests/test_old_words.py
@@ -51,23 +51,23 @@
     assert view is not None
     view.members["n1"] = "y"
     job = running(e, 3)
-    job.handoff = ("n1", "y")
+    job.handoff_target = ("n1", "y")
     stop = {"kind": "stop", "job": job.id, "machine": "vm-1", "tasks": [0]}
     e.handle([ev.PeerMessage(stop)], NOW, 0.0)
-    job.handoff = ("n0", "x.1")
+    job.handoff_target = ("n0", "x.1")
     e.handle([ev.PeerMessage(stop)], NOW, 0.0)
-    assert [bool(e.reconciler.stops), bool(e.job_writer.calls)] == [
+    assert [bool(e.reconciler.stops), bool(e.job_writer.queued_calls)] == [
         False,
         True,
     ]  # that one is written
-    del e.job_writer.calls[job.id]
-    e.job_writer.busy.clear()
-    job.handoff = ("n1", "y")
+    del e.job_writer.queued_calls[job.id]
+    e.job_writer.jobs_in_flight.clear()
+    job.handoff_target = ("n1", "y")
     e.handle([ev.PeerMessage(stop)], NOW + 1, 0.0)
-    job.handoff = ("n0", "x.1")
+    job.handoff_target = ("n0", "x.1")
     e.reconcile_queue.jobs.add(job.id)
     e.handle([ev.Tick()], NOW + 2, 0.0)
-    assert not e.job_writer.calls
+    assert not e.job_writer.queued_calls
 
 
 @pytest.mark.parametrize("why", ["mute", "silent", "never came up", "failed"])
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -10,7 +10,7 @@
 import pytest
 
 from appledock.core.membership.membership import Membership
-from appledock.core.records.dependencies import Dependencies
+from appledock.core.records.dependencies import DependencyGraph
 from appledock.core.store.keys import FORMAT
 from tests.standins.chains import pipeline, spec
 from tests.standins.deployment import NEXT
@@ -303,14 +303,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Taken for done instead."""
-    left = Dependencies._check
+    left = DependencyGraph._check
 
-    def trusting(self: Dependencies, job_id: str) -> None:
-        self.outcome.update(dict.fromkeys(self.unknown, "done"))
-        self.unknown.clear()
+    def trusting(self: DependencyGraph, job_id: str) -> None:
+        self.outcomes.update(dict.fromkeys(self.unknown_outcomes, "done"))
+        self.unknown_outcomes.clear()
         left(self, job_id)
 
-    monkeypatch.setattr(Dependencies, "_check", trusting)
+    monkeypatch.setattr(DependencyGraph, "_check", trusting)
     days = [needs_of_the_old_version(seed)[0] for seed in (3, 6, 7)]
     assert any("too_early" in world.judge.kinds() for world in days)
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -17,7 +17,7 @@
 from appledock.core.controller import Controller
 from appledock.core.quota import quota
 from appledock.core.quota.quota import Amounts, Quota
-from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.store.keys import JOBS, MEMBERS, TEAMS, VIEW
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.replica import Team
@@ -72,8 +72,10 @@
             self.log.append((self.revision, key, value))
 
     def used(self) -> float:
-        jobs = [decode(value, 1) for key, (value, _) in self.rows.items() if key.startswith(JOBS)]
-        return sum(job.open_tasks * job.spec.cpus for job in jobs)
+        jobs = [
+            decode_job(value, 1) for key, (value, _) in self.rows.items() if key.startswith(JOBS)
+        ]
+        return sum(job.open_task_count * job.spec.cpus for job in jobs)
 
     # --- what may happen ------------------------------------------------------
     def watch(self, name: str, most: int) -> None:
@@ -116,12 +118,14 @@
         new.attempts = [a for a in new.attempts if a.tasks]
         count = min(e.quota.allowed(job, new), rng.randint(0, 12))
         if count > 0:
-            new.steps += 1
+            new.last_step += 1
             new.attempts.append(
-                Attempt("vm-1", 1, new.steps, view.term, False, set(new.queued_tasks(count)))
+                Attempt(
+                    "vm-1", 1, new.last_step, view.term, False, set(new.first_queued_tasks(count))
+                )
             )
         if rng.random() < 0.25:
-            new.handoff = (rng.choice(sorted(view.members)), "i")
+            new.handoff_target = (rng.choice(sorted(view.members)), "i")
         heir = e.replica.job_owner(new)
         good, record = e.quota.plan(job, new, heir)
         stays = heir == name or self.alone_when_handed_on
@@ -368,7 +372,7 @@
     e.replica.put(MEMBERS + "n0", {"incarnation": "x.1", "lease": 1}, 1)
     name = next(f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0")
     running = [Attempt("vm-1", 1, 1, 5, False, {0, 1})]
-    job = Job(spec(id=name, crates=6, owner="red"), 0.0, 2, steps=1, attempts=running)
+    job = Job(spec(id=name, crates=6, owner="red"), 0.0, 2, last_step=1, attempts=running)
     e.replica.set_job(job)
     e.replica.put(TEAMS + "red", {"term": 5, "shares": {"n0": [2, 0], "n1": [4, 0]}}, 2)
     e.replica.advance(2)
