--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -163,8 +163,8 @@
         engine = self.engine
         rows = []
         if engine.replica.view:
-            engine.capacity_index.refresh()
-        free = engine.capacity_index.table
+            engine.capacity_index.recompute()
+        free = engine.capacity_index.machines
         for name in sorted(engine.workers.table):
             worker = engine.workers.table[name]
             report = worker.report
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -38,7 +38,7 @@
         """All rows; what is asked for first comes first."""
         if self.engine.replica.view is None:
             return {"cluster/": self._cluster()}
-        self.engine.capacity_index.refresh()
+        self.engine.capacity_index.recompute()
         return {
             "cluster/": self._cluster(),
             **self._controllers(),
@@ -58,7 +58,7 @@
             moves = "paused"
         elif engine.operator_settings["moves_dry_run"]:
             moves = "dry run"
-        shares = [_load(room) for room in engine.capacity_index.table.values()]
+        shares = [_load(room) for room in engine.capacity_index.machines.values()]
         return ClusterRow(
             engine.settings.name,
             len(engine.replica.jobs),
@@ -125,13 +125,13 @@
 
     def _workers(self) -> dict[str, Row]:
         """Workers, the fullest first; those that take no steps last."""
-        engine, table = self.engine, self.engine.capacity_index.table
+        engine, table = self.engine, self.engine.capacity_index.machines
         rows: dict[str, Row] = {}
-        for room in sorted(table.values(), key=lambda room: (-_load(room), room.machine)):
+        for room in sorted(table.values(), key=lambda room: (-_load(room), room.name)):
             teams = room.load.teams if room.load is not None else {}
             parts = [f"{team} {share:.2f}" for team, share in sorted(teams.items())]
-            blocked = engine.rebalancer.blocked.get(room.machine)
-            rows[f"worker/{room.machine}"] = WorkerRow(
+            blocked = engine.rebalancer.blocked.get(room.name)
+            rows[f"worker/{room.name}"] = WorkerRow(
                 room.owner, round(_load(room), 2), ", ".join(parts), blocked[1] if blocked else ""
             )
         for name in sorted(engine.workers.table.keys() - table.keys()):
--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -17,7 +17,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.events import Cancel, Poll, Reply, Submit
-from appledock.core.machines.machine_capacity import type_fits
+from appledock.core.machines.machine_capacity import can_run_on_type
 from appledock.core.quota import quota
 from appledock.core.records.job import Job
 from appledock.core.store.keys import FINAL, JOBS
@@ -244,7 +244,7 @@
             return "description too long"
         if not self.e.machine_types:
             return ""
-        if not any(type_fits(spec, kind) for kind in self.e.machine_types.values()):
+        if not any(can_run_on_type(spec, kind) for kind in self.e.machine_types.values()):
             return "fits no allowed machine type"
         return None
 
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -83,7 +83,7 @@
             if (machine := self._kept_for(partition, holders)) is not None
         }
         for machine in set(before.values()) ^ set(self.kept.values()):
-            self.engine.capacity_index.touch(machine)
+            self.engine.capacity_index.mark_changed(machine)
 
     def _replicas_on(self, machine: str) -> bool:
         replica = self.engine.replica
@@ -110,14 +110,14 @@
     def _may_gain_room(self, machine: str) -> bool:
         """Is anything free on it, or will be when arrays end?"""
         replica = self.engine.replica
-        return machine in self.engine.capacity_index.open or any(
+        return machine in self.engine.capacity_index.with_free_capacity or any(
             not replica.jobs[job].spec.service for job in replica.by_machine.get(machine, {})
         )
 
     def _move_replicas(self, most: int) -> None:
         """Move replicas off machines that are being handed over, to the holder's other ones."""
         engine = self.engine
-        engine.capacity_index.refresh()
+        engine.capacity_index.recompute()
         for bucket in engine.replica.capacity.buckets.values():
             for machine, holding in bucket.holdings.items():
                 if not holding.leaving:
@@ -156,18 +156,18 @@
         best = max(
             (
                 room
-                for room in self.engine.capacity_index.open.values()
-                if room.gate is not None
+                for room in self.engine.capacity_index.with_free_capacity.values()
+                if room.admission is not None
                 and room.load is not None
                 and room.fits(spec)
-                and self.engine.capacity_index.may_hold(room, spec)
+                and self.engine.capacity_index.can_reserve_for_move(room, spec)
             ),
-            key=lambda room: (room.cpus, room.machine),
+            key=lambda room: (room.cpus, room.name),
             default=None,
         )
         if best is None or best.load is None:
             return None
-        return best.machine, best.load.total
+        return best.name, best.load.total
 
     def _stop_savers(self) -> None:
         """Past the deadline that a change names, tasks that save go on elsewhere."""
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -28,7 +28,7 @@
 from appledock.capacity.settings import Capacity, Shares
 from appledock.core.capacity.drains import Drains
 from appledock.core.capacity.ownership import Holders
-from appledock.core.machines.capacity_index import Entry
+from appledock.core.machines.capacity_index import StepReservation
 from appledock.core.records.capacity import HOLDINGS
 from appledock.core.records.job import Attempt, Job
 from appledock.core.workers import Worker
@@ -114,14 +114,14 @@
             gate = self._gates[key] = Gate(self, *key)
         return gate
 
-    def conditions(self, reserved: Iterable[Entry]) -> dict[str, int]:
+    def conditions(self, reserved: Iterable[StepReservation]) -> dict[str, int]:
         """What a step that uses these machines is conditional on: who holds them."""
         if not self.in_force():
             return {}
         result = {}
         for machine, _, _ in reserved:
-            room = self.engine.capacity_index.table.get(machine)
-            if room is not None and room.gate is not None:
+            room = self.engine.capacity_index.machines.get(machine)
+            if room is not None and room.admission is not None:
                 number = bucket_of(machine)
                 result[f"{HOLDINGS}{number}"] = self.engine.replica.capacity.bucket(number).version
         return result
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -197,11 +197,11 @@
             self.membership.on_view()
             self.quota.on_view()
             self.moves.on_view()
-            self.capacity_index.touch_all()
+            self.capacity_index.mark_all_changed()
             self._applied_view = view
             self.reconcile_queue.placement_due = True
         if replica.capacity.changed:
-            self.capacity_index.dirty |= replica.capacity.changed
+            self.capacity_index.mark_each_changed(replica.capacity.changed)
             replica.capacity.changed.clear()
             self.reconcile_queue.placement_due = True
         if replica.settings_changed:
@@ -222,11 +222,11 @@
             for machine in replica.changed_machines:
                 self.settlement.machine_changed(machine)
             self.workers.orders_due |= replica.changed_machines
-            self.capacity_index.dirty |= replica.changed_machines
+            self.capacity_index.mark_each_changed(replica.changed_machines)
             replica.changed_machines.clear()
             self.reconcile_queue.placement_due = True
         self.fleet.read_catalogue()
         self.quota.allowed_cache.clear()  # depends on time, and on the watch
-        self.capacity_index.sweep()
+        self.capacity_index.recheck_availability()
         self.reconciler.tick()
         self.workers.flush_orders()
--- a/appledock/core/fleet/catalogue.py
+++ b/appledock/core/fleet/catalogue.py
@@ -48,7 +48,7 @@
             return
         for machine_type in types:
             self.engine.machine_types.setdefault(machine_type.name, machine_type)
-        self.engine.capacity_index.touch_all()
+        self.engine.capacity_index.mark_all_changed()
 
     def refresh(self) -> None:
         """Read the types from the cloud if it is time to."""
@@ -66,7 +66,7 @@
             return
         engine.machine_types.clear()
         engine.machine_types.update((offered.name, offered) for offered in reply.data.types)
-        engine.capacity_index.touch_all()
+        engine.capacity_index.mark_all_changed()
         engine.reconcile_queue.placement_due = True
         if engine.membership.leader() and self._differs_from_stored():
             self._store()
--- a/appledock/core/fleet/cordons.py
+++ b/appledock/core/fleet/cordons.py
@@ -33,7 +33,7 @@
         worker = self.engine.workers.table.get(name)
         if worker is not None:
             worker.cordoned, worker.cordoned_at = why, self.engine.now
-            self.engine.capacity_index.touch(name)
+            self.engine.capacity_index.mark_changed(name)
             self.engine.reconcile_queue.placement_due = True
 
     def announce(self, name: str, why: str, to: str | None = None) -> None:
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -9,7 +9,7 @@
 from appledock import wire
 from appledock.core.fleet.forecast import Forecast, left_by_estimate_s
 from appledock.core.fleet.model import Demand
-from appledock.core.machines.machine_capacity import MachineCapacity, type_fits
+from appledock.core.machines.machine_capacity import MachineCapacity, can_run_on_type
 from appledock.core.quota import quota
 from appledock.core.records.job import Job
 from appledock.core.workers import Worker
@@ -29,7 +29,8 @@
     for job in queued + Forecast(engine).upcoming():
         limits = engine.teams.get(job.spec.team)
         if limits is None or not any(
-            type_fits(job.spec, machine_type) for machine_type in engine.machine_types.values()
+            can_run_on_type(job.spec, machine_type)
+            for machine_type in engine.machine_types.values()
         ):
             continue
         if job.failures >= c.RENT_FAILURES:
@@ -56,7 +57,7 @@
 
 def soon_free(engine: Controller) -> Iterator[MachineCapacity]:
     """What arrays at work give back while a machine would boot and fetch."""
-    for name, room in engine.capacity_index.table.items():
+    for name, room in engine.capacity_index.machines.items():
         worker = engine.workers.table[name]
         freed = MachineCapacity("", room.type, room.zone, room.spot, 0, 0.0, 0.0, 0.0)
         for job_id, attempts in engine.replica.by_machine.get(name, {}).items():
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -12,7 +12,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.machines.machine_capacity import type_fits
+from appledock.core.machines.machine_capacity import can_run_on_type
 from appledock.core.records.job import Attempt, Job
 
 if TYPE_CHECKING:
@@ -49,7 +49,9 @@
 
     def _due(self, job: Job) -> bool:
         boots = [
-            kind.boot_s for kind in self.engine.machine_types.values() if type_fits(job.spec, kind)
+            kind.boot_s
+            for kind in self.engine.machine_types.values()
+            if can_run_on_type(job.spec, kind)
         ]
         return bool(boots) and self.ready_in(job) <= min(boots) * c.AHEAD_SHARE
 
--- a/appledock/core/fleet/headroom.py
+++ b/appledock/core/fleet/headroom.py
@@ -8,7 +8,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.fleet.demand import boot_and_fetch_s
-from appledock.core.machines.machine_capacity import type_fits
+from appledock.core.machines.machine_capacity import can_run_on_type
 from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
@@ -101,7 +101,7 @@
         images: dict[str, float] = {}
         cpus = 0.0
         for _, spec in self.arrivals.values():
-            types = [t for t in self.engine.machine_types.values() if type_fits(spec, t)]
+            types = [t for t in self.engine.machine_types.values() if can_run_on_type(spec, t)]
             if not types:
                 continue
             wait_s = min(boot_and_fetch_s(spec, machine_type) for machine_type in types)
@@ -117,13 +117,13 @@
         """
         machines = {}
         jobs, by_machine = self.engine.replica.jobs, self.engine.replica.by_machine
-        for room in self.engine.capacity_index.table.values():
+        for room in self.engine.capacity_index.machines.values():
             if room.spot or not room.images & images.keys():
                 continue
             cpus = max(0.0, room.cpus)
-            for job_id, attempts in by_machine.get(room.machine, {}).items():
+            for job_id, attempts in by_machine.get(room.name, {}).items():
                 spec = jobs[job_id].spec
                 if spec.rank < wire.RANKS["production"] and not spec.gang:
                     cpus += sum(spec.cpus * len(attempt.tasks) for attempt in attempts)
-            machines[room.machine] = WarmMachine(cpus, frozenset(room.images))
+            machines[room.name] = WarmMachine(cpus, frozenset(room.images))
         return WarmMachines(machines, images)
--- a/appledock/core/fleet/machines.py
+++ b/appledock/core/fleet/machines.py
@@ -181,7 +181,7 @@
         worker = self.engine.workers.table.get(name)
         if worker is None or worker.report is None:
             return True
-        return name not in self.engine.capacity_index.reserved_on and all(
+        return name not in self.engine.capacity_index.reserved_tasks and all(
             task.state == wire.EXITED for task in worker.report.tasks
         )
 
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -63,7 +63,7 @@
         self.rental.retry()
         if now >= self.next_plan and self.engine.machine_types:
             self.next_plan = now + c.FLEET_EVERY_S
-            self.engine.capacity_index.refresh()
+            self.engine.capacity_index.recompute()
             demand = self._demand()
             self._plan(demand)
             self._return(demand)
--- a/appledock/core/fleet/offers.py
+++ b/appledock/core/fleet/offers.py
@@ -8,7 +8,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.fleet.model import MachineKind
-from appledock.core.machines.machine_capacity import type_fits
+from appledock.core.machines.machine_capacity import can_run_on_type
 
 if TYPE_CHECKING:
     from appledock.core.controller import Controller
@@ -37,7 +37,7 @@
         for machine_type, kind in self._kinds_for(spec, only):
             if self.refused.get(kind, 0.0) > self.engine.now:
                 continue
-            fit = min(tasks, kind.empty_room(machine_type).count(spec))
+            fit = min(tasks, kind.empty_room(machine_type).free_slots(spec))
             price = (machine_type.spot_price if kind.spot else machine_type.price) / max(1, fit)
             if best is None or (price, kind) < best:
                 best = (price, kind)
@@ -48,7 +48,7 @@
     ) -> Iterator[tuple[wire.MachineType, MachineKind]]:
         """All kinds on which a task of the job may and can run."""
         for machine_type in self.engine.machine_types.values():
-            if not type_fits(spec, machine_type):
+            if not can_run_on_type(spec, machine_type):
                 continue
             for zone in machine_type.zones:
                 if spec.zone not in (None, zone) or only not in (None, zone):
--- a/appledock/core/fleet/planning.py
+++ b/appledock/core/fleet/planning.py
@@ -14,7 +14,7 @@
 from appledock.core.fleet.offers import Offers
 from appledock.core.fleet.rental import Rental
 from appledock.core.fleet.supply import Supply
-from appledock.core.machines.machine_capacity import type_fits, zone_cap
+from appledock.core.machines.machine_capacity import can_run_on_type, max_tasks_per_zone
 from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
         """What is free on machines that are up, booting or being rented."""
         types = self.engine.machine_types
         supply = Supply()
-        for room in self.engine.capacity_index.open.values():
+        for room in self.engine.capacity_index.with_free_capacity.values():
             supply.add(room, 1)
         for name, machine in booting.items():
             machine_type = types.get(machine.kind.type)
@@ -93,7 +93,7 @@
             if kind is None:
                 break
             room = kind.empty_room(self.engine.machine_types[kind.type])
-            number = math.ceil(tasks / max(1, room.count(spec)))
+            number = math.ceil(tasks / max(1, room.free_slots(spec)))
             supply.add(room, number)
             left = supply.take(spec, tasks, zone)
             if left == tasks:
@@ -127,7 +127,7 @@
         free = self._free_by_zone(spec, supply)
         zones = self._preferred_zones(spec, tasks, held, free)
         rented = sorted(zones, key=lambda zone: self.offers.cheapest(spec, tasks, zone) is None)
-        cap = zone_cap(spec)
+        cap = max_tasks_per_zone(spec)
         parts = dict.fromkeys(zones, 0)
         for order, most in ((zones, free), (rented, None)):
             for zone in order:
@@ -143,7 +143,7 @@
         return {
             zone: supply.count(spec, zone)
             for machine_type in self.engine.machine_types.values()
-            if type_fits(spec, machine_type)
+            if can_run_on_type(spec, machine_type)
             for zone in machine_type.zones
             if spec.zone in (None, zone)
         }
--- a/appledock/core/fleet/returns.py
+++ b/appledock/core/fleet/returns.py
@@ -28,7 +28,7 @@
 )
 from appledock.core.fleet.silence import SilenceDetector
 from appledock.core.fleet.summary import Summary
-from appledock.core.machines.machine_capacity import allowed_on
+from appledock.core.machines.machine_capacity import is_allowed_on
 from appledock.core.workers import Worker
 
 if TYPE_CHECKING:
@@ -132,21 +132,21 @@
 
     def _reserve(self, name: str) -> bool:
         """Is the idle machine needed for a job that will be ready soon?"""
-        room = self.engine.capacity_index.table.get(name)
+        room = self.engine.capacity_index.machines.get(name)
         if room is None:
             return False
         for item in self.upcoming:
             spec = item.spec
-            if item.tasks > 0 and allowed_on(spec, room) and room.fits(spec):
-                item.tasks -= room.count(spec)
+            if item.tasks > 0 and is_allowed_on(spec, room) and room.fits(spec):
+                item.tasks -= room.free_slots(spec)
                 return True
         return False
 
     def _asked_for(self, name: str, queue: list[wire.JobSpec]) -> bool:
         """Could a queued task run there? Steps may only be waiting for their write."""
-        room = self.engine.capacity_index.table.get(name)
+        room = self.engine.capacity_index.machines.get(name)
         return room is not None and any(
-            allowed_on(spec, room) and room.fits(spec) for spec in queue
+            is_allowed_on(spec, room) and room.fits(spec) for spec in queue
         )
 
     def _dead(self, worker: Worker) -> bool:
--- a/appledock/core/fleet/summary.py
+++ b/appledock/core/fleet/summary.py
@@ -31,7 +31,7 @@
         self.next_tell = now + c.TELL_EVERY_S
         up = [worker for worker in engine.workers.table.values() if worker.report is not None]
         idle = [worker for worker in up if worker.idle_since]
-        rooms = engine.capacity_index.table.values()
+        rooms = engine.capacity_index.machines.values()
         log.info(
             "fleet: %d up, %d booting, %d returning; %d idle: %d just so, %d not paid for, "
             "%d not settled, %d kept warm; cores %.0f, free %.0f; warm %.0f of %.0f wanted",
--- a/appledock/core/fleet/supply.py
+++ b/appledock/core/fleet/supply.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from appledock import wire
-from appledock.core.machines.machine_capacity import MachineCapacity, allowed_on
+from appledock.core.machines.machine_capacity import MachineCapacity, is_allowed_on
 
 RoomClass = tuple[str, str, bool, float, float, float]
 """machine type, zone, spot, and the cores, cards and memory that are free"""
@@ -31,9 +31,9 @@
     def count(self, spec: wire.JobSpec, zone: str) -> int:
         """How many tasks of this size fit in the zone."""
         return sum(
-            room.count(spec) * number
+            room.free_slots(spec) * number
             for room, number in self.rows.values()
-            if room.zone == zone and allowed_on(spec, room)
+            if room.zone == zone and is_allowed_on(spec, room)
         )
 
     def take(self, spec: wire.JobSpec, tasks: int, zone: str | None = None) -> int:
@@ -42,7 +42,7 @@
             if tasks <= 0:
                 break
             room, number = self.rows.pop(key)
-            per_machine = room.count(spec)
+            per_machine = room.free_slots(spec)
             full = min(number, tasks // per_machine)
             tasks -= full * per_machine
             self._add_remainder(room, spec, per_machine, full)
@@ -58,7 +58,7 @@
             (
                 (room.cpus, key)
                 for key, (room, _) in self.rows.items()
-                if allowed_on(spec, room) and room.fits(spec) and zone in (None, room.zone)
+                if is_allowed_on(spec, room) and room.fits(spec) and zone in (None, room.zone)
             ),
             key=lambda row: (row[0], row[1]),
         )
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -10,8 +10,8 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.jobs.reconcile_queue import PendingReason
-from appledock.core.machines.capacity_index import Entry
-from appledock.core.machines.machine_capacity import allowed_on
+from appledock.core.machines.capacity_index import StepReservation
+from appledock.core.machines.machine_capacity import is_allowed_on
 from appledock.core.records.job import Job
 from appledock.core.store.keys import FINAL, JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall
@@ -41,7 +41,7 @@
     new: Job
     over: str | None
     team_record: Team | None
-    reserved: list[Entry]
+    reserved: list[StepReservation]
     ended: Callable[[StoreOutcome], None]
     """takes back what the quota counts for the write; called with its outcome"""
 
@@ -83,7 +83,7 @@
         job: Job,
         new: Job,
         priority: Priority,
-        reserved: list[Entry] | None = None,
+        reserved: list[StepReservation] | None = None,
     ) -> bool:
         """Write completion, next step and the team's charge in one conditional transaction."""
         engine, team = self.engine, job.spec.team
@@ -106,7 +106,7 @@
         plan.conditions.update(engine.partitions.conditions(reserved or []))
         self.busy.add(job.id)
         if reserved:
-            engine.capacity_index.reserve(job.id, reserved)
+            engine.capacity_index.reserve_step(job.id, reserved)
         ended = engine.quota.begin(job, new, team, record)
         write = JobWrite(job, new, over, record, reserved or [], ended)
         patience = c.STEP_PATIENCE_S if over or priority >= Priority.STEP else c.PATIENCE_S
@@ -139,7 +139,7 @@
         engine, job_id = self.engine, write.job.id
         self.busy.discard(job_id)
         self.calls.pop(job_id, None)
-        engine.capacity_index.release(job_id)
+        engine.capacity_index.release_step(job_id)
         write.ended(outcome)
         engine.reconcile_queue.placement_due = True
         engine.reconcile_queue.jobs.add(job_id)
@@ -152,7 +152,7 @@
         engine, job, new = self.engine, write.job, write.new
         self.written_at[job.id] = engine.now
         self.invalid.pop(job.id, None)
-        engine.preemption.placed(job.id, write.reserved)
+        engine.preemption.release_claims(job.id, write.reserved)
         engine.moves.placed(job.id, write.reserved)
         if write.reserved:
             _log_step(write)
@@ -209,15 +209,15 @@
     def take_back(self, job: Job) -> bool:
         """Steps of lower rank that are not written yet make way for a service."""
         taken = False
-        for other_id, entries in list(self.engine.capacity_index.reserved.items()):
+        for other_id, entries in list(self.engine.capacity_index.step_reservations.items()):
             other = self.engine.replica.jobs.get(other_id)
             if (
                 other is not None
                 and self.engine.replica.needs.inherited_rank(other)
                 < self.engine.replica.needs.inherited_rank(job)
                 and any(
-                    (room := self.engine.capacity_index.table.get(machine)) is not None
-                    and allowed_on(job.spec, room)
+                    (room := self.engine.capacity_index.machines.get(machine)) is not None
+                    and is_allowed_on(job.spec, room)
                     for machine, _, _ in entries
                 )
             ):
--- a/appledock/core/machines/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -6,19 +6,25 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, NamedTuple
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.machines.machine_capacity import MachineCapacity, allowed_on
+from appledock.core.machines.machine_capacity import MachineCapacity, is_allowed_on
 from appledock.core.workers import Worker
 from appledock.rebalancing.picture import Load, task_share
 
 if TYPE_CHECKING:
     from appledock.core.controller import Controller
 
-Entry = tuple[str, wire.JobSpec, int]
-"""machine, job and number of its tasks in a step under way"""
+
+class StepReservation(NamedTuple):
+    """Tasks of a step under way on one machine."""
+
+    machine: str
+    spec: wire.JobSpec
+    tasks: int
 
 
 class CapacityIndex:
@@ -26,103 +32,111 @@
 
     def __init__(self, engine: Controller) -> None:
         self.e = engine
-        self.table: dict[str, MachineCapacity] = {}
-        self.open: dict[str, MachineCapacity] = {}
+        self.machines: dict[str, MachineCapacity] = {}
+        self.with_free_capacity: dict[str, MachineCapacity] = {}
         """those that have anything free"""
-        self.holders: dict[str, set[str]] = {}
+        self.machines_by_image: dict[str, set[str]] = {}
         """image -> machines that have it"""
-        self.dirty: set[str] = set()
-        self.reserved: dict[str, list[Entry]] = {}
+        self.changed: set[str] = set()
+        self.step_reservations: dict[str, list[StepReservation]] = {}
         """job -> what its step under way will take"""
-        self.reserved_on: dict[str, dict[str, int]] = {}
+        self.reserved_tasks: dict[str, dict[str, int]] = {}
         """machine -> job -> tasks of its step under way"""
-        self.held: dict[str, dict[str, wire.JobSpec]] = {}
+        self.move_reservations: dict[str, dict[str, wire.JobSpec]] = {}
         """machine -> job -> size of the task that is moving there"""
         self.next_sweep = 0.0
 
     # --- what changed -----------------------------------------------------
-    def touch(self, machine: str) -> None:
+    def mark_changed(self, machine: str) -> None:
         """The machine's room is to be counted anew."""
-        self.dirty.add(machine)
+        self.changed.add(machine)
+
+    def mark_each_changed(self, machines: Iterable[str]) -> None:
+        """The free capacity of these machines is to be counted anew."""
+        self.changed.update(machines)
 
-    def touch_all(self) -> None:
+    def mark_all_changed(self) -> None:
         """Types or owners changed."""
-        self.dirty.update(self.e.workers.table)
-        self.dirty.update(self.table)
+        self.changed.update(self.e.workers.table)
+        self.changed.update(self.machines)
 
-    def reserve(self, job_id: str, entries: list[Entry]) -> None:
+    def reserve_step(self, job_id: str, entries: list[StepReservation]) -> None:
         """A step is being written: its room is taken until the outcome is known."""
-        self.reserved[job_id] = entries
+        self.step_reservations[job_id] = entries
         for machine, _, count in entries:
-            self.reserved_on.setdefault(machine, {})[job_id] = count
-            self.dirty.add(machine)
+            self.reserved_tasks.setdefault(machine, {})[job_id] = count
+            self.changed.add(machine)
 
-    def release(self, job_id: str) -> None:
+    def release_step(self, job_id: str) -> None:
         """The outcome of the job's write is known: its record shows what it took."""
-        for machine, _, _ in self.reserved.pop(job_id, ()):
-            jobs = self.reserved_on.get(machine)
+        for machine, _, _ in self.step_reservations.pop(job_id, ()):
+            jobs = self.reserved_tasks.get(machine)
             if jobs is not None:
                 jobs.pop(job_id, None)
                 if not jobs:
-                    del self.reserved_on[machine]
-            self.dirty.add(machine)
+                    del self.reserved_tasks[machine]
+            self.changed.add(machine)
 
-    def hold(self, machine: str, spec: wire.JobSpec) -> None:
+    def reserve_for_move(self, machine: str, spec: wire.JobSpec) -> None:
         """Keep room for a task of the job that is moving to the machine."""
-        self.held.setdefault(machine, {})[spec.id] = spec
-        self.dirty.add(machine)
+        self.move_reservations.setdefault(machine, {})[spec.id] = spec
+        self.changed.add(machine)
 
-    def may_hold(self, room: MachineCapacity, spec: wire.JobSpec) -> bool:
+    def can_reserve_for_move(self, room: MachineCapacity, spec: wire.JobSpec) -> bool:
         """Is no room kept there for another move, and may the job run there?"""
-        return not self.held.get(room.machine) and allowed_on(spec, room)
+        return not self.move_reservations.get(room.name) and is_allowed_on(spec, room)
 
-    def drop_hold(self, machine: str, job_id: str) -> None:
+    def release_move(self, machine: str, job_id: str) -> None:
         """The room is needed no more, or taken."""
-        jobs = self.held.get(machine)
+        jobs = self.move_reservations.get(machine)
         if jobs is not None and jobs.pop(job_id, None) is not None:
-            self.dirty.add(machine)
+            self.changed.add(machine)
             if not jobs:
-                del self.held[machine]
+                del self.move_reservations[machine]
 
-    def sweep(self) -> None:
+    def recheck_availability(self) -> None:
         """Machines stop taking steps by mere silence, which no message tells."""
         if self.e.now < self.next_sweep:
             return
         self.next_sweep = self.e.now + c.SILENCE_EVERY_S
-        for name, room in self.table.items():
+        for name, room in self.machines.items():
             worker = self.e.workers.table.get(name)
-            if worker is None or not self.e.placeable(worker) or (room.session != worker.session):
-                self.dirty.add(name)
+            if (
+                worker is None
+                or not self.e.placeable(worker)
+                or (room.agent_epoch != worker.session)
+            ):
+                self.changed.add(name)
 
     # --- reading ----------------------------------------------------------
-    def refresh(self) -> None:
+    def recompute(self) -> None:
         """Count anew what has changed."""
-        for name in sorted(self.dirty):
+        for name in sorted(self.changed):
             worker = self.e.workers.table.get(name)
             if worker is None or not self.e.placeable(worker):
                 self._hold(name, frozenset())
-                self.table.pop(name, None)
-                self.open.pop(name, None)
+                self.machines.pop(name, None)
+                self.with_free_capacity.pop(name, None)
                 continue
             room = self._count(worker)
             self._hold(name, room.images)
-            self.table[name] = room
+            self.machines[name] = room
             if room.cpus > c.EPSILON or room.gpus > c.EPSILON:
-                self.open[name] = room
+                self.with_free_capacity[name] = room
             else:
-                self.open.pop(name, None)
-        self.dirty.clear()
+                self.with_free_capacity.pop(name, None)
+        self.changed.clear()
 
     def _hold(self, name: str, images: frozenset[str] | set[str]) -> None:
         """The machine has these images now."""
-        old = self.table.get(name)
+        old = self.machines.get(name)
         before = old.images if old is not None else frozenset()
         for image in images - before:
-            self.holders.setdefault(image, set()).add(name)
+            self.machines_by_image.setdefault(image, set()).add(name)
         for image in before - images:
-            self.holders[image].discard(name)
-            if not self.holders[image]:
-                del self.holders[image]
+            self.machines_by_image[image].discard(name)
+            if not self.machines_by_image[image]:
+                del self.machines_by_image[image]
 
     def _count(self, worker: Worker) -> MachineCapacity:
         report = worker.report
@@ -148,12 +162,16 @@
         recorded = self._take_recorded(worker, room, fetching)
         if recorded < len(worker.tasks) and self._stray(worker):
             room.cpus = room.memory_gb = -1.0  # a stray of unknown size
-        for job_id, count in self.reserved_on.get(worker.id, {}).items():
+        for job_id, count in self.reserved_tasks.get(worker.id, {}).items():
             room.reserve(
-                next(spec for machine, spec, _ in self.reserved[job_id] if machine == worker.id),
+                next(
+                    spec
+                    for machine, spec, _ in self.step_reservations[job_id]
+                    if machine == worker.id
+                ),
                 count,
             )
-        for spec in self.held.get(worker.id, {}).values():
+        for spec in self.move_reservations.get(worker.id, {}).values():
             room.reserve(spec)
         return room
 
@@ -164,7 +182,7 @@
         for job_id, attempts in self.e.replica.by_machine.get(worker.id, {}).items():
             spec = jobs[job_id].spec
             for attempt in attempts:
-                if attempt.session != room.session:
+                if attempt.session != room.agent_epoch:
                     continue
                 for task in attempt.tasks:
                     entry = worker.tasks.get((f"{job_id}/{task}", attempt.number))
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -67,7 +67,7 @@
         if not self.enabled or now < self.means_at + c.MEANS_EVERY_S:
             return
         self.means_at = now
-        rooms = self.engine.capacity_index.table.values()
+        rooms = self.engine.capacity_index.machines.values()
         self.scoring.means = means(
             (room.type.cpus, room.load) for room in rooms if room.load is not None
         )
@@ -79,9 +79,12 @@
             return
         places = [
             Place(
-                room.machine, room.type.name, room.zone, name not in self.engine.capacity_index.open
+                room.name,
+                room.type.name,
+                room.zone,
+                name not in self.engine.capacity_index.with_free_capacity,
             )
-            for name, room in self.engine.capacity_index.table.items()
+            for name, room in self.engine.capacity_index.machines.items()
         ]
         for data in self.datasets.datasets:
             found = situation(data, places)
@@ -110,7 +113,7 @@
         engine, settings = self.engine, self.settings
         if settings is None or not engine.membership.acting():
             return
-        engine.capacity_index.refresh()
+        engine.capacity_index.recompute()
         self.refresh_means()
         if not settings.moves.enabled or engine.now < self.next_pass:
             return
@@ -136,7 +139,7 @@
         fullest = Load()
         for load in self.smoothed.values():
             fullest = fullest.raised(load)
-        for name, room in self.engine.capacity_index.table.items():
+        for name, room in self.engine.capacity_index.machines.items():
             if room.load is not None:
                 known = self.smoothed.get(name) or room.load.raised(fullest)
                 smoothed[name] = known.followed(room.load, weight)
@@ -145,19 +148,19 @@
     def _machine(self, room: MachineCapacity) -> MachineLoad:
         assert room.load is not None
         return MachineLoad(
-            room.machine,
+            room.name,
             room.owner,
             room.zone,
             room.spot,
             room.type,
             room.load.copy(),
-            self.smoothed.get(room.machine, room.load).copy(),
+            self.smoothed.get(room.name, room.load).copy(),
             room.cpus,
             room.gpus,
             room.memory_gb,
             frozenset(room.images),
-            failing=room.strikes > 0,
-            gate=room.gate,
+            failing=room.failure_count > 0,
+            gate=room.admission,
         )
 
     def _plan_own(self) -> None:
@@ -165,7 +168,7 @@
         me = self.engine.settings.name
         machines = [
             self._machine(room)
-            for _, room in sorted(self.engine.capacity_index.table.items())
+            for _, room in sorted(self.engine.capacity_index.machines.items())
             if room.owner == me and room.load is not None
         ]
         plan = self.planner.plan(
@@ -188,7 +191,7 @@
         """
         machines = [
             self._machine(room)
-            for _, room in sorted(self.engine.capacity_index.table.items())
+            for _, room in sorted(self.engine.capacity_index.machines.items())
             if room.load is not None
         ]
         by_owner: dict[str, list[MachineLoad]] = {}
@@ -268,7 +271,7 @@
         """Loads, bounds, moves and what stands against them, for the administration API."""
         if self.settings is None:
             return {"enabled": False}
-        self.engine.capacity_index.refresh()
+        self.engine.capacity_index.recompute()
         moves = self.engine.moves
         return {
             "enabled": True,
@@ -305,7 +308,7 @@
 
     def _workers(self) -> list[dict[str, Any]]:
         rows = []
-        for name, room in sorted(self.engine.capacity_index.table.items()):
+        for name, room in sorted(self.engine.capacity_index.machines.items()):
             if room.load is None:
                 continue
             rows.append(
@@ -330,7 +333,7 @@
         for team, mean in sorted(self.scoring.means.teams.items()):
             most, machine, tasks = max(
                 (room.load.of(team), name, room.load.counts.get(team, 0))
-                for name, room in self.engine.capacity_index.table.items()
+                for name, room in self.engine.capacity_index.machines.items()
                 if room.load is not None
             )
             rows.append(
--- a/appledock/core/scheduling/handoff.py
+++ b/appledock/core/scheduling/handoff.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from appledock import constants as c
-from appledock.core.machines.machine_capacity import MachineCapacity, room_for
+from appledock.core.machines.machine_capacity import MachineCapacity, count_free_slots
 from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
@@ -43,13 +43,13 @@
         best = {
             owner: fit
             for owner, theirs in by_owner.items()
-            if (fit := room_for(job.spec, theirs, zones))
+            if (fit := count_free_slots(job.spec, theirs, zones))
         }
         if gang:
             whole = {node: fit for node, fit in best.items() if fit >= left}
             if whole:
                 return max(sorted(whole), key=whole.__getitem__)
-            everywhere = room_for(job.spec, rooms, zones)
+            everywhere = count_free_slots(job.spec, rooms, zones)
             if everywhere >= left and view.leader != self.engine.settings.name:
                 return view.leader
             return None
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -20,12 +20,12 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.events import PeerSend
-from appledock.core.machines.capacity_index import Entry
-from appledock.core.machines.machine_capacity import MachineCapacity, allowed_on
+from appledock.core.machines.capacity_index import StepReservation
+from appledock.core.machines.machine_capacity import is_allowed_on
 from appledock.core.messages import MoveEnded, MoveHeld, MoveMessage, MoveOrder, MoveRequested
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
-from appledock.core.scheduling.placement import Sampling
+from appledock.core.scheduling.placement import PlacedTasks, Sampling
 from appledock.rebalancing.settings import Moves as MoveRules
 
 if TYPE_CHECKING:
@@ -172,7 +172,7 @@
             return
         job = engine.replica.jobs[order.job]
         self.holds[order.job] = self._under_way(order)
-        engine.capacity_index.hold(order.destination, job.spec)
+        engine.capacity_index.reserve_for_move(order.destination, job.spec)
         self._send(engine.replica.job_owner(job), MoveHeld(order))
 
     def _refused_here(self, order: MoveOrder) -> Outcome | None:
@@ -184,15 +184,17 @@
             return refusal
         if not engine.workers.owned(order.destination):
             return Outcome.NOT_OURS
-        if order.job in self.holds or engine.capacity_index.held.get(order.destination):
+        if order.job in self.holds or engine.capacity_index.move_reservations.get(
+            order.destination
+        ):
             # One at a time: several planners may choose the same empty machine.
             return Outcome.BUSY
-        engine.capacity_index.refresh()
-        room = engine.capacity_index.table.get(order.destination)
+        engine.capacity_index.recompute()
+        room = engine.capacity_index.machines.get(order.destination)
         if room is None:
             return Outcome.LOST
         spec = engine.replica.jobs[order.job].spec
-        if not allowed_on(spec, room):
+        if not is_allowed_on(spec, room):
             return Outcome.NOT_ALLOWED
         if not room.fits(spec):
             return Outcome.NO_ROOM
@@ -219,7 +221,7 @@
         engine = self.engine
         spec = engine.replica.jobs[order.job].spec
         self.active[order.job] = self._under_way(order)
-        engine.capacity_index.hold(order.destination, spec)
+        engine.capacity_index.reserve_for_move(order.destination, spec)
         engine.reconciler.stop(order.job, order.source, {order.task})
 
     def _refused_by_job(self, order: MoveOrder) -> Outcome | None:
@@ -256,13 +258,13 @@
         held = self.holds.get(order.job)
         if held is not None and held.order == order:
             return None  # the room is ours to keep, and kept
-        self.engine.capacity_index.refresh()
-        room = self.engine.capacity_index.table.get(order.destination)
+        self.engine.capacity_index.recompute()
+        room = self.engine.capacity_index.machines.get(order.destination)
         if room is None:
             return Outcome.LOST
         if not room.fits(job.spec):
             return Outcome.NO_ROOM
-        return None if allowed_on(job.spec, room) else Outcome.NOT_ALLOWED
+        return None if is_allowed_on(job.spec, room) else Outcome.NOT_ALLOWED
 
     def _refused_by_task(self, job: Job, order: MoveOrder) -> Outcome | None:
         attempt = open_attempt(job, order)
@@ -300,9 +302,7 @@
             or any(under_way.order.job == job_id for under_way in self.planned.values())
         )
 
-    def place_held(
-        self, job: Job, rest: Job, zones: dict[str, int] | None
-    ) -> list[tuple[MachineCapacity, int]]:
+    def place_held(self, job: Job, rest: Job, zones: dict[str, int] | None) -> list[PlacedTasks]:
         """Put the next attempt of the stopped task into the room that is kept for it.
 
         Empty as long as the task is not settled, and if the room is not there any more: then
@@ -312,8 +312,8 @@
         if under_way is None or open_attempt(rest, under_way.order) is not None:
             return []
         engine, order = self.engine, under_way.order
-        room = engine.capacity_index.table.get(order.destination)
-        if room is None or not engine.preemption.free_for(room.machine, job):
+        room = engine.capacity_index.machines.get(order.destination)
+        if room is None or not engine.preemption.is_available_to(room.name, job):
             self._end(order, Outcome.LOST)
             return []
         room.release(job.spec, 1)  # the room that is kept
@@ -323,7 +323,7 @@
             self._end(order, Outcome.LOST)
         return placed
 
-    def placed(self, job_id: str, reserved: list[Entry]) -> None:
+    def placed(self, job_id: str, reserved: list[StepReservation]) -> None:
         """A step of the job is committed."""
         under_way = self.active.get(job_id)
         if under_way is not None and any(
@@ -390,7 +390,7 @@
             for under_way in (self.holds.get(order.job), self.active.get(order.job))
         )
         if not needed:
-            self.engine.capacity_index.drop_hold(order.destination, order.job)
+            self.engine.capacity_index.release_move(order.destination, order.job)
             self.engine.reconcile_queue.placement_due = True
 
     # --- time and views ---------------------------------------------------
--- a/appledock/core/scheduling/placement.py
+++ b/appledock/core/scheduling/placement.py
@@ -1,160 +1,221 @@
-"""Where tasks go: room on machines, sampled best fit, and the job's own limits."""
+"""Placement of a step's tasks on machines: filter, sample, score, reserve.
+
+The phases are those of scheduler frameworks. Filter keeps the machines that meet the job's
+hard constraints and have capacity. For each task, sample draws a few of them at random, score
+ranks these, and reserve takes the capacity on the best one.
+
+Best fit within a random sample in place of all machines is the rule of the architecture page
+("best fit among 8 sampled machines"; docs/design.md says why the sample is larger here). It is
+the power of several choices applied to packing: a pass costs little however many machines there
+are, and controllers that place at the same time on equal knowledge rarely choose alike.
+"""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
-from appledock import constants as c
-from appledock import wire
+from appledock import constants, wire
 from appledock.core.machines.machine_capacity import (
     MachineCapacity,
-    allowed_on,
-    fetch_s,
-    tightness,
-    zone_cap,
+    fragmentation,
+    image_fetch_s,
+    is_allowed_on,
+    max_tasks_per_zone,
 )
 
+Score = tuple[float, ...]
+"""compared term by term; lower is better"""
+
+
+class PlacedTasks(NamedTuple):
+    """Tasks of one step on one machine; their capacity is reserved there."""
+
+    machine: MachineCapacity
+    tasks: int
+
 
 class Scorer(Protocol):
     """Scores machines for one job in place of `score`."""
 
-    def score(self, room: MachineCapacity) -> tuple[float, ...]:
+    def score(self, machine: MachineCapacity) -> Score:
         """Lower is better."""
 
-    def close(self, room: MachineCapacity) -> bool:
-        """Should it be among those looked at, whatever the sample draws?"""
+    def is_preferred(self, machine: MachineCapacity) -> bool:
+        """Is the machine scored even if the random sample misses it?"""
+
 
+# --- score ------------------------------------------------------------------
+def spot_mismatch(spec: wire.JobSpec, machine: MachineCapacity) -> float:
+    """1 where a job that may use spot would take on-demand capacity that others need; else 0."""
+    return 1.0 if spec.spot and not machine.spot else 0.0
 
-def misplaced(spec: wire.JobSpec, room: MachineCapacity) -> float:
-    """A job that may use spot leaves ordinary machines to those that may not."""
-    return 1.0 if spec.spot and not room.spot else 0.0
 
+def score(spec: wire.JobSpec, machine: MachineCapacity) -> Score:
+    """Default score: failures, image fetch time, spot mismatch, fragmentation.
 
-def score(spec: wire.JobSpec, room: MachineCapacity) -> tuple[float, ...]:
-    """Lower is better: no failures, image at hand, right kind, tight fit, fast."""
+    Times and fragmentation are rounded, so that errors of floating point decide nothing.
+    """
     return (
-        float(room.strikes > 0),
-        round(fetch_s(spec, room), 3),
-        misplaced(spec, room),
-        round(tightness(spec, room), 6),
+        float(machine.failure_count > 0),
+        round(image_fetch_s(spec, machine), 3),
+        spot_mismatch(spec, machine),
+        round(fragmentation(spec, machine), 6),
     )
 
 
-def pick(
-    spec: wire.JobSpec, rooms: list[MachineCapacity], rng: random.Random, sample: int = c.SAMPLE
+# --- sample -----------------------------------------------------------------
+def sample_best_fit(
+    spec: wire.JobSpec,
+    machines: list[MachineCapacity],
+    rng: random.Random,
+    sample_size: int = constants.SAMPLE,
 ) -> MachineCapacity | None:
-    """Best fit among `sample` machines with room, drawn at random."""
-    if not rooms:
+    """The machine with the best default score in a random sample; None without machines."""
+    if not machines:
         return None
-    drawn = rooms if len(rooms) <= sample else rng.sample(rooms, sample)
-    return min(drawn, key=lambda room: (score(spec, room), room.machine))
+    sample = machines if len(machines) <= sample_size else rng.sample(machines, sample_size)
+    return min(sample, key=lambda machine: (score(spec, machine), machine.name))
 
 
-def pick_scored(
+def sample_best_scored(
     scorer: Scorer,
-    rooms: list[MachineCapacity],
-    close: list[MachineCapacity],
+    machines: list[MachineCapacity],
+    preferred: list[MachineCapacity],
     rng: random.Random,
-    sample: int,
+    sample_size: int,
 ) -> MachineCapacity | None:
-    """The best by the scorer among `sample` machines; up to half of them are close ones."""
-    if not rooms:
+    """The machine with the best score in a sample of which up to half are preferred ones."""
+    if not machines:
         return None
-    if len(rooms) <= sample:
-        drawn = rooms
+    if len(machines) <= sample_size:
+        sample = machines
     else:
-        half = sample // 2
-        drawn = close if len(close) <= half else rng.sample(close, half)
-        drawn = drawn + rng.sample(rooms, sample - len(drawn))
-    return min(drawn, key=lambda room: (scorer.score(room), room.machine))
+        half = sample_size // 2
+        sample = preferred if len(preferred) <= half else rng.sample(preferred, half)
+        sample = sample + rng.sample(machines, sample_size - len(sample))
+    return min(sample, key=lambda machine: (scorer.score(machine), machine.name))
 
 
 @dataclass(frozen=True, slots=True)
 class Sampling:
-    """How a machine is chosen among those that could take a task."""
+    """How one machine is chosen among those that could take a task."""
 
     rng: random.Random
-    size: int = c.SAMPLE
+    sample_size: int = constants.SAMPLE
     scorer: Scorer | None = None
-    """decides among the machines of the sample, for classes whose load is spread"""
+    """for job classes with score weights of their own; None: the default score"""
 
-    def near(self, spec: wire.JobSpec, rooms: list[MachineCapacity]) -> list[MachineCapacity]:
-        """Machines that a sample of many would rarely hit, and should."""
+    def preferred(
+        self, spec: wire.JobSpec, machines: list[MachineCapacity]
+    ) -> list[MachineCapacity]:
+        """Machines that should be scored although a random sample of many would miss them."""
         if self.scorer is not None:
-            return [room for room in rooms if self.scorer.close(room)]
-        return [room for room in rooms if spec.image in room.images and not room.strikes]
-
-    def pick(
-        self, spec: wire.JobSpec, rooms: list[MachineCapacity], near: list[MachineCapacity]
+            is_preferred = self.scorer.is_preferred
+            return [machine for machine in machines if is_preferred(machine)]
+        return [
+            machine
+            for machine in machines
+            if spec.image in machine.images and not machine.failure_count
+        ]
+
+    def choose(
+        self,
+        spec: wire.JobSpec,
+        machines: list[MachineCapacity],
+        preferred: list[MachineCapacity],
     ) -> MachineCapacity | None:
-        """The best of a sample; None if there is no machine."""
+        """The best machine of a sample; None if there is no machine."""
         if self.scorer is not None:
-            return pick_scored(self.scorer, rooms, near, self.rng, self.size)
-        # The image decides before all else: the sample is drawn among those that have it
-        # while there are any.
-        return pick(spec, near or rooms, self.rng, self.size)
+            return sample_best_scored(self.scorer, machines, preferred, self.rng, self.sample_size)
+        # The image decides before all else: the sample is drawn among the machines that
+        # have it while there are any.
+        return sample_best_fit(spec, preferred or machines, self.rng, self.sample_size)
 
 
+# --- filter -----------------------------------------------------------------
+def filter_machines(
+    spec: wire.JobSpec, machines: Iterable[MachineCapacity], tasks_by_zone: dict[str, int]
+) -> list[MachineCapacity]:
+    """Machines that meet the job's constraints and fit a task, co-location in a zone included."""
+    feasible = [
+        machine for machine in machines if is_allowed_on(spec, machine) and machine.fits(spec)
+    ]
+    if not spec.one_zone or not feasible:
+        return feasible
+    used_zones = {zone for zone, count in tasks_by_zone.items() if count}
+    if not used_zones:
+        return _zone_with_most_slots(spec, feasible)
+    if len(used_zones) > 1:
+        return []
+    return [machine for machine in feasible if machine.zone in used_zones]
+
+
+def _zone_with_most_slots(
+    spec: wire.JobSpec, machines: list[MachineCapacity]
+) -> list[MachineCapacity]:
+    """The machines of the zone that has slots for most tasks."""
+    by_zone: dict[str, list[MachineCapacity]] = {}
+    for machine in machines:
+        by_zone.setdefault(machine.zone, []).append(machine)
+    return max(
+        by_zone.values(),
+        key=lambda group: (sum(machine.free_slots(spec) for machine in group), group[0].zone),
+    )
+
+
+# --- the pass ---------------------------------------------------------------
 def place(
     spec: wire.JobSpec,
     tasks: int,
-    rooms: Iterable[MachineCapacity],
+    machines: Iterable[MachineCapacity],
     sampling: Sampling,
-    zones: dict[str, int],
-    whole: bool = False,
-) -> list[tuple[MachineCapacity, int]]:
-    """Up to `tasks` tasks on the rooms, which are charged; [(room, count), ...].
+    tasks_by_zone: dict[str, int],
+    all_or_nothing: bool = False,
+) -> list[PlacedTasks]:
+    """Place up to `tasks` tasks of the job and reserve their capacity on the machines.
 
-    `zones` counts the job's unsettled tasks by zone. `whole`: all or none.
+    `tasks_by_zone` counts the job's unsettled tasks. With `all_or_nothing` (gang scheduling)
+    nothing is placed or reserved unless all tasks are.
     """
-    usable = _usable(spec, rooms, zones)
-    if not usable or tasks <= 0:
+    feasible = filter_machines(spec, machines, tasks_by_zone)
+    if not feasible or tasks <= 0:
         return []
-    counts = dict(zones)
-    cap = zone_cap(spec)
-    placed: dict[str, list[MachineCapacity]] = {}
-    left = tasks
-    near = sampling.near(spec, usable)
-    while left and usable:
-        room = sampling.pick(spec, usable, near)
-        assert room is not None
-        if counts.get(room.zone, 0) >= cap:
-            usable = [other for other in usable if other.zone != room.zone]
-            near = [other for other in near if other.zone != room.zone]
-            continue
-        room.reserve(spec)
-        counts[room.zone] = counts.get(room.zone, 0) + 1
-        placed.setdefault(room.machine, []).append(room)
-        left -= 1
-        if not room.fits(spec):
-            usable = [other for other in usable if other is not room]
-            near = [other for other in near if other is not room]
-    if whole and left:
-        for taken in placed.values():
-            taken[0].release(spec, len(taken))
+    placed: dict[str, PlacedTasks] = {}
+    left = _reserve_sampled(spec, tasks, feasible, sampling, dict(tasks_by_zone), placed)
+    if all_or_nothing and left:
+        for machine, count in placed.values():
+            machine.release(spec, count)
         return []
-    return [(taken[0], len(taken)) for taken in placed.values()]
+    return list(placed.values())
 
 
-def _usable(
-    spec: wire.JobSpec, rooms: Iterable[MachineCapacity], zones: dict[str, int]
-) -> list[MachineCapacity]:
-    """Rooms that may and can take a task, by the job's rule of one zone too."""
-    usable = [room for room in rooms if allowed_on(spec, room) and room.fits(spec)]
-    if not spec.one_zone or not usable:
-        return usable
-    held = {zone for zone, count in zones.items() if count}
-    if not held:
-        return _best_zone(spec, usable)
-    return [room for room in usable if room.zone in held] if len(held) == 1 else []
-
-
-def _best_zone(spec: wire.JobSpec, rooms: list[MachineCapacity]) -> list[MachineCapacity]:
-    """The rooms of the zone that holds most tasks of this size."""
-    by_zone: dict[str, list[MachineCapacity]] = {}
-    for room in rooms:
-        by_zone.setdefault(room.zone, []).append(room)
-    return max(by_zone.values(), key=lambda rs: (sum(r.count(spec) for r in rs), rs[0].zone))
+def _reserve_sampled(
+    spec: wire.JobSpec,
+    tasks: int,
+    feasible: list[MachineCapacity],
+    sampling: Sampling,
+    tasks_by_zone: dict[str, int],
+    placed: dict[str, PlacedTasks],
+) -> int:
+    """Sample, score and reserve task by task, recording in `placed`; return the tasks left."""
+    zone_limit = max_tasks_per_zone(spec)
+    preferred = sampling.preferred(spec, feasible)
+    while tasks and feasible:
+        machine = sampling.choose(spec, feasible, preferred)
+        assert machine is not None
+        zone, name = machine.zone, machine.name
+        if tasks_by_zone.get(zone, 0) >= zone_limit:
+            feasible = [other for other in feasible if other.zone != zone]
+            preferred = [other for other in preferred if other.zone != zone]
+            continue
+        machine.reserve(spec)
+        tasks_by_zone[zone] = tasks_by_zone.get(zone, 0) + 1
+        placed[name] = PlacedTasks(machine, placed[name].tasks + 1 if name in placed else 1)
+        tasks -= 1
+        if not machine.fits(spec):
+            feasible = [other for other in feasible if other is not machine]
+            preferred = [other for other in preferred if other is not machine]
+    return tasks
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -14,12 +14,13 @@
 
 from appledock import constants as c
 from appledock import wire
+from appledock.core.machines.capacity_index import StepReservation
 from appledock.core.machines.machine_capacity import (
     MachineCapacity,
-    allowed_on,
-    fetch_s,
-    zone_cap,
-    zone_open,
+    image_fetch_s,
+    is_allowed_on,
+    is_zone_open,
+    max_tasks_per_zone,
 )
 from appledock.core.quota import quota
 from appledock.core.records.job import Job
@@ -59,7 +60,7 @@
     until: float
 
 
-def choose(
+def select_victims(
     spec: wire.JobSpec, room: MachineCapacity, victims: list[Victim], short: quota.Amounts = NOTHING
 ) -> list[Victim] | None:
     """The cheapest victims, cheapest first, that make room for one task and free
@@ -94,10 +95,10 @@
         self.e = engine
         self.claims: dict[str, list[Claim]] = {}
         """job -> machines being cleared for it"""
-        self.claimed: dict[str, str] = {}
+        self.claimed_machines: dict[str, str] = {}
         """machine -> job that it is being cleared for"""
 
-    def refresh(self) -> None:
+    def expire_claims(self) -> None:
         """Claims end: the room must not stay empty if the job went elsewhere."""
         now = self.e.now
         for job_id in list(self.claims):
@@ -111,15 +112,15 @@
                 self.claims[job_id] = left
             else:
                 del self.claims[job_id]
-        self.claimed = {
+        self.claimed_machines = {
             claim.machine: job_id for job_id, claims in self.claims.items() for claim in claims
         }
 
-    def free_for(self, machine: str, job: Job) -> bool:
+    def is_available_to(self, machine: str, job: Job) -> bool:
         """Is the machine not being cleared for another job?"""
-        return self.claimed.get(machine, job.id) == job.id
+        return self.claimed_machines.get(machine, job.id) == job.id
 
-    def placed(self, job_id: str, reserved: list[tuple[str, wire.JobSpec, int]]) -> None:
+    def release_claims(self, job_id: str, reserved: list[StepReservation]) -> None:
         """A step was committed: its machines need no claim any more."""
         machines = {machine for machine, _, _ in reserved}
         left = [claim for claim in self.claims.get(job_id, ()) if claim.machine not in machines]
@@ -128,13 +129,13 @@
         else:
             self.claims.pop(job_id, None)
 
-    def victims(self, job: Job, room: MachineCapacity) -> list[Victim]:
+    def preemptible_tasks(self, job: Job, room: MachineCapacity) -> list[Victim]:
         """Tasks on the machine that may be stopped for the job."""
-        worker = self.e.workers.table.get(room.machine)
+        worker = self.e.workers.table.get(room.name)
         result: list[Victim] = []
         if worker is None:
             return result
-        for other_id, attempts in self.e.replica.by_machine.get(room.machine, {}).items():
+        for other_id, attempts in self.e.replica.by_machine.get(room.name, {}).items():
             other = self.e.replica.jobs[other_id]
             # A job that others need is spared as they are, but stops nobody for their sake:
             # wide early stages with the rank of the last one had 600 tasks stopped and
@@ -146,7 +147,7 @@
             ):
                 continue
             for attempt in attempts:
-                if attempt.stopping or attempt.session != room.session:
+                if attempt.stopping or attempt.session != room.agent_epoch:
                     continue
                 for task in attempt.tasks:
                     key = (f"{other_id}/{task}", attempt.number)
@@ -163,40 +164,40 @@
         """Machines of a sample that could be cleared for a task of the job, the
         cheapest first."""
         spec = job.spec
-        cap = zone_cap(spec)
+        cap = max_tasks_per_zone(spec)
         used = {zone for zone, number in zones.items() if number}
         short = self._short(job) if within_team else NOTHING
         result = []
-        rooms = list(self.e.capacity_index.table.values())
+        rooms = list(self.e.capacity_index.machines.values())
         if len(rooms) > c.CLEAR_SAMPLE:
             # Half of the sample among those that have the image, if there are any: an
             # image of 5 GB takes longer than a boot.
-            held = sorted(self.e.capacity_index.holders.get(spec.image, ()))
+            held = sorted(self.e.capacity_index.machines_by_image.get(spec.image, ()))
             half = c.CLEAR_SAMPLE // 2
             names = set(held if len(held) <= half else self.e.rng.sample(held, half))
             rest = self.e.rng.sample(rooms, c.CLEAR_SAMPLE - len(names))
-            rooms = [self.e.capacity_index.table[name] for name in sorted(names)] + [
-                room for room in rest if room.machine not in names
+            rooms = [self.e.capacity_index.machines[name] for name in sorted(names)] + [
+                room for room in rest if room.name not in names
             ]
         for room in rooms:
             if (
-                not allowed_on(spec, room)
+                not is_allowed_on(spec, room)
                 or zones.get(room.zone, 0) >= cap
                 or (spec.one_zone and used and room.zone not in used)
-                or not self.free_for(room.machine, job)
-                or any(x.machine == room.machine for x in self.claims.get(job.id, ()))
+                or not self.is_available_to(room.name, job)
+                or any(x.machine == room.name for x in self.claims.get(job.id, ()))
             ):
                 continue
-            victims = self.victims(job, room)
+            victims = self.preemptible_tasks(job, room)
             if within_team:
                 victims = [v for v in victims if v.job.spec.team == spec.team]
-            chosen = choose(spec, room, victims, short)
+            chosen = select_victims(spec, room, victims, short)
             if chosen is not None:
-                cost = fetch_s(spec, room) + self.e.operator_settings["lost_work_weight"] * sum(
-                    victim.lost for victim in chosen
-                ) / max(spec.cpus, 0.1)
+                cost = image_fetch_s(spec, room) + self.e.operator_settings[
+                    "lost_work_weight"
+                ] * sum(victim.lost for victim in chosen) / max(spec.cpus, 0.1)
                 result.append(Option(cost, room, chosen))
-        return sorted(result, key=lambda option: (option.cost, option.room.machine))
+        return sorted(result, key=lambda option: (option.cost, option.room.name))
 
     def _short(self, job: Job) -> quota.Amounts:
         """What the team's limit lacks for one more task of the job."""
@@ -204,7 +205,7 @@
         held = self.e.quota.held_in_all(job.spec.team)
         return (held + quota.need(job.spec, 1) - quota.limit(limits)).most(NOTHING)
 
-    def make_room(
+    def preempt_for(
         self, job: Job, count: int, zones: dict[str, int], within_team: bool = False
     ) -> str | None:
         """Clear machines of ours for up to `count` tasks; else name the controller
@@ -225,7 +226,9 @@
             self._clear(job, option)
         return None
 
-    def better(self, job: Job, rooms: list[MachineCapacity], zones: dict[str, int]) -> str | None:
+    def find_faster_start(
+        self, job: Job, rooms: list[MachineCapacity], zones: dict[str, int]
+    ) -> str | None:
         """Where a task of the job would wait least for its image, if that is not
         on a free machine of ours: another controller's name, or our own when a
         machine of ours is being cleared. None: place it as usual."""
@@ -237,14 +240,14 @@
         for room in rooms:
             if (
                 room.fits(spec)
-                and allowed_on(spec, room)
-                and zone_open(spec, room.zone, zones)
-                and self.free_for(room.machine, job)
+                and is_allowed_on(spec, room)
+                and is_zone_open(spec, room.zone, zones)
+                and self.is_available_to(room.name, job)
             ):
-                wait, foreign = fetch_s(spec, room), room.owner != me
+                wait, foreign = image_fetch_s(spec, room), room.owner != me
                 if not foreign:
                     own = min(own, wait)
-                row = (wait, foreign, room.machine, room.owner)
+                row = (wait, foreign, room.name, room.owner)
                 if free is None or row < free:
                     free = row
         if free is None or free[0] > c.PREEMPT_MARGIN_S:
@@ -260,7 +263,7 @@
         return None
 
     def _clear(self, job: Job, option: Option) -> None:
-        machine = option.room.machine
+        machine = option.room.name
         log.info(
             "%s clears %s of %s",
             job.id,
@@ -268,7 +271,7 @@
             [f"{victim.job.id}/{victim.task}" for victim in option.victims],
         )
         self.claims.setdefault(job.id, []).append(Claim(machine, self.e.now + c.CLAIM_S))
-        self.claimed[machine] = job.id
+        self.claimed_machines[machine] = job.id
         for victim in option.victims:
             self._stop(victim, machine)
 
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -9,11 +9,12 @@
 from appledock import wire
 from appledock.core.events import PeerSend
 from appledock.core.jobs.reconcile_queue import PendingReason
-from appledock.core.machines.machine_capacity import MachineCapacity, allowed_on
+from appledock.core.machines.capacity_index import StepReservation
+from appledock.core.machines.machine_capacity import MachineCapacity, is_allowed_on
 from appledock.core.messages import StopTasks
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
-from appledock.core.scheduling.placement import Sampling
+from appledock.core.scheduling.placement import PlacedTasks, Sampling
 from appledock.core.store.rate_limiter import Priority
 
 if TYPE_CHECKING:
@@ -231,11 +232,11 @@
             self.queue.placement_due = True
         if not ready:
             return
-        self.e.capacity_index.refresh()
+        self.e.capacity_index.recompute()
         self.e.rebalancer.refresh_means()
-        rooms = list(self.e.capacity_index.open.values())
+        rooms = list(self.e.capacity_index.with_free_capacity.values())
         own = [room for room in rooms if room.owner == self.e.settings.name]
-        self.preemption.refresh()
+        self.preemption.expire_claims()
         full = _Full()
         for job in sorted(ready, key=lambda job: (self.e.queue_order.urgency(job), job.id)):
             if not self.writer.ready(job):
@@ -255,8 +256,8 @@
 
     def _place(self, job: Job, rooms: list[MachineCapacity], own: list[MachineCapacity]) -> bool:
         """Request the job's next step, or hand it on; False if neither can be."""
-        if self.preemption.claimed:
-            own = [room for room in own if self.preemption.free_for(room.machine, job)]
+        if self.preemption.claimed_machines:
+            own = [room for room in own if self.preemption.is_available_to(room.name, job)]
         if job.spec.team not in self.e.teams:
             self.queue.pending_reasons[job.id] = PendingReason.UNKNOWN_TEAM
             return False
@@ -281,7 +282,7 @@
             own = [
                 room
                 for room in rooms
-                if room.gate is not None and self.preemption.free_for(room.machine, job)
+                if room.admission is not None and self.preemption.is_available_to(room.name, job)
             ]
         elsewhere = self.e.rebalancer.scorer(job.spec) is None and not ours
         if job.spec.service and not job.spec.gang and zones is not None and elsewhere:
@@ -331,7 +332,7 @@
         """The team's limit lacks: its own work of lower rank makes room, here or elsewhere."""
         if job.spec.gang:
             return False
-        handoff = self.preemption.make_room(job, 1, zones, within_team=True)
+        handoff = self.preemption.preempt_for(job, 1, zones, within_team=True)
         return handoff is not None and self.hand_over(job, handoff)
 
     def _better_elsewhere(
@@ -343,10 +344,10 @@
     ) -> str | None:
         """The controller with which a replica waits least for its image: a service is felt
         at once. Our own name: room is being made here. None: placed here as usual."""
-        better = self.preemption.better(job, rooms, zones)
+        better = self.preemption.find_faster_start(job, rooms, zones)
         if better is None or better == self.e.settings.name:
             return better
-        here = any(room.fits(job.spec) and allowed_on(job.spec, room) for room in own)
+        here = any(room.fits(job.spec) and is_allowed_on(job.spec, room) for room in own)
         return None if here and self.pacing.pressed() else better
 
     def _find_room(
@@ -356,7 +357,7 @@
         rooms: list[MachineCapacity],
         own: list[MachineCapacity],
         zones: dict[str, int],
-    ) -> list[tuple[MachineCapacity, int]]:
+    ) -> list[PlacedTasks]:
         gang, sample = job.spec.gang, int(self.e.operator_settings["sample"])
         rng, scorer = self.e.rng, self.e.rebalancer.scorer(job.spec)
         sampling = Sampling(rng, sample, scorer)
@@ -377,14 +378,14 @@
             return None
         handoff = None
         if not job.spec.gang and zones is not None:
-            handoff = self.preemption.make_room(job, count, zones)
+            handoff = self.preemption.preempt_for(job, count, zones)
         if handoff is None or self.e.partitions.places_everywhere(job):
             self.queue.pending_reasons[job.id] = PendingReason.NO_CAPACITY
             return None
         return handoff
 
     def _request_step(
-        self, job: Job, rest: Job, placed: list[tuple[MachineCapacity, int]], handoff: str | None
+        self, job: Job, rest: Job, placed: list[PlacedTasks], handoff: str | None
     ) -> bool:
         """Write the step: what is settled, the new attempts, and who owns the job then."""
         view = self.e.replica.view
@@ -398,7 +399,7 @@
         for room, number in placed:
             part, tasks = tasks[:number], tasks[number:]
             new.attempts.append(
-                Attempt(room.machine, room.session, new.steps, view.term, False, set(part))
+                Attempt(room.name, room.agent_epoch, new.steps, view.term, False, set(part))
             )
         if handoff is not None:
             new.handoff = (handoff, view.members[handoff])
@@ -408,19 +409,19 @@
             # The record holds only so many attempts at a time: the rest of the
             # tasks wait until some are settled, the job is never stuck.
             for room, _ in placed:
-                self.e.capacity_index.touch(room.machine)
+                self.e.capacity_index.mark_changed(room.name)
             if job.spec.gang or len(placed) < 2:
                 self.queue.pending_reasons[job.id] = PendingReason.RECORD_FULL
                 return False
             return self._commit_part(job, new, placed)
-        reserved = [(room.machine, job.spec, number) for room, number in placed]
+        reserved = [StepReservation(room.name, job.spec, number) for room, number in placed]
         if self.writer.commit(job, new, self._priority(job), reserved):
             return True
         for machine, _, _ in reserved:
-            self.e.capacity_index.touch(machine)
+            self.e.capacity_index.mark_changed(machine)
         return False
 
-    def _commit_part(self, job: Job, new: Job, placed: list[tuple[MachineCapacity, int]]) -> bool:
+    def _commit_part(self, job: Job, new: Job, placed: list[PlacedTasks]) -> bool:
         """The step with half of its machines, and half of that, until it fits."""
         new.handoff = job.handoff
         while placed and not self.e.codec.fits(new):
@@ -433,7 +434,7 @@
             job,
             new,
             self._priority(job),
-            [(room.machine, job.spec, number) for room, number in placed],
+            [StepReservation(room.name, job.spec, number) for room, number in placed],
         )
 
     @staticmethod
--- a/appledock/core/workers/gossip.py
+++ b/appledock/core/workers/gossip.py
@@ -158,5 +158,5 @@
             if worker.session == row.session:
                 worker.heard_at = max(worker.heard_at, now - row.heard_s)
                 worker.well_at = max(worker.well_at, now - row.well_s)
-                if worker.id not in self.engine.capacity_index.table:
-                    self.engine.capacity_index.touch(worker.id)
+                if worker.id not in self.engine.capacity_index.machines:
+                    self.engine.capacity_index.mark_changed(worker.id)
--- a/appledock/core/workers/reports.py
+++ b/appledock/core/workers/reports.py
@@ -53,10 +53,10 @@
         self._note_tasks(worker)
         if old is None or _differs(old, before, report, worker.tasks):
             self.engine.reconcile_queue.changed_workers.add(worker.id)
-            self.engine.capacity_index.touch(worker.id)
+            self.engine.capacity_index.mark_changed(worker.id)
             self.engine.reconcile_queue.placement_due = True
-        elif worker.id not in self.engine.capacity_index.table:
-            self.engine.capacity_index.touch(worker.id)
+        elif worker.id not in self.engine.capacity_index.machines:
+            self.engine.capacity_index.mark_changed(worker.id)
         return True
 
     def _note_times(self, worker: Worker, report: wire.Report, well_s: float | None) -> None:
--- a/appledock/core/workers/table.py
+++ b/appledock/core/workers/table.py
@@ -46,7 +46,7 @@
         if session > worker.lapsed:
             worker.lapsed = session
             self.engine.reconcile_queue.changed_workers.add(machine)
-            self.engine.capacity_index.touch(machine)
+            self.engine.capacity_index.mark_changed(machine)
             self.engine.reconcile_queue.placement_due = True
 
     def set_gone(self, machines: Iterable[str]) -> None:
@@ -55,7 +55,7 @@
             if machine not in self.gone:
                 self.gone[machine] = self.engine.now
                 self.table.pop(machine, None)
-                self.engine.capacity_index.touch(machine)
+                self.engine.capacity_index.mark_changed(machine)
                 self.engine.reconcile_queue.changed_workers.add(machine)
                 self.engine.rebalancer.speeds.forget(machine)
         if len(self.gone) > c.GONE_MAX:
--- a/appledock/rebalancing/scoring.py
+++ b/appledock/rebalancing/scoring.py
@@ -7,8 +7,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.machines.machine_capacity import MachineCapacity, fetch_s, tightness
-from appledock.core.scheduling.placement import misplaced
+from appledock.core.machines.machine_capacity import MachineCapacity, fragmentation, image_fetch_s
+from appledock.core.scheduling.placement import spot_mismatch
 from appledock.rebalancing.locality import DataSets
 from appledock.rebalancing.picture import Means, task_share
 from appledock.rebalancing.settings import ClassWeights, Rebalancing
@@ -33,44 +33,44 @@
     bound: float
     slowness: Callable[[str], float]
 
-    def score(self, room: MachineCapacity) -> tuple[float, ...]:
+    def score(self, machine: MachineCapacity) -> tuple[float, ...]:
         """No failures, the right kind, then the weighted sum."""
         return (
-            float(room.strikes > 0),
-            misplaced(self.spec, room),
-            round(self._weighted(room), 6),
+            float(machine.failure_count > 0),
+            spot_mismatch(self.spec, machine),
+            round(self._weighted(machine), 6),
         )
 
-    def _weighted(self, room: MachineCapacity) -> float:
+    def _weighted(self, machine: MachineCapacity) -> float:
         weights, spec = self.weights, self.spec
-        result = weights.locality * self.distance(room)
-        if room.load is not None:
-            share = task_share(spec, room.type)
-            result += weights.spread * (room.load.total + room.load.of(spec.team) + share)
+        result = weights.locality * self.distance(machine)
+        if machine.load is not None:
+            share = task_share(spec, machine.type)
+            result += weights.spread * (machine.load.total + machine.load.of(spec.team) + share)
         if weights.image:
-            result += weights.image * fetch_s(spec, room) / c.FETCH_SCALE_S
+            result += weights.image * image_fetch_s(spec, machine) / c.FETCH_SCALE_S
         if weights.packing:
-            result += weights.packing * tightness(spec, room)
+            result += weights.packing * fragmentation(spec, machine)
         if weights.speed:
-            result += weights.speed * self.slowness(room.machine)
+            result += weights.speed * self.slowness(machine.name)
         return result
 
-    def distance(self, room: MachineCapacity) -> float:
+    def distance(self, machine: MachineCapacity) -> float:
         """To the job's data; a team at its bound gains nothing by being close."""
-        far = self.datasets.distance(self.spec, room.machine, room.type.name, room.zone)
-        if far < 1.0 and room.load is not None:
-            share = task_share(self.spec, room.type)
+        far = self.datasets.distance(self.spec, machine.name, machine.type.name, machine.zone)
+        if far < 1.0 and machine.load is not None:
+            share = task_share(self.spec, machine.type)
             mean = self.means.team(self.spec.team)
-            if over_bound(room.load.of(self.spec.team), share, mean, self.bound):
+            if over_bound(machine.load.of(self.spec.team), share, mean, self.bound):
                 return 1.0
         return far
 
-    def close(self, room: MachineCapacity) -> bool:
+    def is_preferred(self, machine: MachineCapacity) -> bool:
         """Does it hold the data of the job, with the team below its bound there?"""
         return (
             self.weights.locality > 0
             and bool(self.datasets.read_by(self.spec))
-            and self.distance(room) <= 0.0
+            and self.distance(machine) <= 0.0
         )
 
 
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -431,17 +431,17 @@
 
 def test_a_job_that_others_need_is_spared_as_they_are_and_stops_nobody_for_their_sake() -> None:
     e = ready_engine()
-    room = type("Place", (), {"machine": "vm-1", "session": 1})()
+    room = type("Place", (), {"name": "vm-1", "agent_epoch": 1})()
     e.workers.get("vm-1")
     running = [Attempt("vm-1", 1, 1, 1, False, {0})]
     e.replica.set_job(
         Job(spec(id="job-1", rank="best_effort", sail_s=None), 0.0, 2, attempts=running)
     )
     standard = Job(spec(id="job-5", rank="standard"), 0.0, 3)
-    assert [victim.job.id for victim in e.preemption.victims(standard, room)] == ["job-1"]
+    assert [victim.job.id for victim in e.preemption.preemptible_tasks(standard, room)] == ["job-1"]
     e.replica.set_job(Job(spec(id="job-2", rank="urgent", tethers=["job-1"]), 0.0, 4))
     assert e.rank(e.replica.jobs["job-1"]) == wire.RANKS["urgent"]
-    assert e.preemption.victims(standard, room) == []
+    assert e.preemption.preemptible_tasks(standard, room) == []
     # Nor does its inherited rank stop others: that of `standard` is lower than urgent.
     e.replica.set_job(
         Job(
@@ -452,5 +452,5 @@
         )
     )
     e.workers.get("vm-2")
-    other = type("Place", (), {"machine": "vm-2", "session": 1})()
-    assert e.preemption.victims(e.replica.jobs["job-1"], other) == []
+    other = type("Place", (), {"name": "vm-2", "agent_epoch": 1})()
+    assert e.preemption.preemptible_tasks(e.replica.jobs["job-1"], other) == []
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -79,16 +79,16 @@
         quay=zone,
     )
     rooms = [room(f"m{i}", cpus, z, s, mem) for i, (cpus, z, s, mem) in enumerate(rows)]
-    before = {r.machine: (r.cpus, r.memory_gb) for r in rooms}
+    before = {r.name: (r.cpus, r.memory_gb) for r in rooms}
     fits = {
-        r.machine: r.count(job) if (spot or not r.spot) and zone in (None, r.zone) else 0
+        r.name: r.free_slots(job) if (spot or not r.spot) and zone in (None, r.zone) else 0
         for r in rooms
     }
     placed = placement.place(job, tasks, rooms, Sampling(random.Random(1), sample), {}, whole)
-    count = {r.machine: n for r, n in placed}
+    count = {r.name: n for r, n in placed}
     zones: dict[str, int] = {}
     for r, n in placed:
-        assert 0 < n <= fits[r.machine]
+        assert 0 < n <= fits[r.name]
         zones[r.zone] = zones.get(r.zone, 0) + n
     total = sum(count.values())
     assert total <= tasks
@@ -96,12 +96,12 @@
     assert not scatter or max(zones.values(), default=0) <= (tasks + 1) // 2
     assert not whole or total in (0, tasks)
     for r in rooms:
-        taken = count.get(r.machine, 0)
-        assert r.cpus == before[r.machine][0] - size * taken
-        assert r.memory_gb == before[r.machine][1] - 2 * taken
+        taken = count.get(r.name, 0)
+        assert r.cpus == before[r.name][0] - size * taken
+        assert r.memory_gb == before[r.name][1] - 2 * taken
     if not whole:  # the plain reference: how many fit at most
         cap = (tasks + 1) // 2 if scatter else tasks
-        by_zone = [min(cap, sum(fits[r.machine] for r in rooms if r.zone == z)) for z in "ab"]
+        by_zone = [min(cap, sum(fits[r.name] for r in rooms if r.zone == z)) for z in "ab"]
         best = max(by_zone) if together else sum(by_zone)
         assert total == min(tasks, best)
 
@@ -146,9 +146,9 @@
 def test_image_at_hand_beats_a_tight_fit() -> None:
     job = spec(cores=1.0)
     rooms = [room("tight", 1), room("warm", 4, images=frozenset({"img"}))]
-    assert placement.pick(job, rooms, random.Random(1)).machine == "warm"  # type: ignore[union-attr]
+    assert placement.sample_best_fit(job, rooms, random.Random(1)).name == "warm"  # type: ignore[union-attr]
     assert (
-        placement.pick(job, [room("loose", 4), room("tight", 1)], random.Random(1)).machine
+        placement.sample_best_fit(job, [room("loose", 4), room("tight", 1)], random.Random(1)).name
         == "tight"
     )  # type: ignore[union-attr]
 
@@ -161,12 +161,12 @@
         preemption.Victim(small, 1, 1.0),
         preemption.Victim(small, 2, 5.0),
     ]
-    chosen = preemption.choose(job, room("m", 1), victims)
+    chosen = preemption.select_victims(job, room("m", 1), victims)
     assert [v.task for v in chosen or ()] == [1]
-    chosen = preemption.choose(job, room("m", 0), victims)
+    chosen = preemption.select_victims(job, room("m", 0), victims)
     assert [v.task for v in chosen or ()] == [1, 2]
-    assert preemption.choose(job, room("m", 0, memory=0.0), victims[:1]) is None
-    chosen = preemption.choose(job, room("m", 4), victims, quota.Amounts(3.0))
+    assert preemption.select_victims(job, room("m", 0, memory=0.0), victims[:1]) is None
+    chosen = preemption.select_victims(job, room("m", 4), victims, quota.Amounts(3.0))
     assert len(chosen or ()) == 2
 
 
@@ -256,7 +256,7 @@
     ]
     e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, tasks=tasks))
     high = Job(spec(id="job-9", rank="production"), 0)
-    found = e.preemption.victims(high, room("vm-1", 0))
+    found = e.preemption.preemptible_tasks(high, room("vm-1", 0))
     assert [victim.task for victim in found] == [1]
 
 
@@ -450,12 +450,12 @@
             )
         )
     e.workers.table["vm-150"].images["img"] = e.now
-    e.capacity_index.touch_all()
-    e.capacity_index.refresh()
-    assert e.capacity_index.holders["img"] == {"vm-150"}
+    e.capacity_index.mark_all_changed()
+    e.capacity_index.recompute()
+    assert e.capacity_index.machines_by_image["img"] == {"vm-150"}
     high = Job(spec(id="job-9", rank="production", shape="daemon", cores=4.0, crates=1), 0)
-    assert e.preemption.better(high, [], {}) == "n0"
-    assert e.preemption.claimed == {"vm-150": "job-9"}
+    assert e.preemption.find_faster_start(high, [], {}) == "n0"
+    assert e.preemption.claimed_machines == {"vm-150": "job-9"}
 
 
 def test_idle_machines_are_kept_while_tasks_queue_that_fit_them() -> None:
@@ -469,7 +469,7 @@
         e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1))
         e.workers.table["vm-1"].idle_since = e.now - 20
         e.replica.set_job(Job(spec(cores=size), 0, 5))
-        e.capacity_index.refresh()
+        e.capacity_index.recompute()
         e.fleet._return(e.fleet._demand())
         return set(e.fleet.returns.returning)
 
@@ -557,13 +557,13 @@
         -9.0,
     )
     e.handle([], e.now + 0.2, 0.0)
-    assert e.capacity_index.reserved_on == {vm: {mine[0]: 4}} and mine[0] in e.job_writer.busy
+    assert e.capacity_index.reserved_tasks == {vm: {mine[0]: 4}} and mine[0] in e.job_writer.busy
     service = Job(spec(id=mine[1], crates=1, cores=4.0, rank="production", shape="daemon"), 0.0, 3)
     e.replica.set_job(service)
     for _ in range(3):
         e.membership.touch_sent = e.membership.view_sent = e.now
         e.handle([], e.now + 0.11, 0.0)
-    assert e.capacity_index.reserved_on == {vm: {mine[1]: 1}}
+    assert e.capacity_index.reserved_tasks == {vm: {mine[1]: 1}}
     assert mine[0] not in e.job_writer.busy and mine[1] in e.job_writer.busy
     # A stop takes the waiting write of its own job back too, but not an urgent one.
     e.reconciler.stop(mine[1], vm, {0})
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -90,7 +90,7 @@
     names = [f"vm-{number:06d}" for number in range(6)]
     for name in names:
         e.workers.learn(report(name, 1))
-    e.capacity_index.refresh()
+    e.capacity_index.recompute()
     returns = e.fleet.returns
     stage = Job(spec(id="job-000001", crates=9, cores=2.0, memory_gb=1.0), 0.0, 1)
 
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -168,8 +168,8 @@
     for step in range(40):
         world.clock.run(25.0 + step / 4)
         for node in world.nodes.values():
-            node.engine.capacity_index.refresh()
-            assert len(node.engine.capacity_index.table) == up
+            node.engine.capacity_index.recompute()
+            assert len(node.engine.capacity_index.machines) == up
 
 
 def test_copies_at_a_stranger_move_no_worker(monkeypatch: Patch) -> None:
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -94,7 +94,7 @@
 
 
 def test_machines_taken_whatever_the_job_allows(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(placement, "allowed_on", lambda spec, room: True)
+    monkeypatch.setattr(placement, "is_allowed_on", lambda spec, room: True)
     assert "wrong_place" in kinds(range(10))
 
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -13,9 +13,10 @@
 import pytest
 
 from appledock import constants as c
-from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.machines.capacity_index import CapacityIndex, StepReservation
 from appledock.core.messages import MoveHeld, MoveOrder, MoveRequested
 from appledock.core.scheduling.moves import Moves, Outcome
+from appledock.core.scheduling.placement import PlacedTasks
 from appledock.core.store.keys import JOBS
 from appledock.rebalancing.settings import Rebalancing
 from tests.guards import silence_settles
@@ -218,7 +219,7 @@
     assert struck
     assert world.judge.broken == [] and world.unfinished() == []
     assert all(world.judge.final[order.job][0] == "done" for order in struck)
-    assert all(not node.engine.capacity_index.held for node in world.nodes.values())
+    assert all(not node.engine.capacity_index.move_reservations for node in world.nodes.values())
 
 
 @pytest.mark.parametrize("old", ["n0", "n1", "n2"])
@@ -237,7 +238,9 @@
     assert world.judge.broken == [] and missing(world) == []
     assert outcomes(world)[Outcome.DONE] > 0
     assert not any(
-        node.engine.capacity_index.held for node in world.nodes.values() if node.name != old
+        node.engine.capacity_index.move_reservations
+        for node in world.nodes.values()
+        if node.name != old
     )
 
 
@@ -278,7 +281,7 @@
         )
 
     assert outcome() == Outcome.DONE
-    monkeypatch.setattr(CapacityIndex, "hold", lambda self, machine, spec: None)
+    monkeypatch.setattr(CapacityIndex, "reserve_for_move", lambda self, machine, spec: None)
     monkeypatch.setattr(Moves, "place_held", _place_without_hold)
     assert outcome() != Outcome.DONE
 
@@ -290,12 +293,12 @@
         attempt.number == under_way.order.attempt for attempt in rest.attempts
     ):
         return []
-    room = self.engine.capacity_index.table.get(under_way.order.destination)
+    room = self.engine.capacity_index.machines.get(under_way.order.destination)
     if room is None or not room.fits(job.spec):
         self._end(under_way.order, Outcome.LOST)
         return []
     room.reserve(job.spec)
-    return [(room, 1)]
+    return [PlacedTasks(room, 1)]
 
 
 def fewest_up(rebalancing: Rebalancing) -> int:
@@ -328,7 +331,7 @@
     world, _ = play(6, job_owner_ends)
     engine = world.nodes["n0"].engine
     assert all(node.engine.moves.active == {} for node in world.nodes.values())
-    assert all(node.engine.capacity_index.held == {} for node in world.nodes.values())
+    assert all(node.engine.capacity_index.move_reservations == {} for node in world.nodes.values())
     order = MoveOrder("n0", 1, engine.membership.term - 1, "job-000001", 0, 1, "a", "b", 0.0)
     for message in (MoveRequested(order), MoveHeld(order)):
         engine.moves.on_peer(message)
@@ -355,7 +358,7 @@
     engine.moves.on_peer(MoveRequested(orders[0]))
     assert engine.moves._refused_here(orders[1]) is Outcome.BUSY
     engine.moves.holds.clear()
-    engine.capacity_index.drop_hold(destination, orders[0].job)
+    engine.capacity_index.release_move(destination, orders[0].job)
     engine.moves.active.clear()
     stale = MoveOrder(**{**_fields(orders[1]), "term": orders[1].term - 1})
     assert engine.moves._refused_here(stale) is Outcome.STALE
@@ -377,8 +380,8 @@
         "n9", 1, term, name, min(attempt.tasks), attempt.number, attempt.machine, destination, 0.0
     )
     assert engine.moves._refused_by_job(order) is None
-    others = [(destination, record.spec, 4)]
-    engine.capacity_index.reserve("job-000099", others)
+    others = [StepReservation(destination, record.spec, 4)]
+    engine.capacity_index.reserve_step("job-000099", others)
     assert engine.moves._refused_by_job(order) is Outcome.NO_ROOM
     engine.moves.on_peer(MoveHeld(order))
     assert not engine.moves.active and not engine.reconciler.stops
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -24,7 +24,7 @@
     kind = wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a"], gpus=1.0)
     room = MachineCapacity("m", kind, "a", False, 1, 4, 1, 16)
     assert quota.Amounts(5.0, 1.0).count(job) == 7
-    assert room.count(job) == 100_000
+    assert room.free_slots(job) == 100_000
 
 
 @pytest.mark.parametrize(
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -539,9 +539,11 @@
     assert not any(key.startswith(CAPACITY) for key in world.state.rows)
     assert all(node.engine.replica.format[1] == 2 for node in world.nodes.values())
     rooms = [
-        room for node in world.nodes.values() for room in node.engine.capacity_index.table.values()
+        room
+        for node in world.nodes.values()
+        for room in node.engine.capacity_index.machines.values()
     ]
-    assert rooms and all(room.gate is None and room.load is None for room in rooms)
+    assert rooms and all(room.admission is None and room.load is None for room in rooms)
 
 
 # --- guards taken out --------------------------------------------------------
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,9 +6,13 @@
 
 from appledock import wire
 from appledock.core.fleet.planning import Planner
-from appledock.core.machines.machine_capacity import MachineCapacity, allowed_on, room_for
+from appledock.core.machines.machine_capacity import (
+    MachineCapacity,
+    count_free_slots,
+    is_allowed_on,
+)
 from appledock.core.records.job import Job
-from appledock.core.scheduling import placement
+from appledock.core.scheduling import handoff
 from tests.standins.world import World
 from tests.test_decisions import room
 from tests.test_grown import owner_of_nothing
@@ -84,12 +88,12 @@
     rooms[0].owner, rooms[1].owner, rooms[2].owner = "n1", "n1", "n2"
     last = Job(spec(crates=5, memory_gb=0.0, together=True), 0.0, 3)
     assert e.handoff.target(last, rooms, 1, False, {"a": 4}) == "n2"
-    monkeypatch.setattr(placement, "room_for", any_zone)
+    monkeypatch.setattr(handoff, "count_free_slots", any_zone)
     assert e.handoff.target(last, rooms, 1, False, {"a": 4}) == "n1"
 
 
 def any_zone(spec: wire.JobSpec, rooms: list[MachineCapacity], zones: dict[str, int]) -> int:
-    return sum(room.count(spec) for room in rooms if allowed_on(spec, room))
+    return sum(room.free_slots(spec) for room in rooms if is_allowed_on(spec, room))
 
 
 @pytest.mark.parametrize(
@@ -111,4 +115,4 @@
     rule: dict[str, object], zones: dict[str, int], fit: int
 ) -> None:
     rooms = [room("m1", 2), room("m2", 1), room("m3", 4, "b")]
-    assert room_for(spec(crates=4, memory_gb=0.0, **rule), rooms, zones) == fit
+    assert count_free_slots(spec(crates=4, memory_gb=0.0, **rule), rooms, zones) == fit
