--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -180,9 +180,9 @@
                     "owner": engine.replica.owner_of(name) if engine.replica.view else None,
                     "session": report.session,
                     "token": report.token,
-                    "silent_s": round(engine.now - worker.heard_at, 1),
+                    "silent_s": round(engine.now - worker.reachability.last_heartbeat_at, 1),
                     "notice_s": report.notice_s,
-                    "cordoned": worker.cordoned or None,
+                    "cordoned": worker.placement.cordon_reason or None,
                     "tasks": sum(t.state != "exited" for t in report.tasks),
                     "free_cpus": round(room.cpus, 3) if room else None,
                 }
@@ -294,7 +294,7 @@
             self._answer(cmd, {"error": "this controller has no authority now"}, 503)
             return
         self.engine.fleet.operate(name, action)
-        self._answer(cmd, {"id": name, "cordoned": worker.cordoned or None})
+        self._answer(cmd, {"id": name, "cordoned": worker.placement.cordon_reason or None})
 
     def _log_level(self, cmd: Admin) -> None:
         level = cmd.body.get("level") if isinstance(cmd.body, dict) else None
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -137,7 +137,11 @@
         for name in sorted(engine.workers.table.keys() - table.keys()):
             worker = engine.workers.table[name]
             if worker.report is not None:
-                note = f"cordoned: {worker.cordoned}" if worker.cordoned else "takes no steps"
+                note = (
+                    f"cordoned: {worker.placement.cordon_reason}"
+                    if worker.placement.cordon_reason
+                    else "takes no steps"
+                )
                 rows[f"worker/{name}"] = WorkerRow(engine.replica.owner_of(name), 0.0, "", note)
         return rows
 
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -60,7 +60,7 @@
         buckets = engine.replica.capacity.buckets.values()
         return (
             len(engine.workers.table),
-            len(engine.workers.gone),
+            len(engine.workers.deleted_machines),
             sum(bucket.version for bucket in buckets),
             agreed.version if agreed is not None else 0,
             view.version if view is not None else 0,
@@ -139,7 +139,7 @@
             machine
             for bucket in engine.replica.capacity.buckets.values()
             for machine in bucket.holdings
-            if machine in engine.workers.gone
+            if machine in engine.workers.deleted_machines
             or (
                 settled
                 and machine not in engine.workers.table
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -214,7 +214,7 @@
         engine = self.engine
         result = []
         for name, worker in sorted(engine.workers.table.items()):
-            if self.pool_of(worker) == pool and name not in engine.workers.gone:
+            if self.pool_of(worker) == pool and name not in engine.workers.deleted_machines:
                 tasks: Counter[str] = Counter()
                 cost = 0.0
                 for job_id, attempts in engine.replica.by_machine.get(name, {}).items():
@@ -235,7 +235,7 @@
         for attempt in attempts:
             for task in attempt.tasks:
                 key = (f"{spec.id}/{task}", attempt.number)
-                ran = self.engine.now - worker.since.get(key, self.engine.now)
+                ran = self.engine.now - worker.status.running_since.get(key, self.engine.now)
                 longest = max(longest, spec.estimate_s - ran, c.TASK_LEAVES_S)
         return longest
 
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -194,10 +194,11 @@
         return (
             report is not None
             and report.type in self.machine_types
-            and not worker.cordoned
-            and worker.id not in self.workers.gone
-            and report.session > worker.lapsed
+            and not worker.placement.cordon_reason
+            and worker.id not in self.workers.deleted_machines
+            and report.session > worker.lease.expired_epoch
             and report.notice_s is None
-            and worker.proven
-            and self.now - worker.well_at <= 2.5 * self.settings.cluster.workers.report_s
+            and worker.has_shown_current_token
+            and self.now - worker.reachability.last_healthy_at
+            <= 2.5 * self.settings.cluster.workers.report_s
         )
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -93,7 +93,7 @@
         """Work through a batch; `now` is the steady clock, `wall` the time of day."""
         self.runtime.now, self.runtime.wall = now, wall
         if not self._started:
-            self.workers.start_bound = now + self.runtime.lease_ttl_s
+            self.workers.initial_renewable_until = now + self.runtime.lease_ttl_s
             self._started = True
         for command in batch:
             try:
@@ -117,7 +117,7 @@
     def _one(self, cmd: ev.Cmd) -> None:
         match cmd:
             case ev.Reported():
-                self.workers.on_report(cmd.request_id, cmd.report)
+                self.workers.on_heartbeat(cmd.request_id, cmd.report)
             case ev.StoreReply() | ev.CloudReply() | ev.WorkerReply():
                 self.runtime.resolve(cmd)
             case ev.PeerMessage():
@@ -221,7 +221,7 @@
             replica.changed_jobs.clear()
             for machine in replica.changed_machines:
                 self.settlement.machine_changed(machine)
-            self.workers.orders_due |= replica.changed_machines
+            self.workers.commands_due |= replica.changed_machines
             self.capacity_index.dirty |= replica.changed_machines
             replica.changed_machines.clear()
             self.reconcile_queue.placement_due = True
@@ -229,4 +229,4 @@
         self.quota.allowed_cache.clear()  # depends on time, and on the watch
         self.capacity_index.sweep()
         self.reconciler.tick()
-        self.workers.flush_orders()
+        self.workers.push_commands()
--- a/appledock/core/fleet/cordons.py
+++ b/appledock/core/fleet/cordons.py
@@ -32,7 +32,7 @@
         """Take over a cordon, or its end (no reason)."""
         worker = self.engine.workers.table.get(name)
         if worker is not None:
-            worker.cordoned, worker.cordoned_at = why, self.engine.now
+            worker.placement.cordon_reason, worker.placement.cordoned_at = why, self.engine.now
             self.engine.capacity_index.touch(name)
             self.engine.reconcile_queue.placement_due = True
 
@@ -54,9 +54,14 @@
         worker = self.engine.workers.table.get(machine)
         if worker is None:
             return
-        worker.failed_jobs.add(job)
-        if len(worker.failed_jobs) >= c.ERRORS_OF_JOBS and not worker.cordoned:
-            log.warning("%s set aside: tasks of %s failed", machine, sorted(worker.failed_jobs))
+        worker.placement.failed_jobs.add(job)
+        if (
+            len(worker.placement.failed_jobs) >= c.ERRORS_OF_JOBS
+            and not worker.placement.cordon_reason
+        ):
+            log.warning(
+                "%s set aside: tasks of %s failed", machine, sorted(worker.placement.failed_jobs)
+            )
             self.set_everywhere(machine, FAULTY)
 
     def announce_all(self, to: str, returning: Container[str]) -> None:
@@ -65,8 +70,10 @@
         Cordons of idle machines are the leader's alone to tell: those that it is `returning`.
         """
         for worker in self.engine.workers.table.values():
-            if worker.cordoned and (worker.cordoned != IDLE or worker.id in returning):
-                self.announce(worker.id, worker.cordoned, to)
+            if worker.placement.cordon_reason and (
+                worker.placement.cordon_reason != IDLE or worker.id in returning
+            ):
+                self.announce(worker.id, worker.placement.cordon_reason, to)
 
     def drain(self, returning: Container[str]) -> None:
         """Stop work on machines that are to be emptied.
@@ -81,14 +88,17 @@
                 # within that second, or a link that lost the word that it may be used.
                 self.set(name, "")
             preempted = worker.report is not None and worker.report.notice_s is not None
-            if worker.cordoned == DRAIN:
+            if worker.placement.cordon_reason == DRAIN:
                 self._stop_work(name, only_checkpointing=False)
             elif preempted:
                 self._stop_work(name, only_checkpointing=True)
 
     def _lapsed(self, worker: Worker) -> bool:
         """Has the leader not repeated the cordon of an idle machine for too long?"""
-        return worker.cordoned == IDLE and self.engine.now - worker.cordoned_at > c.CORDON_LAPSE_S
+        return (
+            worker.placement.cordon_reason == IDLE
+            and self.engine.now - worker.placement.cordoned_at > c.CORDON_LAPSE_S
+        )
 
     def _stop_work(self, name: str, only_checkpointing: bool) -> None:
         engine = self.engine
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -79,7 +79,7 @@
     now: float, spec: wire.JobSpec, worker: Worker, key: tuple[str, int]
 ) -> float | None:
     """How long the task may still run, by its estimate; None: it does not run yet."""
-    since = worker.since.get(key)
+    since = worker.status.running_since.get(key)
     return None if since is None else left_by_estimate_s(spec, now - since)
 
 
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -79,7 +79,7 @@
         entry = worker.tasks.get(key)
         if entry is not None and entry.state == wire.EXITED:
             return 0.0
-        since = worker.since.get(key)
+        since = worker.status.running_since.get(key)
         if since is None:
             return job.spec.estimate_s
         return left_by_estimate_s(job.spec, self.engine.now - since)
--- a/appledock/core/fleet/machines.py
+++ b/appledock/core/fleet/machines.py
@@ -115,7 +115,7 @@
             if (
                 name in workers.table
                 or now - rental.at > lost_s
-                or (name in workers.gone and name in self.listed)
+                or (name in workers.deleted_machines and name in self.listed)
             ):
                 del self.rentals[name]
 
@@ -148,7 +148,7 @@
 
     def announce_gone(self, names: list[str]) -> None:
         """Tell the peers that the machines no longer exist."""
-        self.engine.workers.set_gone(names)
+        self.engine.workers.mark_deleted(names)
         for name in names:
             self.rented_at.pop(name, None)
         self.engine.emit(PeerSend(MachinesGone(names)))
@@ -172,7 +172,7 @@
         """Is the first report of the machine still to come?"""
         worker = self.engine.workers.table.get(name)
         heard = worker is not None and worker.report is not None
-        return not heard and name not in self.engine.workers.gone
+        return not heard and name not in self.engine.workers.deleted_machines
 
     def empty(self, name: str) -> bool:
         """No open attempt is recorded there, and no task shows in its report."""
--- a/appledock/core/fleet/returns.py
+++ b/appledock/core/fleet/returns.py
@@ -80,10 +80,14 @@
         queue = [item.job.spec for item in demand if item.ready]
         self._reserve_for_upcoming(demand)
         for name, worker in self.engine.workers.table.items():
-            if name in self.returning or worker.report is None or name in self.engine.workers.gone:
+            if (
+                name in self.returning
+                or worker.report is None
+                or name in self.engine.workers.deleted_machines
+            ):
                 continue
-            if worker.cordoned in (DRAIN, FAULTY) and self._surely_empty(name):
-                self.cordon(name, worker.cordoned)
+            if worker.placement.cordon_reason in (DRAIN, FAULTY) and self._surely_empty(name):
+                self.cordon(name, worker.placement.cordon_reason)
             elif self._idle(worker, queue) and warm.spare(name, wanted.cpus):
                 warm.remove(name)
                 self.cordon(name, IDLE)
@@ -107,11 +111,11 @@
         """Has it been of no use for long enough?"""
         now, name = self.engine.now, worker.id
         return (
-            bool(worker.idle_since)
-            and now - worker.idle_since > self.engine.operator_settings["idle_return_s"]
+            bool(worker.placement.idle_since)
+            and now - worker.placement.idle_since > self.engine.operator_settings["idle_return_s"]
             and self.machines.past_minimum_charge(name)
-            and worker.cordoned != OPERATOR
-            and now - worker.heard_at < c.IDLE_HEARD_S
+            and worker.placement.cordon_reason != OPERATOR
+            and now - worker.reachability.last_heartbeat_at < c.IDLE_HEARD_S
             and self._surely_empty(name)
             and not self._asked_for(name, queue)
             and not self._reserve(name)
@@ -127,7 +131,7 @@
             UpcomingTasks(item.job.spec, item.tasks) for item in demand if not item.ready
         ]
         for name, worker in self.engine.workers.table.items():
-            if worker.idle_since and not self.machines.past_minimum_charge(name):
+            if worker.placement.idle_since and not self.machines.past_minimum_charge(name):
                 self._reserve(name)
 
     def _reserve(self, name: str) -> bool:
@@ -151,8 +155,9 @@
 
     def _dead(self, worker: Worker) -> bool:
         """Silent for so long that nothing of ours can still run there?"""
-        return self.engine.now - worker.heard_at > c.SILENT_DELETE_S and (
-            worker.lapsed >= worker.session or worker.id not in self.engine.replica.by_machine
+        return self.engine.now - worker.reachability.last_heartbeat_at > c.SILENT_DELETE_S and (
+            worker.lease.expired_epoch >= worker.agent_epoch
+            or worker.id not in self.engine.replica.by_machine
         )
 
     # --- on the way out ---------------------------------------------------
@@ -167,7 +172,7 @@
 
     def on_failed(self, names: list[str]) -> None:
         """The cloud lists these machines as failed."""
-        new = [name for name in names if name not in self.engine.workers.gone]
+        new = [name for name in names if name not in self.engine.workers.deleted_machines]
         if new:
             self.machines.announce_gone(new)
         for name in names:
@@ -199,7 +204,7 @@
         return (
             item.why in ENDED_BY_A_REPORT
             and worker is not None
-            and worker.well_at > item.since + c.CORDON_S
+            and worker.reachability.last_healthy_at > item.since + c.CORDON_S
         )
 
     # --- deletion ---------------------------------------------------------
--- a/appledock/core/fleet/silence.py
+++ b/appledock/core/fleet/silence.py
@@ -28,11 +28,18 @@
         """
         now, workers = self.engine.now, self.engine.workers
         near_s = 2 * self.engine.settings.cluster.workers.report_s
-        heard = [now - w.well_at < near_s for w in workers.table.values() if w.report]
+        heard = [
+            now - w.reachability.last_healthy_at < near_s
+            for w in workers.table.values()
+            if w.report
+        ]
         # Guards against a leader that alone has lost its workers: the others still
         # hear of them, only its own questions stay without an answer, and it once
         # deleted a fifth of the fleet as mute.
-        return sum(heard) >= c.CALM_SHARE * len(heard) and workers.reporting() >= c.REPORTING_SHARE
+        return (
+            sum(heard) >= c.CALM_SHARE * len(heard)
+            and workers.reporting_fraction() >= c.REPORTING_SHARE
+        )
 
     def mute_machines(self, returning: Container[str]) -> list[str]:
         """Machines to delete, since they neither report nor answer.
@@ -49,11 +56,11 @@
         result = []
         for name, worker in engine.workers.table.items():
             # Silent, or deaf: its reports arrive and our answers do not.
-            silent_s = now - worker.well_at
+            silent_s = now - worker.reachability.last_healthy_at
             if (
                 worker.report is None
                 or name in returning
-                or name in engine.workers.gone
+                or name in engine.workers.deleted_machines
                 or silent_s < c.SUSPECT_REPORTS * report_s
                 or not self._runs_service(name)
             ):
@@ -61,8 +68,10 @@
             if sure and self._mute(worker) and silent_s > c.MUTE_S * report_s:
                 log.warning("%s silent for %.1f s and mute: deleting it", name, silent_s)
                 result.append(name)
-            elif now >= worker.show_at and not worker.calling:
-                engine.workers.show(worker)
+            elif (
+                now >= worker.reachability.next_probe_at and not worker.reachability.calls_in_flight
+            ):
+                engine.workers.probe(worker)
         return result
 
     def _runs_service(self, name: str) -> bool:
@@ -72,6 +81,6 @@
     def _mute(self, worker: Worker) -> bool:
         """Has it left our last question without an answer?"""
         return (
-            worker.well_at < worker.mute_at
-            and self.engine.now - worker.mute_at < 2 * c.SHOW_EVERY_S
+            worker.reachability.last_healthy_at < worker.reachability.probe_failed_at
+            and self.engine.now - worker.reachability.probe_failed_at < 2 * c.SHOW_EVERY_S
         )
--- a/appledock/core/fleet/summary.py
+++ b/appledock/core/fleet/summary.py
@@ -30,7 +30,7 @@
             return
         self.next_tell = now + c.TELL_EVERY_S
         up = [worker for worker in engine.workers.table.values() if worker.report is not None]
-        idle = [worker for worker in up if worker.idle_since]
+        idle = [worker for worker in up if worker.placement.idle_since]
         rooms = engine.capacity_index.table.values()
         log.info(
             "fleet: %d up, %d booting, %d returning; %d idle: %d just so, %d not paid for, "
@@ -40,7 +40,7 @@
             returning,
             len(idle),
             sum(
-                now - worker.idle_since <= engine.operator_settings["idle_return_s"]
+                now - worker.placement.idle_since <= engine.operator_settings["idle_return_s"]
                 for worker in idle
             ),
             sum(not self.machines.past_minimum_charge(worker.id) for worker in idle),
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -154,7 +154,7 @@
         """
         worker = self.engine.workers.table.get(report.worker)
         if worker is not None and worker.report is not None:
-            self.engine.workers.learn(report)
+            self.engine.workers.ingest_heartbeat(report)
 
     # --- timers -----------------------------------------------------------
     def tick(self) -> None:
@@ -219,7 +219,7 @@
 
     @staticmethod
     def _still_there(worker: Worker, job_id: str, attempt: Attempt) -> list[wire.TaskReport]:
-        if worker.session != attempt.session:
+        if worker.agent_epoch != attempt.session:
             return []
         entries = [worker.tasks.get((f"{job_id}/{task}", attempt.number)) for task in attempt.tasks]
         return [entry for entry in entries if entry is not None and entry.state != wire.EXITED]
@@ -244,17 +244,20 @@
         term makes void.
         """
         workers = self.engine.workers
-        if attempt.machine in workers.gone or worker is None:
+        if attempt.machine in workers.deleted_machines or worker is None:
             return False
         lease_s = self.engine.settings.cluster.workers.lease_s
-        lapsed = self.engine.now - max(worker.bound, worker.heard_at) > (
-            lease_s * (1 + c.CLOCK_DRIFT) + c.LAPSE_MARGIN_S
-        )
+        lapsed = self.engine.now - max(
+            worker.lease.renewable_until, worker.reachability.last_heartbeat_at
+        ) > (lease_s * (1 + c.CLOCK_DRIFT) + c.LAPSE_MARGIN_S)
         if lapsed or all(workers.verdict(job, attempt, task) is not None for task in attempt.tasks):
             return False
-        if worker.session != attempt.session:
+        if worker.agent_epoch != attempt.session:
             return False
-        near = self.engine.now - worker.heard_at < 2 * self.engine.settings.cluster.workers.report_s
+        near = (
+            self.engine.now - worker.reachability.last_heartbeat_at
+            < 2 * self.engine.settings.cluster.workers.report_s
+        )
         return not near or bool(self._still_there(worker, job.id, attempt))
 
     def _delete(self, names: list[str]) -> None:
@@ -290,7 +293,7 @@
     def _hears_most_workers(self) -> bool:
         near = 2 * self.engine.settings.cluster.workers.report_s
         heard = [
-            self.engine.now - worker.heard_at < near
+            self.engine.now - worker.reachability.last_heartbeat_at < near
             for worker in self.engine.workers.table.values()
             if worker.report
         ]
--- a/appledock/core/machines/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -91,7 +91,11 @@
         self.next_sweep = self.e.now + c.SILENCE_EVERY_S
         for name, room in self.table.items():
             worker = self.e.workers.table.get(name)
-            if worker is None or not self.e.placeable(worker) or (room.session != worker.session):
+            if (
+                worker is None
+                or not self.e.placeable(worker)
+                or (room.session != worker.agent_epoch)
+            ):
                 self.dirty.add(name)
 
     # --- reading ----------------------------------------------------------
@@ -138,10 +142,10 @@
             kind.cpus,
             kind.gpus,
             kind.memory_gb,
-            set(worker.images),
+            set(worker.status.image_seen_at),
             fetching,
             self.e.replica.owner_of(worker.id),
-            len(worker.failed_jobs),
+            len(worker.placement.failed_jobs),
             self.e.partitions.gate(worker),
             Load() if self.e.rebalancer.enabled or self.e.partitions.enabled else None,
         )
--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -59,8 +59,8 @@
             node=engine.settings.name,
             served_s=round(min(since, c.AGE_MAX_S), 3),
             writes=round(engine.client.limiter.recent_write_rate, 2),
-            reporting=round(engine.workers.reporting(), 3),
-            unanswered=engine.workers.unanswered_counts(),
+            reporting=round(engine.workers.reporting_fraction(), 3),
+            unanswered=engine.workers.owner_timeout_counts(),
             pressed=engine.pacing.pressed(),
         )
         engine.emit(PeerSend(heartbeat))
--- a/appledock/core/membership/membership.py
+++ b/appledock/core/membership/membership.py
@@ -406,7 +406,7 @@
             for worker, to in (self.view.overrides if self.view else {}).items()
             if members.get(to[0]) == to[1]
             and to[0] not in detached
-            and worker not in self.engine.workers.gone
+            and worker not in self.engine.workers.deleted_machines
         }
         for worker, node in self.want_override.items():
             if node in members:
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -242,13 +242,13 @@
                 and engine.moves.hears(engine.replica.job_owner(job))
             )
             for attempt in attempts:
-                if attempt.stopping or attempt.session != worker.session:
+                if attempt.stopping or attempt.session != worker.agent_epoch:
                     continue
                 for task in attempt.tasks:
                     key = (f"{job_id}/{task}", attempt.number)
                     shown = worker.tasks.get(key)
                     running = shown is not None and shown.state == wire.RUNNING
-                    ran = engine.now - worker.since.get(key, engine.now)
+                    ran = engine.now - worker.status.running_since.get(key, engine.now)
                     lost = _lost_core_s(job.spec, ran)
                     result.append(
                         RunningTask(job.spec, task, attempt.number, lost, free and running)
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -182,7 +182,7 @@
         refusal = self._refused_anywhere(order)
         if refusal is not None:
             return refusal
-        if not engine.workers.owned(order.destination):
+        if not engine.workers.owns(order.destination):
             return Outcome.NOT_OURS
         if order.job in self.holds or engine.capacity_index.held.get(order.destination):
             # One at a time: several planners may choose the same empty machine.
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -153,7 +153,7 @@
                     shown = worker.tasks.get(key)
                     if shown is not None and shown.state == wire.EXITED:
                         continue  # over, and only not recorded yet
-                    ran = self.e.now - worker.since.get(key, self.e.now)
+                    ran = self.e.now - worker.status.running_since.get(key, self.e.now)
                     if other.spec.checkpoint_s > 0:
                         ran = min(ran, other.spec.save_s)
                     result.append(Victim(other, task, ran * max(other.spec.cpus, 0.1)))
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -114,7 +114,7 @@
         if attempt.term != self.e.membership.term:
             return False
         worker = self.e.workers.table.get(attempt.machine)
-        if worker is None or self.e.now - worker.heard_at > c.SHOW_AFTER_S:
+        if worker is None or self.e.now - worker.reachability.last_heartbeat_at > c.SHOW_AFTER_S:
             # A silent machine would not show that it has seen a new term, which
             # costs the whole cluster; its lease or its deletion settles it.
             return False
--- a/appledock/core/workers/answers.py
+++ b/appledock/core/workers/answers.py
@@ -10,7 +10,7 @@
 from appledock.core.events import Reply
 from appledock.core.workers.detachment import Detachment
 from appledock.core.workers.gossip import Gossip
-from appledock.core.workers.record import NOT_MISDIRECTED, Misdirected, Worker
+from appledock.core.workers.record import NOT_MISDIRECTED, MisdirectedHeartbeats, Worker
 from appledock.core.workers.table import WorkerTable
 
 if TYPE_CHECKING:
@@ -35,9 +35,9 @@
         if not self.engine.membership.acting():
             self._learn_without_authority(report)
             self._refuse(request_id, "not entitled")
-        elif report.worker in self.workers.gone:
+        elif report.worker in self.workers.deleted_machines:
             self._refuse(request_id, "machine is gone")
-        elif self.workers.owned(report.worker):
+        elif self.workers.owns(report.worker):
             self._answer_as_owner(request_id, report)
         else:
             self._redirect(request_id, report)
@@ -52,31 +52,37 @@
         """
         worker = self.workers.table.get(report.worker)
         if worker is not None and worker.report is not None:
-            self.engine.workers.learn(report)
+            self.engine.workers.ingest_heartbeat(report)
         self.engine.cancellation.seen(report)
 
     def _answer_as_owner(self, request_id: int, report: wire.Report) -> None:
         member = self.engine.membership
-        worker = self.workers.get(report.worker)
-        worker.misdirected = NOT_MISDIRECTED
+        worker = self.workers.get_or_create(report.worker)
+        worker.reachability.misdirected = NOT_MISDIRECTED
         if report.token > member.term:
             # A newer view exists; answering would be dropped anyway.
             member.confirm()
             self._refuse(request_id, "newer view")
             return
-        if report.session <= worker.lapsed or not self.engine.workers.learn(report):
+        if report.session <= worker.lease.expired_epoch or not self.engine.workers.ingest_heartbeat(
+            report
+        ):
             self._refuse(request_id, "outdated report")
             return
         self.gossip.pass_on(worker)
-        commands = self.engine.workers.commands(worker, direct=False)
-        worker.bound = max(worker.bound, self.engine.now)
+        commands = self.engine.workers.commands_for(worker, direct=False)
+        worker.lease.renewable_until = max(worker.lease.renewable_until, self.engine.now)
         self.engine.emit(Reply(request_id, 200, wire.ReportAnswer(member.term, commands)))
 
     def _redirect(self, request_id: int, report: wire.Report) -> None:
         owner = self.engine.replica.owner_of(report.worker)
-        worker = self.workers.get(report.worker)
-        unanswered = c.UNANSWERED_S <= self.engine.now - worker.heard_at < c.UNANSWERED_LONG_S
-        if self.engine.workers.learn(report):
+        worker = self.workers.get_or_create(report.worker)
+        unanswered = (
+            c.UNANSWERED_S
+            <= self.engine.now - worker.reachability.last_heartbeat_at
+            < c.UNANSWERED_LONG_S
+        )
+        if self.engine.workers.ingest_heartbeat(report):
             self.gossip.pass_on(worker)
             self._count_misdirected(worker, owner, unanswered)
         heartbeats = self.engine.heartbeats
@@ -97,14 +103,17 @@
         new view.
         """
         now = self.engine.now
-        since, tries = worker.misdirected
-        if now - since > 2 * c.OVERRIDE_AFTER_S or worker.heard_at > since + 2.0 > now - 2.0:
+        since, tries = worker.reachability.misdirected
+        if (
+            now - since > 2 * c.OVERRIDE_AFTER_S
+            or worker.reachability.last_heartbeat_at > since + 2.0 > now - 2.0
+        ):
             since, tries = now, 0
         if unanswered:
             # It has waited for an answer in vain, and not from us.
             self.detachment.note_unanswered(owner, worker.id)
             tries += 1
-        worker.misdirected = Misdirected(since, tries + 1)
+        worker.reachability.misdirected = MisdirectedHeartbeats(since, tries + 1)
         if tries + 1 >= c.OVERRIDE_MIN_TRIES and now - since >= c.OVERRIDE_AFTER_S:
             log.warning("%s cannot reach its owner %s; taking it over", worker.id, owner)
             self.engine.membership.want_override[worker.id] = self.engine.settings.name
--- a/appledock/core/workers/commands.py
+++ b/appledock/core/workers/commands.py
@@ -23,7 +23,7 @@
     def __init__(self, engine: Controller) -> None:
         self.engine = engine
 
-    def commands(self, worker: Worker, direct: bool) -> list[wire.Command]:
+    def commands_for(self, worker: Worker, direct: bool) -> list[wire.Command]:
         """Commands as the answer to a report, or sent straight to the worker (`direct`)."""
         recorded = self._recorded(worker)
         result: list[wire.Command] = []
@@ -33,15 +33,15 @@
             if entry.state != wire.EXITED:
                 if known is None or known[0].cancelled or known[1].stopping:
                     result += self._halt(worker, key, entry, known)
-            elif known is None and key not in worker.uncertain and not direct:
+            elif known is None and key not in worker.commanded.unconfirmed_launches and not direct:
                 # Forgotten only once recorded, and never while a launch of it
                 # may be under way: after `forget` that launch would start it.
                 if self.may_come_again(worker, key):
                     # Those of earlier terms go as soon as the worker shows the present one:
                     # another new term would cost the cluster a view and gain nothing.
-                    kept += worker.direct[key] >= self.engine.membership.term
+                    kept += worker.commanded.repeatable_launches[key] >= self.engine.membership.term
                 else:
-                    worker.direct.pop(key, None)
+                    worker.commanded.repeatable_launches.pop(key, None)
                     result.append(wire.Command(wire.FORGET, *key))
         if kept > c.KEPT_MAX:
             self.engine.membership.want_term = True
@@ -49,7 +49,7 @@
 
     def _recorded(self, worker: Worker) -> dict[TaskKey, Recorded]:
         """Tasks with an open attempt in the worker's session."""
-        session = worker.session
+        session = worker.agent_epoch
         replica = self.engine.replica
         recorded = {}
         for job_id, attempts in sorted(replica.by_machine.get(worker.id, {}).items()):
@@ -75,9 +75,9 @@
             if job.spec.checkpoint_s > 0:
                 grace_s = job.spec.save_s + c.SAVE_SLACK_S
         now = self.engine.now
-        if now - worker.halted.get(key, c.LONG_AGO) < c.HALT_AGAIN_S:
+        if now - worker.commanded.halted_at.get(key, c.LONG_AGO) < c.HALT_AGAIN_S:
             return []
-        worker.halted[key] = now
+        worker.commanded.halted_at[key] = now
         return [wire.Command(wire.HALT, *key, grace_s=grace_s)]
 
     def _launches(self, worker: Worker, recorded: dict[TaskKey, Recorded]) -> list[wire.Command]:
@@ -87,8 +87,8 @@
         for key, (job, attempt) in recorded.items():
             if key in worker.tasks or attempt.term != term or job.cancelled or attempt.stopping:
                 continue
-            if now - worker.launched.get(key, c.LONG_AGO) >= c.LAUNCH_AGAIN_S:
-                worker.launched[key] = now
+            if now - worker.commanded.launched_at.get(key, c.LONG_AGO) >= c.LAUNCH_AGAIN_S:
+                worker.commanded.launched_at[key] = now
                 result.append(wire.Command(wire.LAUNCH, *key))
         return result
 
@@ -103,4 +103,4 @@
         for its team's limit and for its job's zones. So attempts stay on the worker's
         books until a higher term makes the copy void.
         """
-        return worker.direct.get(key, -1) >= worker.token
+        return worker.commanded.repeatable_launches.get(key, -1) >= worker.fencing_token
--- a/appledock/core/workers/detachment.py
+++ b/appledock/core/workers/detachment.py
@@ -41,11 +41,11 @@
         """The worker came here after it had waited for its owner's answer in vain."""
         self.unanswered.setdefault(owner, {})[worker] = self.engine.now
 
-    def unanswered_counts(self) -> dict[str, int]:
+    def owner_timeout_counts(self) -> dict[str, int]:
         """Owner -> how many of its workers came here lately after waiting in vain."""
         return {owner: len(rows) for owner, rows in self.unanswered.items()}
 
-    def reporting_share(self) -> float:
+    def reporting_fraction(self) -> float:
         """Part of our workers that reported to us lately.
 
         Counted among those that anybody has heard of.
@@ -57,9 +57,12 @@
         heard = [
             worker
             for worker in self.workers.table.values()
-            if now - worker.heard_at < near_s + c.UNANSWERED_S and self.workers.owned(worker.id)
+            if now - worker.reachability.last_heartbeat_at < near_s + c.UNANSWERED_S
+            and self.workers.owns(worker.id)
         ]
-        direct = sum(now - worker.reached_at < near_s for worker in heard)
+        direct = sum(
+            now - worker.reachability.last_direct_heartbeat_at < near_s for worker in heard
+        )
         return direct / len(heard) if heard else 1.0
 
     # --- others -----------------------------------------------------------
@@ -112,7 +115,7 @@
         """How many workers of the owner anybody has heard of lately."""
         now = self.engine.now
         return sum(
-            now - worker.heard_at < 2 * c.UNANSWERED_WINDOW_S
+            now - worker.reachability.last_heartbeat_at < 2 * c.UNANSWERED_WINDOW_S
             and self.engine.replica.owner_of(worker.id) == owner
             for worker in self.workers.table.values()
         )
@@ -136,7 +139,11 @@
             return
         # Those that the peers hear of are alive. Cut off from the peers as well, we hear
         # of none, which is no reason to own them.
-        near = [worker for worker in known if now - worker.heard_at < c.SHOW_AFTER_S] or known
+        near = [
+            worker
+            for worker in known
+            if now - worker.reachability.last_heartbeat_at < c.SHOW_AFTER_S
+        ] or known
         self._ask(self.engine.rng.sample(near, min(len(near), c.PROBE_WORKERS)))
 
     def _ask(self, workers: list[Worker]) -> None:
--- a/appledock/core/workers/evidence.py
+++ b/appledock/core/workers/evidence.py
@@ -31,14 +31,14 @@
 
     def verdict(self, job: Job, attempt: Attempt, task: int) -> str | None:
         """Is this attempt of a task over? `done`, `error`, `settled`, or None: open."""
-        if attempt.machine in self.workers.gone:
+        if attempt.machine in self.workers.deleted_machines:
             return SETTLED
         worker = self.workers.table.get(attempt.machine)
         if worker is None:
             return None
         report = worker.report
         if report is None or report.session < attempt.session:
-            return SETTLED if attempt.session <= worker.lapsed else None
+            return SETTLED if attempt.session <= worker.lease.expired_epoch else None
         if report.session > attempt.session:
             return SETTLED
         key = (f"{job.id}/{task}", attempt.number)
@@ -48,21 +48,21 @@
             # and launches are only sent under the term of their step.
             over = (
                 report.token > attempt.term
-                or attempt.session <= worker.lapsed
+                or attempt.session <= worker.lease.expired_epoch
                 or self._never_launched(worker, job, attempt, key)
             )
             return SETTLED if over else None
         if entry.state == wire.EXITED:
             return _of_exited(job, entry)
-        return SETTLED if attempt.session <= worker.lapsed else None
+        return SETTLED if attempt.session <= worker.lease.expired_epoch else None
 
     def _never_launched(self, worker: Worker, job: Job, attempt: Attempt, key: TaskKey) -> bool:
         """Only the owner launches, it never did, and the record forbids it now."""
         return (
             (job.cancelled or attempt.stopping)
-            and key not in worker.launched
+            and key not in worker.commanded.launched_at
             and attempt.term == self.engine.membership.term
-            and self.workers.owned(worker.id)
+            and self.workers.owns(worker.id)
         )
 
 
--- a/appledock/core/workers/gossip.py
+++ b/appledock/core/workers/gossip.py
@@ -17,7 +17,7 @@
     WorkerReported,
     WorkersAlive,
 )
-from appledock.core.workers.record import ReportNumber, Worker
+from appledock.core.workers.record import HeartbeatNumber, Worker
 from appledock.core.workers.table import WorkerTable
 
 if TYPE_CHECKING:
@@ -59,21 +59,21 @@
         if report is None:
             return
         changed = worker.id in self.engine.reconcile_queue.changed_workers
-        if changed or self.engine.now - worker.passed_on >= c.PEER_RESEND_S:
-            worker.passed_on = self.engine.now
+        if changed or self.engine.now - worker.status.broadcast_at >= c.PEER_RESEND_S:
+            worker.status.broadcast_at = self.engine.now
             self._send_report(worker, report)
         else:
             self.unchanged.add(worker.id)
 
-    def announce_lapsed(self, machine: str, session: int, to: str | None = None) -> None:
+    def announce_expired(self, machine: str, session: int, to: str | None = None) -> None:
         """The session is proven to be over."""
         self.engine.emit(PeerSend(SessionLapsed(machine, session), to))
 
     def on_peer_connected(self, name: str) -> None:
         """A link (re)opened: what the peer missed is sent again, part by part."""
         self._untold[name] = deque(self.workers.table)
-        if self.workers.gone:
-            self._send_gone(list(self.workers.gone)[-c.GONE_RESENT_MAX :], name)
+        if self.workers.deleted_machines:
+            self._send_gone(list(self.workers.deleted_machines)[-c.GONE_RESENT_MAX :], name)
         self._tell_parts()
 
     def _tell_parts(self) -> None:
@@ -89,21 +89,24 @@
             worker = self.workers.table.get(name)
             if worker is None:
                 continue
-            if worker.report is not None and self.engine.replica.view and self.workers.owned(name):
+            if worker.report is not None and self.engine.replica.view and self.workers.owns(name):
                 self._send_report(worker, worker.report, peer)
-            if worker.lapsed:
-                self.announce_lapsed(name, worker.lapsed, peer)
+            if worker.lease.expired_epoch:
+                self.announce_expired(name, worker.lease.expired_epoch, peer)
         self._send_alive(names, peer)
 
     def _send_report(self, worker: Worker, report: wire.Report, to: str | None = None) -> None:
-        message = WorkerReported(report, self._age_s(worker.well_at))
+        message = WorkerReported(report, self._age_s(worker.reachability.last_healthy_at))
         self.engine.emit(PeerSend(message, to))
 
     def _send_alive(self, names: Iterable[str], to: str | None = None) -> None:
         """Workers whose reports came: number, and how long ago they came and were well."""
         rows = [
             AliveWorker(
-                name, *worker.seen, self._age_s(worker.heard_at), self._age_s(worker.well_at)
+                name,
+                *worker.status.newest,
+                self._age_s(worker.reachability.last_heartbeat_at),
+                self._age_s(worker.reachability.last_healthy_at),
             )
             for name in names
             if (worker := self.workers.table.get(name)) is not None
@@ -124,39 +127,43 @@
         The first message may have been lost with its link.
         """
         waiting = self.engine.replica.by_machine
-        gone = [machine for machine in waiting if machine in self.workers.gone]
+        gone = [machine for machine in waiting if machine in self.workers.deleted_machines]
         if gone:
             self._send_gone(gone)
         for machine in waiting:
             worker = self.workers.table.get(machine)
-            if worker is not None and worker.lapsed:
-                self.announce_lapsed(machine, worker.lapsed)
+            if worker is not None and worker.lease.expired_epoch:
+                self.announce_expired(machine, worker.lease.expired_epoch)
 
     # --- received ---------------------------------------------------------
     def on_peer(self, message: WorkerMessage) -> None:
         """What a peer tells of workers."""
         match message:
             case WorkerReported():
-                if message.report.worker not in self.workers.gone:
-                    self.engine.workers.learn(message.report, message.well_s)
+                if message.report.worker not in self.workers.deleted_machines:
+                    self.engine.workers.ingest_heartbeat(message.report, message.well_s)
             case WorkersAlive():
                 self._on_alive(message.workers)
             case SessionLapsed():
-                self.workers.set_lapsed(message.worker, message.session)
+                self.workers.mark_expired(message.worker, message.session)
             case MachinesGone():
-                self.workers.set_gone(message.machines)
+                self.workers.mark_deleted(message.machines)
 
     def _on_alive(self, rows: list[AliveWorker]) -> None:
         now = self.engine.now
         for row in rows:
-            if row.worker in self.workers.gone:
+            if row.worker in self.workers.deleted_machines:
                 continue
-            worker = self.workers.get(row.worker)
+            worker = self.workers.get_or_create(row.worker)
             # Copies of older reports are known for what they are from now on.
-            if (row.session, row.seq) > worker.seen:
-                worker.seen = ReportNumber(row.session, row.seq)
-            if worker.session == row.session:
-                worker.heard_at = max(worker.heard_at, now - row.heard_s)
-                worker.well_at = max(worker.well_at, now - row.well_s)
+            if (row.session, row.seq) > worker.status.newest:
+                worker.status.newest = HeartbeatNumber(row.session, row.seq)
+            if worker.agent_epoch == row.session:
+                worker.reachability.last_heartbeat_at = max(
+                    worker.reachability.last_heartbeat_at, now - row.heard_s
+                )
+                worker.reachability.last_healthy_at = max(
+                    worker.reachability.last_healthy_at, now - row.well_s
+                )
                 if worker.id not in self.engine.capacity_index.table:
                     self.engine.capacity_index.touch(worker.id)
--- a/appledock/core/workers/liveness.py
+++ b/appledock/core/workers/liveness.py
@@ -32,20 +32,20 @@
         lease_s = self.engine.settings.cluster.workers.lease_s
         lease_s = lease_s * (1 + c.CLOCK_DRIFT) + c.LAPSE_MARGIN_S
         for machine in list(self.engine.replica.by_machine):
-            worker = self.workers.get(machine)
-            if machine not in self.workers.gone:
+            worker = self.workers.get_or_create(machine)
+            if machine not in self.workers.deleted_machines:
                 self._check_lease(worker, lease_s)
                 if self._worth_asking(worker):
-                    self.show(worker)
+                    self.probe(worker)
 
     def _check_lease(self, worker: Worker, lease_s: float) -> None:
         member = self.engine.membership
         # A session heard of lives on for a lease even if nobody answers it.
-        ends_at = max(worker.bound, worker.heard_at) + lease_s
-        if self.engine.now < ends_at or not self.workers.owned(worker.id):
+        ends_at = max(worker.lease.renewable_until, worker.reachability.last_heartbeat_at) + lease_s
+        if self.engine.now < ends_at or not self.workers.owns(worker.id):
             return
-        session = max(self._newest_recorded_session(worker.id), worker.session)
-        if session <= worker.lapsed:
+        session = max(self._newest_recorded_session(worker.id), worker.agent_epoch)
+        if session <= worker.lease.expired_epoch:
             return
         # The view must be proven to have been ours until then: a
         # newer owner may have renewed the lease.
@@ -53,8 +53,8 @@
             member.confirm()
             return
         log.info("%s: session %d has lapsed", worker.id, session)
-        self.workers.set_lapsed(worker.id, session)
-        self.gossip.announce_lapsed(worker.id, session)
+        self.workers.mark_expired(worker.id, session)
+        self.gossip.announce_expired(worker.id, session)
 
     def _newest_recorded_session(self, machine: str) -> int:
         attempts = self.engine.replica.by_machine[machine].values()
@@ -65,9 +65,9 @@
         now = self.engine.now
         return (
             worker.report is not None
-            and now - worker.heard_at > c.SHOW_AFTER_S
-            and now >= worker.show_at
-            and not worker.calling
+            and now - worker.reachability.last_heartbeat_at > c.SHOW_AFTER_S
+            and now >= worker.reachability.next_probe_at
+            and not worker.reachability.calls_in_flight
             and self._session_open(worker)
         )
 
@@ -76,25 +76,25 @@
         engine = self.engine
         return any(
             engine.owns_job(engine.replica.jobs[job_id])
-            and any(attempt.session > worker.lapsed for attempt in attempts)
+            and any(attempt.session > worker.lease.expired_epoch for attempt in attempts)
             for job_id, attempts in engine.replica.by_machine.get(worker.id, {}).items()
         )
 
-    def show(self, worker: Worker) -> None:
+    def probe(self, worker: Worker) -> None:
         """Ask the worker itself: the owner may be unable to pass reports on."""
         assert worker.report is not None
-        worker.show_at = self.engine.now + c.SHOW_EVERY_S
-        worker.calling += 1
+        worker.reachability.next_probe_at = self.engine.now + c.SHOW_EVERY_S
+        worker.reachability.calls_in_flight += 1
         addr = worker.report.addr
 
         def answered(reply: WorkerReply) -> None:
-            worker.calling -= 1
+            worker.reachability.calls_in_flight -= 1
             if reply.report is not None and reply.report.worker == worker.id:
-                worker.mute_at = c.LONG_AGO
-                if self.engine.workers.learn(reply.report):
+                worker.reachability.probe_failed_at = c.LONG_AGO
+                if self.engine.workers.ingest_heartbeat(reply.report):
                     self.gossip.pass_on(worker)
             else:
-                worker.mute_at = self.engine.now
+                worker.reachability.probe_failed_at = self.engine.now
 
         self.engine.call(
             lambda call_id: WorkerCall(call_id, addr, None, c.SHOW_TIMEOUT_S), answered
@@ -111,15 +111,19 @@
         view, now = self.engine.replica.view, self.engine.now
         assert view is not None
         for name, worker in self.workers.table.items():
-            worker.launched.clear()
-            worker.misdirected = NOT_MISDIRECTED  # tries with another owner
-            self.workers.orders_due.add(name)
+            worker.commanded.launched_at.clear()
+            worker.reachability.misdirected = NOT_MISDIRECTED  # tries with another owner
+            self.workers.commands_due.add(name)
             if old is None or view.term != old.term + 1:
                 # A view in between may have had any owner.
-                worker.bound = max(worker.bound, now + self.engine.runtime.lease_ttl_s)
+                worker.lease.renewable_until = max(
+                    worker.lease.renewable_until, now + self.engine.runtime.lease_ttl_s
+                )
                 continue
             owner = old.owner_of(name)
             if view.members.get(owner) != old.members[owner]:
-                worker.bound = max(worker.bound, now)
+                worker.lease.renewable_until = max(worker.lease.renewable_until, now)
             elif owner != self.engine.settings.name:
-                worker.bound = max(worker.bound, now + self.engine.runtime.lease_ttl_s)
+                worker.lease.renewable_until = max(
+                    worker.lease.renewable_until, now + self.engine.runtime.lease_ttl_s
+                )
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -54,19 +54,19 @@
             self.liveness.check_all()
 
     # --- reports and commands ---------------------------------------------
-    def on_report(self, request_id: int, report: wire.Report) -> None:
+    def on_heartbeat(self, request_id: int, report: wire.Report) -> None:
         """A report came straight from its worker."""
         self.answers.answer(request_id, report)
 
-    def learn(self, report: wire.Report, well_s: float | None = None) -> bool:
+    def ingest_heartbeat(self, report: wire.Report, well_s: float | None = None) -> bool:
         """Take a report in if it is newer than the one known."""
-        return self.reports.learn(report, well_s)
+        return self.reports.ingest(report, well_s)
 
-    def commands(self, worker: Worker, direct: bool) -> list[wire.Command]:
+    def commands_for(self, worker: Worker, direct: bool) -> list[wire.Command]:
         """What the worker lacks or has too much, compared with the records."""
-        return self.command_maker.commands(worker, direct)
+        return self.command_maker.commands_for(worker, direct)
 
-    def flush_orders(self) -> None:
+    def push_commands(self) -> None:
         """Send commands at once to all workers that may need them."""
         self.orders.flush()
 
@@ -75,17 +75,17 @@
         """Is this attempt of a task over? `done`, `error`, `settled`, or None: open."""
         return self.evidence.verdict(job, attempt, task)
 
-    def show(self, worker: Worker) -> None:
+    def probe(self, worker: Worker) -> None:
         """Ask the worker itself for its report."""
-        self.liveness.show(worker)
+        self.liveness.probe(worker)
 
-    def reporting(self) -> float:
+    def reporting_fraction(self) -> float:
         """Part of our workers, among those heard of lately, that reported to us."""
-        return self.detachment.reporting_share()
+        return self.detachment.reporting_fraction()
 
-    def unanswered_counts(self) -> dict[str, int]:
+    def owner_timeout_counts(self) -> dict[str, int]:
         """Owner -> how many of its workers came here after waiting for it in vain."""
-        return self.detachment.unanswered_counts()
+        return self.detachment.owner_timeout_counts()
 
     # --- views and peers --------------------------------------------------
     def on_view(self, old: View | None) -> None:
--- a/appledock/core/workers/orders.py
+++ b/appledock/core/workers/orders.py
@@ -37,36 +37,39 @@
 
     def flush(self) -> None:
         """Send to all workers that may need other commands than before."""
-        due, self.workers.orders_due = self.workers.orders_due, set()
+        due, self.workers.commands_due = self.workers.commands_due, set()
         if not self.engine.membership.acting():
             return
         for name in sorted(due):
             worker = self.workers.table.get(name)
-            if worker is not None and self.workers.owned(name):
-                if worker.calling:
-                    self.workers.orders_due.add(name)
+            if worker is not None and self.workers.owns(name):
+                if worker.reachability.calls_in_flight:
+                    self.workers.commands_due.add(name)
                 else:
                     self._send(worker)
 
     def _send(self, worker: Worker) -> None:
         report = worker.report
         if (
-            worker.calling
+            worker.reachability.calls_in_flight
             or report is None
             or not self.engine.membership.acting()
-            or report.session <= worker.lapsed
-            or worker.id in self.workers.gone
+            or report.session <= worker.lease.expired_epoch
+            or worker.id in self.workers.deleted_machines
         ):
             return
-        launched, uncertain = dict(worker.launched), dict(worker.uncertain)
-        commands = self.engine.workers.commands(worker, direct=True)
+        launched, uncertain = (
+            dict(worker.commanded.launched_at),
+            dict(worker.commanded.unconfirmed_launches),
+        )
+        commands = self.engine.workers.commands_for(worker, direct=True)
         if not commands:
             return
         term = self.engine.membership.term
         keys = [(x.task, x.attempt) for x in commands if x.op == wire.LAUNCH]
         sent = SentLaunches(self.engine.now, term, keys, launched, uncertain)
-        worker.uncertain.update((key, term) for key in keys)
-        worker.calling += 1
+        worker.commanded.unconfirmed_launches.update((key, term) for key in keys)
+        worker.reachability.calls_in_flight += 1
         addr, orders = report.addr, wire.Orders(term, report.session, commands)
         self.engine.call(
             lambda call_id: WorkerCall(call_id, addr, orders, c.ORDERS_TIMEOUT_S),
@@ -74,31 +77,35 @@
         )
 
     def _on_reply(self, worker: Worker, sent: SentLaunches, reply: WorkerReply) -> None:
-        worker.calling -= 1
+        worker.reachability.calls_in_flight -= 1
         if reply.outcome is WorkerOutcome.UNKNOWN:
-            worker.launched.update((key, self.engine.now) for key in sent.keys)
+            worker.commanded.launched_at.update((key, self.engine.now) for key in sent.keys)
         else:
             self._on_known_outcome(worker, sent, executed=reply.outcome is WorkerOutcome.OK)
         if reply.report is None:
-            worker.mute_at = self.engine.now
-        elif reply.report.worker == worker.id and self.engine.workers.learn(reply.report):
+            worker.reachability.probe_failed_at = self.engine.now
+        elif reply.report.worker == worker.id and self.engine.workers.ingest_heartbeat(
+            reply.report
+        ):
             self.gossip.pass_on(worker)
 
     def _on_known_outcome(self, worker: Worker, sent: SentLaunches, executed: bool) -> None:
         if executed:
-            worker.direct.update((key, sent.term) for key in sent.keys)
+            worker.commanded.repeatable_launches.update((key, sent.term) for key in sent.keys)
         for key in sent.keys:
             # What was not sent now says nothing of the same launch sent before:
             # that one may still be on its way, or have been carried out.
-            if worker.uncertain.get(key) == sent.term and (executed or key not in sent.uncertain):
-                del worker.uncertain[key]
-            if not executed and worker.launched.get(key) == sent.at:
+            if worker.commanded.unconfirmed_launches.get(key) == sent.term and (
+                executed or key not in sent.uncertain
+            ):
+                del worker.commanded.unconfirmed_launches[key]
+            if not executed and worker.commanded.launched_at.get(key) == sent.at:
                 self._restore_launched(worker, sent, key)
 
     @staticmethod
     def _restore_launched(worker: Worker, sent: SentLaunches, key: TaskKey) -> None:
         """The launch was not executed: as if it had not been sent."""
         if key in sent.launched:
-            worker.launched[key] = sent.launched[key]
+            worker.commanded.launched_at[key] = sent.launched[key]
         else:
-            del worker.launched[key]
+            del worker.commanded.launched_at[key]
--- a/appledock/core/workers/record.py
+++ b/appledock/core/workers/record.py
@@ -1,119 +1,189 @@
-"""What is known of one machine through its worker."""
+"""What is known of one machine through its worker, grouped by concern and by who writes it."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from appledock import constants as c
-from appledock import wire
+from appledock import constants, wire
 
 TaskKey = tuple[str, int]
 """task name and attempt number"""
 
 
-class ReportNumber(NamedTuple):
-    """Reports of one worker are ordered by this."""
+class HeartbeatNumber(NamedTuple):
+    """Heartbeats of one worker are ordered by this."""
 
-    session: int
+    agent_epoch: int
     seq: int
 
 
-NOTHING_SEEN = ReportNumber(0, 0)
+NO_HEARTBEAT = HeartbeatNumber(0, 0)
 
 
-class Misdirected(NamedTuple):
-    """Reports that came here although another controller owns the worker."""
+class MisdirectedHeartbeats(NamedTuple):
+    """Heartbeats that came here although another controller owns the worker."""
 
-    since: float
+    since_at: float
     tries: int
 
 
-NOT_MISDIRECTED = Misdirected(0.0, 0)
+NOT_MISDIRECTED = MisdirectedHeartbeats(0.0, 0)
 
 
 @dataclass(slots=True)
-class Worker:
-    """What is known of one machine through its worker."""
+class ReportedStatus:
+    """What the worker's heartbeats say.
+
+    Written by the heartbeat intake; dissemination raises `newest` and notes `broadcast_at`.
+    """
 
-    id: str
     report: wire.Report | None = None
-    heard_at: float = c.LONG_AGO
-    """when the last report reached us or a peer passed it on"""
-    well_at: float = c.LONG_AGO
-    """when a report last showed that our answers reach the worker"""
-    seen: ReportNumber = NOTHING_SEEN
-    """number of the newest report that anybody has seen"""
+    """the newest heartbeat known"""
+    newest: HeartbeatNumber = NO_HEARTBEAT
+    """number of the newest heartbeat that any controller has received"""
     first_term: int = 0
-    """term when this controller first heard of the machine"""
-    bound: float = 0.0
-    """no controller has answered a report of this worker after this moment,
-    or can do so before we know of it"""
-    lapsed: int = 0
-    """this session and all before it are over"""
+    """term when this controller first received a heartbeat of the worker"""
     tasks: dict[TaskKey, wire.TaskReport] = field(default_factory=dict)
-    since: dict[TaskKey, float] = field(default_factory=dict)
-    """when each task was first seen running here"""
-    images: dict[str, float] = field(default_factory=dict)
+    """tasks of the newest heartbeat"""
+    running_since: dict[TaskKey, float] = field(default_factory=dict)
+    """when each running task was first seen running here"""
+    image_seen_at: dict[str, float] = field(default_factory=dict)
     """image -> when it was last seen fetched here"""
-    launched: dict[TaskKey, float] = field(default_factory=dict)
+    broadcast_at: float = constants.LONG_AGO
+    """when a heartbeat was last broadcast whole to the peers"""
+
+
+@dataclass(slots=True)
+class WorkerLease:
+    """Until when the worker's lease can have been renewed, and which epochs have ended.
+
+    Written by lease expiry and by the owner's answers to heartbeats. `expired_epoch` only rises.
+    """
+
+    renewable_until: float = 0.0
+    """no controller has answered a heartbeat of this worker after this moment,
+    or can do so before this controller knows of it"""
+    expired_epoch: int = 0
+    """this agent epoch and all before it have ended"""
+
+
+@dataclass(slots=True)
+class Reachability:
+    """When the worker was last received from, and what became of direct calls to it.
+
+    Written by heartbeat intake, dissemination, probes and command push; `misdirected` by the
+    answers to heartbeats.
+    """
+
+    last_heartbeat_at: float = constants.LONG_AGO
+    """when the last heartbeat reached this controller or a peer that forwarded it"""
+    last_healthy_at: float = constants.LONG_AGO
+    """when a heartbeat last showed that the owner's answers reach the worker"""
+    last_direct_heartbeat_at: float = constants.LONG_AGO
+    """when it last sent its heartbeat to this controller itself, or answered its call"""
+    next_probe_at: float = 0.0
+    """not probed again before"""
+    probe_failed_at: float = constants.LONG_AGO
+    """when a direct call last stayed without an answer"""
+    calls_in_flight: int = 0
+    """direct calls without an answer yet"""
+    misdirected: MisdirectedHeartbeats = NOT_MISDIRECTED
+    """heartbeats that came here although another controller owns the worker"""
+
+
+@dataclass(slots=True)
+class CommandedState:
+    """What the worker was commanded to do in its present agent epoch.
+
+    Written by command reconciliation and command push.
+    """
+
+    launched_at: dict[TaskKey, float] = field(default_factory=dict)
     """launches sent under the present term -> when last"""
-    uncertain: dict[TaskKey, int] = field(default_factory=dict)
-    """launches sent straight to the worker without an answer -> term. Until the
-    worker has seen a higher term they may still be executed, so the attempt
-    must stay on the worker's books: it is not forgotten."""
-    direct: dict[TaskKey, int] = field(default_factory=dict)
-    """launches sent straight to the worker and answered -> term. A repeat of such a
-    request is executed like the first one until the worker has seen a higher term."""
-    halted: dict[TaskKey, float] = field(default_factory=dict)
-    calling: int = 0
-    """direct calls in flight"""
-    show_at: float = 0.0
-    mute_at: float = c.LONG_AGO
-    """when a direct question last stayed without an answer"""
-    misdirected: Misdirected = NOT_MISDIRECTED
-    """since when, and how often, it came here although another owns it"""
-    reached_at: float = c.LONG_AGO
-    """when it last reported to this controller itself, or answered its question"""
-    passed_on: float = c.LONG_AGO
-    cordoned: str = ""
-    """reason, if no step may be placed here"""
-    cordoned_at: float = c.LONG_AGO
-    """when that was last said"""
+    unconfirmed_launches: dict[TaskKey, int] = field(default_factory=dict)
+    """launches pushed to the worker without an answer -> term. Until the worker has
+    seen a higher term they may still be executed, so the attempt must stay on the
+    worker's books: it is not forgotten."""
+    repeatable_launches: dict[TaskKey, int] = field(default_factory=dict)
+    """launches pushed to the worker and answered -> term. A repeat of such a request
+    is executed like the first one until the worker has seen a higher term."""
+    halted_at: dict[TaskKey, float] = field(default_factory=dict)
+    """halts sent -> when last"""
+
+    def clear(self) -> None:
+        """An agent epoch that ended takes its commands along."""
+        self.launched_at.clear()
+        self.halted_at.clear()
+        self.unconfirmed_launches.clear()
+        self.repeatable_launches.clear()
+
+    def drop_void_launches(self, fencing_token: int, token_changed: bool) -> None:
+        """Launches of terms below the token that the worker shows can no longer run."""
+        if self.repeatable_launches and token_changed:
+            self.repeatable_launches = _of_term(self.repeatable_launches, fencing_token)
+        if self.unconfirmed_launches:
+            self.unconfirmed_launches = _of_term(self.unconfirmed_launches, fencing_token)
+
+
+def _of_term(launches: dict[TaskKey, int], least: int) -> dict[TaskKey, int]:
+    return {key: term for key, term in launches.items() if term >= least}
+
+
+@dataclass(slots=True)
+class PlacementState:
+    """Whether tasks shall be placed on the machine.
+
+    Written by the fleet (cordons, failed jobs) and by the heartbeat intake (`idle_since`).
+    """
+
+    cordon_reason: str = ""
+    """why no task may be placed here; empty: tasks may"""
+    cordoned_at: float = constants.LONG_AGO
+    """when the cordon was last announced"""
     failed_jobs: set[str] = field(default_factory=set)
+    """jobs of which tasks failed here"""
     idle_since: float = 0.0
+    """since when no task runs here; 0: one does"""
+
+
+@dataclass(slots=True)
+class Worker:
+    """What is known of one machine through its worker."""
+
+    id: str
+    status: ReportedStatus = field(default_factory=ReportedStatus)
+    lease: WorkerLease = field(default_factory=WorkerLease)
+    reachability: Reachability = field(default_factory=Reachability)
+    commanded: CommandedState = field(default_factory=CommandedState)
+    placement: PlacementState = field(default_factory=PlacementState)
 
     @property
-    def session(self) -> int:
-        """Session of the last report, 0 without one."""
-        return self.report.session if self.report else 0
+    def report(self) -> wire.Report | None:
+        """The newest heartbeat known."""
+        return self.status.report
 
     @property
-    def token(self) -> int:
-        """Highest term that the worker has shown, 0 without a report."""
-        return self.report.token if self.report else 0
+    def tasks(self) -> dict[TaskKey, wire.TaskReport]:
+        """Tasks of the newest heartbeat."""
+        return self.status.tasks
 
     @property
-    def proven(self) -> bool:
-        """Has it answered to a term given out since we first heard of it?
+    def agent_epoch(self) -> int:
+        """Agent epoch of the newest heartbeat, 0 without one."""
+        return self.status.report.session if self.status.report else 0
 
-        Guards against copies of old reports: they make a controller without
-        memory take a dead machine for a live one, but show an old token.
+    @property
+    def fencing_token(self) -> int:
+        """Highest fencing token (term) that the worker has shown, 0 without a heartbeat."""
+        return self.status.report.token if self.status.report else 0
+
+    @property
+    def has_shown_current_token(self) -> bool:
+        """Has it shown a fencing token given out since we first received a heartbeat of it?
+
+        Guards against copies of old heartbeats: they make a controller without memory take a
+        dead machine for a live one, but show an old token.
         """
-        return self.report is not None and self.report.token >= self.first_term
-
-    def begin_session(self, first: bool) -> None:
-        """A session that ended took its tasks, images' users and orders along."""
-        self.launched.clear()
-        self.halted.clear()
-        self.uncertain.clear()
-        self.direct.clear()
-        if not first:
-            self.images = {}
-
-    def drop_void_launches(self, token: int, changed: bool) -> None:
-        """Launches of terms below the token that the worker shows can no longer run."""
-        if self.direct and changed:
-            self.direct = {key: term for key, term in self.direct.items() if term >= token}
-        if self.uncertain:
-            self.uncertain = {key: term for key, term in self.uncertain.items() if term >= token}
+        report = self.status.report
+        return report is not None and report.token >= self.status.first_term
--- a/appledock/core/workers/reports.py
+++ b/appledock/core/workers/reports.py
@@ -8,7 +8,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.records.job import split_task
-from appledock.core.workers.record import ReportNumber, TaskKey, Worker
+from appledock.core.workers.record import HeartbeatNumber, TaskKey, Worker
 from appledock.core.workers.table import WorkerTable
 
 if TYPE_CHECKING:
@@ -24,32 +24,34 @@
         self.engine = engine
         self.workers = workers
 
-    def learn(self, report: wire.Report, well_s: float | None = None) -> bool:
+    def ingest(self, report: wire.Report, well_s: float | None = None) -> bool:
         """Take the report in if it is newer than the one known.
 
         `well_s`: a peer passed it on, and knows since when the worker was last well.
         """
-        if report.worker in self.workers.gone:
+        if report.worker in self.workers.deleted_machines:
             # Guards against copies of old reports: each brought a machine back that
             # nothing removes from the table, and the leader, most of whose machines
             # seemed silent then, never again deleted one that really was.
             return False
-        worker = self.workers.get(report.worker)
+        worker = self.workers.get_or_create(report.worker)
         old, before = worker.report, worker.tasks
-        number = ReportNumber(report.session, report.seq)
+        number = HeartbeatNumber(report.session, report.seq)
         # A number may be known without its report: a link that lost the report brought
         # word that later ones showed nothing new. Then the report itself is news.
-        if number < worker.seen or (old is not None and number <= (old.session, old.seq)):
+        if number < worker.status.newest or (old is not None and number <= (old.session, old.seq)):
             return False
-        worker.seen = number
+        worker.status.newest = number
         if old is None:
-            worker.first_term = self.engine.membership.term
+            worker.status.first_term = self.engine.membership.term
         self._note_times(worker, report, well_s)
-        worker.report = report
-        worker.tasks = {(task.task, task.attempt): task for task in report.tasks}
+        worker.status.report = report
+        worker.status.tasks = {(task.task, task.attempt): task for task in report.tasks}
         if old is None or old.session != report.session:
-            worker.begin_session(first=old is None)
-        worker.drop_void_launches(report.token, old is None or old.token != report.token)
+            worker.commanded.clear()
+            if old is not None:
+                worker.status.image_seen_at = {}
+        worker.commanded.drop_void_launches(report.token, old is None or old.token != report.token)
         self._note_tasks(worker)
         if old is None or _differs(old, before, report, worker.tasks):
             self.engine.reconcile_queue.changed_workers.add(worker.id)
@@ -66,16 +68,19 @@
         """
         now, old = self.engine.now, worker.report
         if well_s is not None:
-            worker.well_at = max(worker.well_at, now - well_s)
+            worker.reachability.last_healthy_at = max(
+                worker.reachability.last_healthy_at, now - well_s
+            )
         else:
-            worker.reached_at = now
+            worker.reachability.last_direct_heartbeat_at = now
             # A worker whose answers do not arrive still reports, but only after
             # it has waited for each answer in vain.
             if old is None or (
-                old.session == report.session and now - worker.heard_at < c.ANSWER_LOST_S
+                old.session == report.session
+                and now - worker.reachability.last_heartbeat_at < c.ANSWER_LOST_S
             ):
-                worker.well_at = now
-        worker.heard_at = now
+                worker.reachability.last_healthy_at = now
+        worker.reachability.last_heartbeat_at = now
 
     def _note_tasks(self, worker: Worker) -> None:
         """Since when tasks run, which images they show as fetched, whether any is left."""
@@ -85,28 +90,30 @@
         for key, entry in worker.tasks.items():
             running = entry.state == wire.RUNNING
             if running:
-                started = worker.since.get(key)
+                started = worker.status.running_since.get(key)
                 if started is None:
                     self._log_start(worker, entry)
                     started = now
                 since[key] = started
-            elif entry.why == wire.DONE and key in worker.since:
+            elif entry.why == wire.DONE and key in worker.status.running_since:
                 done = jobs.get(split_task(entry.task)[0])
                 if done is not None:
-                    self.engine.rebalancer.completed(worker.id, done, now - worker.since[key])
+                    self.engine.rebalancer.completed(
+                        worker.id, done, now - worker.status.running_since[key]
+                    )
             busy = busy or entry.state != wire.EXITED
             if running or entry.state == wire.SAVING or entry.why == wire.DONE:
                 job = jobs.get(split_task(entry.task)[0])
                 if job is not None:
-                    worker.images[job.spec.image] = now
-        worker.since = since
+                    worker.status.image_seen_at[job.spec.image] = now
+        worker.status.running_since = since
         if busy:
-            worker.idle_since = 0.0
-        elif not worker.idle_since:
-            worker.idle_since = now
+            worker.placement.idle_since = 0.0
+        elif not worker.placement.idle_since:
+            worker.placement.idle_since = now
 
     def _log_start(self, worker: Worker, entry: wire.TaskReport) -> None:
-        if self.engine.replica.view is not None and self.workers.owned(worker.id):
+        if self.engine.replica.view is not None and self.workers.owns(worker.id):
             log.debug("%s started on %s", entry.task, worker.id)
 
 
--- a/appledock/core/workers/table.py
+++ b/appledock/core/workers/table.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from appledock import constants as c
-from appledock.core.workers.record import Worker
+from appledock.core.workers.record import Worker, WorkerLease
 
 if TYPE_CHECKING:
     from appledock.core.controller import Controller
@@ -18,47 +18,55 @@
     def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.table: dict[str, Worker] = {}
-        self.gone: dict[str, float] = {}
+        self.deleted_machines: dict[str, float] = {}
         """machines whose deletion was confirmed, or that the cloud calls failed"""
-        self.start_bound = 0.0
+        self.initial_renewable_until = 0.0
         """until then a controller that we do not know of yet may answer any worker"""
-        self.orders_due: set[str] = set()
+        self.commands_due: set[str] = set()
         """workers that may need other commands than before"""
 
-    def get(self, name: str) -> Worker:
+    def get_or_create(self, name: str) -> Worker:
         """The worker's row, made if it is new."""
         worker = self.table.get(name)
         if worker is None:
             # Another controller may have answered it under a view it still
             # believes in; that ends within one lease from now.
             worker = self.table[name] = Worker(
-                name, bound=max(self.start_bound, self.engine.now + self.engine.runtime.lease_ttl_s)
+                name,
+                lease=WorkerLease(
+                    max(
+                        self.initial_renewable_until,
+                        self.engine.now + self.engine.runtime.lease_ttl_s,
+                    )
+                ),
             )
         return worker
 
-    def owned(self, name: str) -> bool:
+    def owns(self, name: str) -> bool:
         """Does this controller own the worker?"""
         return self.engine.replica.owner_of(name) == self.engine.settings.name
 
-    def set_lapsed(self, machine: str, session: int) -> None:
+    def mark_expired(self, machine: str, session: int) -> None:
         """This session and all before it are over."""
-        worker = self.get(machine)
-        if session > worker.lapsed:
-            worker.lapsed = session
+        worker = self.get_or_create(machine)
+        if session > worker.lease.expired_epoch:
+            worker.lease.expired_epoch = session
             self.engine.reconcile_queue.changed_workers.add(machine)
             self.engine.capacity_index.touch(machine)
             self.engine.reconcile_queue.placement_due = True
 
-    def set_gone(self, machines: Iterable[str]) -> None:
+    def mark_deleted(self, machines: Iterable[str]) -> None:
         """These machines no longer exist."""
         for machine in machines:
-            if machine not in self.gone:
-                self.gone[machine] = self.engine.now
+            if machine not in self.deleted_machines:
+                self.deleted_machines[machine] = self.engine.now
                 self.table.pop(machine, None)
                 self.engine.capacity_index.touch(machine)
                 self.engine.reconcile_queue.changed_workers.add(machine)
                 self.engine.rebalancer.speeds.forget(machine)
-        if len(self.gone) > c.GONE_MAX:
-            for machine in sorted(self.gone, key=self.gone.__getitem__)[: c.GONE_MAX // 2]:
+        if len(self.deleted_machines) > c.GONE_MAX:
+            for machine in sorted(self.deleted_machines, key=self.deleted_machines.__getitem__)[
+                : c.GONE_MAX // 2
+            ]:
                 if machine not in self.engine.replica.by_machine:
-                    del self.gone[machine]
+                    del self.deleted_machines[machine]
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -21,7 +21,7 @@
 Patch = pytest.MonkeyPatch
 VERDICT, COMMANDS, SUBMIT, SHARES = (
     Workers.verdict,
-    Workers.commands,
+    Workers.commands_for,
     StoreClient.submit,
     quota.Quota.shares,
 )
@@ -30,7 +30,7 @@
 def silence_settles(patch: Patch, after_s: float = 6.0) -> None:
     def verdict(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
         worker = self.table.get(attempt.machine)
-        if worker is not None and self.engine.now - worker.heard_at > after_s:
+        if worker is not None and self.engine.now - worker.reachability.last_heartbeat_at > after_s:
             return "settled"
         return VERDICT(self, job, attempt, task)
 
@@ -44,7 +44,7 @@
         worker = self.table.get(attempt.machine)
         if (
             worker is not None
-            and worker.session == attempt.session
+            and worker.agent_epoch == attempt.session
             and (f"{job.id}/{task}", attempt.number) not in worker.tasks
         ):
             return "settled"
@@ -64,10 +64,10 @@
 def nobody_answered_before(patch: Patch) -> None:
     """A controller without memory takes workers for unheard of by anybody."""
 
-    def get(self: Workers, name: str) -> Worker:
+    def get_or_create(self: Workers, name: str) -> Worker:
         return self.table.setdefault(name, Worker(name))
 
-    patch.setattr(Workers, "get", get)
+    patch.setattr(Workers, "get_or_create", get_or_create)
 
 
 def old_shares_hold(patch: Patch) -> None:
@@ -127,7 +127,7 @@
     no_word_of_mouth(patch)
     patch.setattr(
         Workers,
-        "commands",
+        "commands_for",
         lambda self, worker, direct: [
             x for x in COMMANDS(self, worker, direct) if x.op != wire.HALT
         ],
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -31,7 +31,7 @@
 """s between two pipelines"""
 WORK: list[tuple[str, type, str]] = [
     ("batch", Controller, "handle"),
-    ("report", Workers, "on_report"),
+    ("report", Workers, "on_heartbeat"),
     ("message of a peer", Workers, "on_peer"),
     ("look at leases", Workers, "tick"),
     ("placement pass", Reconciler, "_place_all"),
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -459,6 +459,13 @@
     def request_id(self, reply: Any) -> int:
         return int(reply.request_id)
 
+    def knows_gone(self, controller: Any, machine: str) -> bool:
+        return machine in controller.workers.deleted_machines
+
+    def seen(self, controller: Any, machine: str) -> tuple[int, int]:
+        number = controller.workers.table[machine].status.newest
+        return int(number.agent_epoch), int(number.seq)
+
     def key_prefix(self, name: str) -> str:
         return str(getattr(self.keys, name))
 
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -77,7 +77,7 @@
     world.clock.run(49.0)
     assert busy(world) == FLEET
     alone = world.nodes["n0"].engine
-    assert all(alone.workers.owned(name) for name in world.cloud.workers)
+    assert all(alone.workers.owns(name) for name in world.cloud.workers)
 
     world.clock.run(56.0)
     for node in world.nodes.values():
@@ -145,7 +145,7 @@
     e.replica.advance(1)
     for number in range(FLEET):
         tasks = [wire.TaskReport(f"job-{number:06d}/{n}", 1, wire.RUNNING) for n in range(8)]
-        e.workers.learn(
+        e.workers.ingest_heartbeat(
             wire.Report(f"vm-{number:06d}", "10.0.0.9:9000", "h4", "a", 1, number, 5, tasks=tasks)
         )
     return e
@@ -178,7 +178,7 @@
     e = owner_of_all()
     names = [f"vm-{number:06d}" for number in range(c.GONE_MAX)]
     assert FLEET < c.GONE_RESENT_MAX
-    e.workers.gone.update(dict.fromkeys(names, 0.0))
+    e.workers.deleted_machines.update(dict.fromkeys(names, 0.0))
     e.workers.gossip.on_peer_connected("n1")
     e.workers.gossip._send_alive(list(e.workers.table), "n1")
     sizes = [len(wire.encode(x.message)) for x in e.effects if isinstance(x, ev.PeerSend)]
@@ -196,7 +196,7 @@
     assert set(view.overrides) == set(wanted)
     e.replica.put(VIEW, view.encode(), 2)
     gone = sorted(wanted)[:100]
-    e.workers.set_gone(gone)
+    e.workers.mark_deleted(gone)
     e.membership.want_override = {}
     assert set(e.membership._next_view({"n0": "x.1"}).overrides) == set(wanted) - set(gone)
     e.client.max_value_bytes = 3000
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -24,7 +24,7 @@
     effects: list[ev.Effect] = []
     for step in range(int(seconds)):
         e.membership.touch_sent = e.membership.view_sent = NOW + step
-        seq = e.workers.table["vm-1"].seen[1] + 1
+        seq = e.workers.table["vm-1"].status.newest.seq + 1
         effects += e.handle([ev.Reported(seq, report(seq)), ev.Tick()], NOW + step, 0.0)
     return effects
 
@@ -66,7 +66,7 @@
     e = follower()
     e.fleet.operate("vm-1", "cordon")
     live_on(e, c.CORDON_LAPSE_S + 3)
-    assert e.workers.table["vm-1"].cordoned == "operator"
+    assert e.workers.table["vm-1"].placement.cordon_reason == "operator"
 
 
 def test_while_the_cloud_is_in_trouble_the_leader_repeats_its_cordons() -> None:
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -40,7 +40,7 @@
     count(monkeypatch, counted, "proofs", Workers, "verdict")
     count(monkeypatch, counted, "encodings", Job, "encode")
     count(monkeypatch, counted, "decisions", Reconciler, "_place")
-    count(monkeypatch, counted, "reports", Workers, "on_report")
+    count(monkeypatch, counted, "reports", Workers, "on_heartbeat")
     world = load.play(MACHINES, chains=True)
     assert world.judge.broken == []
     assert world.judge.starts > 500
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -254,7 +254,7 @@
         wire.TaskReport(f"{job.id}/0", 1, wire.EXITED, wire.DONE),
         wire.TaskReport(f"{job.id}/1", 1, wire.RUNNING),
     ]
-    e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, tasks=tasks))
+    e.workers.ingest_heartbeat(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, tasks=tasks))
     high = Job(spec(id="job-9", rank="production"), 0)
     found = e.preemption.victims(high, room("vm-1", 0))
     assert [victim.task for victim in found] == [1]
@@ -394,7 +394,9 @@
         job = Job(spec(id=f"job-{number}", stow_s=checkpoint), 0, 5)
         job.attempts.append(Attempt("vm-1", 1, 1, 1, False, {0}))
         e.replica.set_job(job)
-    e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, True, notice_s=9.0))
+    e.workers.ingest_heartbeat(
+        wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, True, notice_s=9.0)
+    )
     e.fleet.cordons.drain(())
     assert e.reconciler.stops == {"job-1": {"vm-1": {0}}}
 
@@ -406,13 +408,15 @@
     e.replica.put("ad/live/view", {"term": 1, "members": {"n0": "x"}, "leader": "n0"}, 1)
     e.fleet.led_since = e.now
     for number in range(5):
-        e.workers.learn(wire.Report(f"vm-{number}", "10.0.0.9:9", "h4", "a", 1, 1, 1))
+        e.workers.ingest_heartbeat(wire.Report(f"vm-{number}", "10.0.0.9:9", "h4", "a", 1, 1, 1))
     e.now += 100.0
     e.fleet._return(e.fleet._demand())
     assert not e.fleet.returns.returning
     for number in range(1, 5):
         worker = e.workers.table[f"vm-{number}"]
-        worker.heard_at = worker.well_at = worker.reached_at = e.now
+        worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = (
+            worker.reachability.last_direct_heartbeat_at
+        ) = e.now
     e.fleet._return(e.fleet._demand())
     assert "vm-0" in e.fleet.returns.returning and e.fleet.returns.returning["vm-0"].why == "silent"
 
@@ -437,7 +441,7 @@
         job = Job(spec(id=task, crates=1, cores=4.0, cargo="other"), 0, 5)
         job.attempts.append(Attempt(name, 1, 1, 1, False, {0}))
         e.replica.set_job(job)
-        e.workers.learn(
+        e.workers.ingest_heartbeat(
             wire.Report(
                 name,
                 "10.0.0.9:9",
@@ -449,7 +453,7 @@
                 tasks=[wire.TaskReport(f"{task}/0", 1, wire.RUNNING)],
             )
         )
-    e.workers.table["vm-150"].images["img"] = e.now
+    e.workers.table["vm-150"].status.image_seen_at["img"] = e.now
     e.capacity_index.touch_all()
     e.capacity_index.refresh()
     assert e.capacity_index.holders["img"] == {"vm-150"}
@@ -466,8 +470,8 @@
         e = engine()
         e.machine_types.update({"h4": KIND})
         e.replica.put("ad/live/view", {"term": 1, "members": {"n0": "x"}, "leader": "n0"}, 1)
-        e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1))
-        e.workers.table["vm-1"].idle_since = e.now - 20
+        e.workers.ingest_heartbeat(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1))
+        e.workers.table["vm-1"].placement.idle_since = e.now - 20
         e.replica.set_job(Job(spec(cores=size), 0, 5))
         e.capacity_index.refresh()
         e.fleet._return(e.fleet._demand())
@@ -548,7 +552,7 @@
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
     mine = [f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0"]
     vm = next(f"vm-{i}" for i in range(99) if e.replica.owner_of(f"vm-{i}") == "n0")
-    e.workers.learn(wire.Report(vm, "10.0.0.9:9", "h4", "a", 1, 1, 5))
+    e.workers.ingest_heartbeat(wire.Report(vm, "10.0.0.9:9", "h4", "a", 1, 1, 5))
     array = Job(spec(id=mine[0], crates=4), 0.0, 2)
     e.replica.set_job(array)
     e.client.limiter.writes.rate, e.client.limiter.max_write_rate, e.client.limiter.writes.level = (
@@ -617,10 +621,10 @@
         wire.TaskReport(f"job-000009/{number}", 1, wire.EXITED, wire.DONE)
         for number in range(c.KEPT_MAX + 1)
     ]
-    e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 4, tasks=tasks))
+    e.workers.ingest_heartbeat(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 4, tasks=tasks))
     worker = e.workers.table["vm-1"]
     for term, wanted in ((4, False), (5, True)):
-        worker.direct = dict.fromkeys(worker.tasks, term)
+        worker.commanded.repeatable_launches = dict.fromkeys(worker.tasks, term)
         e.membership.want_term = False
-        assert e.workers.commands(worker, direct=False) == []  # nothing is forgotten
+        assert e.workers.commands_for(worker, direct=False) == []  # nothing is forgotten
         assert e.membership.want_term == wanted
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -89,7 +89,7 @@
     e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
     names = [f"vm-{number:06d}" for number in range(6)]
     for name in names:
-        e.workers.learn(report(name, 1))
+        e.workers.ingest_heartbeat(report(name, 1))
     e.capacity_index.refresh()
     returns = e.fleet.returns
     stage = Job(spec(id="job-000001", crates=9, cores=2.0, memory_gb=1.0), 0.0, 1)
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -123,7 +123,9 @@
 
 def test_copies_of_old_reports_revive_no_dead_machine(monkeypatch: Patch) -> None:
     assert copies_of_a_dead_machine() == set()
-    monkeypatch.setattr(Worker, "proven", property(lambda self: self.report is not None))
+    monkeypatch.setattr(
+        Worker, "has_shown_current_token", property(lambda self: self.report is not None)
+    )
     assert copies_of_a_dead_machine() != set()
 
 
@@ -147,13 +149,13 @@
 def test_a_restarted_controller_learns_what_its_peers_have_seen() -> None:
     """It has no memory of its own; a late copy must not pass for the newest report."""
     e, fresh = owner_of_nothing(), owner_of_nothing()
-    e.workers.learn(report("vm-1", 50))
+    e.workers.ingest_heartbeat(report("vm-1", 50))
     e.workers.on_peer_connected("n1")
     for effect in e.effects:
         assert isinstance(effect, ev.PeerSend)
         fresh.handle([ev.PeerMessage(json.loads(wire.encode(effect.message)))], fresh.now, 0.0)
-    assert not fresh.workers.learn(report("vm-1", 49))
-    assert fresh.workers.learn(report("vm-1", 51))
+    assert not fresh.workers.ingest_heartbeat(report("vm-1", 49))
+    assert fresh.workers.ingest_heartbeat(report("vm-1", 51))
 
 
 def test_quiet_workers_of_the_peers_stay_fit_for_steps() -> None:
@@ -179,14 +181,14 @@
     def wanted() -> dict[str, str]:
         e = owner_of_nothing()
         name = next(f"vm-{i}" for i in range(99) if e.replica.owner_of(f"vm-{i}") == "n1")
-        e.workers.learn(report(name, 50))
+        e.workers.ingest_heartbeat(report(name, 50))
         for step in range(12):
             e.membership.touch_sent = e.membership.view_sent = e.now
             e.handle([ev.Reported(step, report(name, 20 + step))], e.now + 0.9, 0.0)
         return e.membership.want_override
 
     assert wanted() == {}
-    monkeypatch.setattr(Workers, "learn", lambda self, report: True)
+    monkeypatch.setattr(Workers, "ingest_heartbeat", lambda self, report: True)
     assert wanted() != {}
 
 
@@ -263,8 +265,8 @@
         e.fleet.led_since = e.now - 60
         e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
         for name in names:
-            e.workers.learn(report(name, 1))
-            e.workers.table[name].idle_since = e.now - 50
+            e.workers.ingest_heartbeat(report(name, 1))
+            e.workers.table[name].placement.idle_since = e.now - 50
         e.heartbeats.on_peer(Heartbeat("n1", 0.1))  # n2 is not heard
         e.fleet._return(e.fleet._demand())
         return e, set(e.fleet.returns.returning)
@@ -365,7 +367,7 @@
     for number in range(300):
         name = f"vm-{number:06d}"
         if e.replica.owner_of(name) == "n0":
-            e.workers.learn(report(name, 1))
+            e.workers.ingest_heartbeat(report(name, 1))
     job_id = next(f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0")
     e.replica.set_job(
         Job(spec(id=job_id, crates=60, cores=0.2, owner="red", memory_gb=9.0), 0.0, 2)
@@ -393,11 +395,11 @@
         job = Job(spec(id=job_id), 0.0, 2, cancelled=True)
         job.attempts.append(Attempt("vm-1", 1, 1, 5, False, {0}))
         e.replica.set_job(job)
-        e.workers.learn(report("vm-1", 1))
+        e.workers.ingest_heartbeat(report("vm-1", 1))
         for step in range(12):
             e.now += 1.0
             if not silent:
-                e.workers.learn(report("vm-1", 2 + step))
+                e.workers.ingest_heartbeat(report("vm-1", 2 + step))
             Reconciler._watch_lost(e.reconciler)
         return e.membership.want_term
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -111,10 +111,10 @@
 def test_cancelled_jobs_that_are_never_halted(monkeypatch: Patch) -> None:
     """Owners that halt nothing are not enough to break the rule: whoever sees a task of a
     cancelled job halts it. Without that, machines go; without that too, the judge notices."""
-    commands = Workers.commands
+    commands = Workers.commands_for
     monkeypatch.setattr(
         Workers,
-        "commands",
+        "commands_for",
         lambda self, worker, direct: [
             x for x in commands(self, worker, direct) if x.op != wire.HALT
         ],
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -117,6 +117,6 @@
                 effects = e.handle(batch, NOW, 0.0)
                 assert [x.levelno for x in caplog.records] == [logging.WARNING], message
                 assert "malformed message" in caplog.text and body["kind"] in caplog.text
-                assert set(e.workers.gone) == {"vm-9"} and not e.workers.table
+                assert set(e.workers.deleted_machines) == {"vm-9"} and not e.workers.table
                 assert not e.fleet.machines.rentals and not e.heartbeats.heard
                 assert not any(isinstance(x, ev.Reply) for x in effects)
--- a/tests/test_old_words.py
+++ b/tests/test_old_words.py
@@ -19,11 +19,11 @@
     e = leading()
     e.handle([ev.Reported(1, report(1))], NOW, 0.0)
     assert e.fleet.returns.silence.calm()
-    e.workers.set_gone(["vm-1"])
+    e.workers.mark_deleted(["vm-1"])
     if direct:  # to the controller itself, or as the late answer to a question
         e.handle([ev.Reported(2, report(2))], NOW + 1, 0.0)
     else:
-        e.workers.learn(report(2))
+        e.workers.ingest_heartbeat(report(2))
     assert "vm-1" not in e.workers.table
     e.handle([], NOW + 60, 0.0)
     assert e.fleet.returns.silence.calm()
@@ -35,12 +35,12 @@
     e = leading()
     task = wire.TaskReport("job-000001/0", 1, wire.RUNNING)
     over = wire.TaskReport("job-000001/0", 1, wire.EXITED, wire.DONE)
-    e.workers.learn(report(5, tasks=[task]), 0.0)
+    e.workers.ingest_heartbeat(report(5, tasks=[task]), 0.0)
     e.workers.on_peer(WorkersAlive([AliveWorker("vm-1", 1, 7, 0.1, 0.1)]))
-    assert not e.workers.learn(report(6, tasks=[task]), 0.0)
-    assert e.workers.learn(report(7, tasks=[over]), 0.0)
+    assert not e.workers.ingest_heartbeat(report(6, tasks=[task]), 0.0)
+    assert e.workers.ingest_heartbeat(report(7, tasks=[over]), 0.0)
     assert e.workers.table["vm-1"].tasks[("job-000001/0", 1)].state == wire.EXITED
-    assert not e.workers.learn(report(7, tasks=[task]), 0.0)
+    assert not e.workers.ingest_heartbeat(report(7, tasks=[task]), 0.0)
 
 
 def test_a_wish_to_stop_a_job_of_somebody_else_is_not_kept() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -295,13 +295,13 @@
     e.replica.put(MEMBERS + "n0", {"incarnation": "x.1", "lease": 1}, 1)
     for number in range(9):
         if e.replica.owner_of(f"vm-{number:06d}") == "n0":
-            e.workers.learn(report(f"vm-{number:06d}", 1))
+            e.workers.ingest_heartbeat(report(f"vm-{number:06d}", 1))
     name = next(f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0")
     types = ["h4", *(f"type-{number:04d}" for number in range(220))]
     e.replica.set_job(Job(spec(id=name, crates=2, owner="red", hulls=types), 0.0, 2))
     e.client.max_value_bytes = 1740
     for worker in e.workers.table.values():
-        worker.heard_at = worker.well_at = e.now
+        worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = e.now
     written = [
         write.value
         for call in calls(e.handle([], e.now + 0.2, e.wall), Transaction)
@@ -321,7 +321,7 @@
     e.replica.put(MEMBERS + "n0", {"incarnation": "x.1", "lease": 1}, 1)
     for number in range(60):
         if e.replica.owner_of(f"vm-{number:06d}") == "n0":
-            e.workers.learn(report(f"vm-{number:06d}", 1))
+            e.workers.ingest_heartbeat(report(f"vm-{number:06d}", 1))
     name = next(f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0")
     e.replica.set_job(
         Job(
@@ -335,7 +335,7 @@
     start = e.now
     while e.now < start + 60.0:
         for worker in e.workers.table.values():
-            worker.heard_at = worker.well_at = e.now
+            worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = e.now
         e.membership.touch_sent = e.membership.view_sent = e.now
         for call in calls(e.handle([], e.now + 0.2, e.wall), Transaction):
             plan = call.request
