--- a/appledock/core/workers/gossip.py
+++ b/appledock/core/workers/gossip.py
@@ -165,5 +165,5 @@
                 worker.reachability.last_healthy_at = max(
                     worker.reachability.last_healthy_at, now - row.well_s
                 )
-                if worker.id not in self.engine.capacity_index.table:
-                    self.engine.capacity_index.touch(worker.id)
+                if worker.id not in self.engine.capacity_index.machines:
+                    self.engine.capacity_index.mark_changed(worker.id)
--- a/appledock/core/workers/table.py
+++ b/appledock/core/workers/table.py
@@ -52,7 +52,7 @@
         if session > worker.lease.expired_epoch:
             worker.lease.expired_epoch = session
             self.engine.reconcile_queue.changed_workers.add(machine)
-            self.engine.capacity_index.touch(machine)
+            self.engine.capacity_index.mark_changed(machine)
             self.engine.reconcile_queue.placement_due = True
 
     def mark_deleted(self, machines: Iterable[str]) -> None:
@@ -61,7 +61,7 @@
             if machine not in self.deleted_machines:
                 self.deleted_machines[machine] = self.engine.now
                 self.table.pop(machine, None)
-                self.engine.capacity_index.touch(machine)
+                self.engine.capacity_index.mark_changed(machine)
                 self.engine.reconcile_queue.changed_workers.add(machine)
                 self.engine.rebalancer.speeds.forget(machine)
         if len(self.deleted_machines) > c.GONE_MAX:
