--- a/appledock/core/workers/evidence.py
+++ b/appledock/core/workers/evidence.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING
 
 from appledock import wire
+from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job
 from appledock.core.workers.record import TaskKey, Worker
 from appledock.core.workers.table import WorkerTable
@@ -12,11 +13,6 @@
 if TYPE_CHECKING:
     from appledock.core.controller import Controller
 
-DONE = "done"
-ERROR = "error"
-SETTLED = "settled"
-"""verdicts: completed, failed, or over without a result"""
-
 
 class Evidence:
     """Judges attempts by what the workers have shown.
@@ -29,18 +25,18 @@
         self.engine = engine
         self.workers = workers
 
-    def verdict(self, job: Job, attempt: Attempt, task: int) -> str | None:
-        """Is this attempt of a task over? `done`, `error`, `settled`, or None: open."""
+    def verdict(self, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
+        """Is this attempt of a task over? None: it is open."""
         if attempt.machine in self.workers.deleted_machines:
-            return SETTLED
+            return AttemptVerdict.SETTLED
         worker = self.workers.table.get(attempt.machine)
         if worker is None:
             return None
         report = worker.report
         if report is None or report.session < attempt.session:
-            return SETTLED if attempt.session <= worker.lease.expired_epoch else None
+            return AttemptVerdict.SETTLED if attempt.session <= worker.lease.expired_epoch else None
         if report.session > attempt.session:
-            return SETTLED
+            return AttemptVerdict.SETTLED
         key = (f"{job.id}/{task}", attempt.number)
         entry = worker.tasks.get(key)
         if entry is None:
@@ -51,10 +47,10 @@
                 or attempt.session <= worker.lease.expired_epoch
                 or self._never_launched(worker, job, attempt, key)
             )
-            return SETTLED if over else None
+            return AttemptVerdict.SETTLED if over else None
         if entry.state == wire.EXITED:
             return _of_exited(job, entry)
-        return SETTLED if attempt.session <= worker.lease.expired_epoch else None
+        return AttemptVerdict.SETTLED if attempt.session <= worker.lease.expired_epoch else None
 
     def _never_launched(self, worker: Worker, job: Job, attempt: Attempt, key: TaskKey) -> bool:
         """Only the owner launches, it never did, and the record forbids it now."""
@@ -66,7 +62,9 @@
         )
 
 
-def _of_exited(job: Job, entry: wire.TaskReport) -> str:
+def _of_exited(job: Job, entry: wire.TaskReport) -> AttemptVerdict:
     if entry.why == wire.DONE and not job.spec.service:
-        return DONE
-    return ERROR if entry.why in (wire.ERROR, wire.UNKNOWN) else SETTLED
+        return AttemptVerdict.DONE
+    return (
+        AttemptVerdict.FAILED if entry.why in (wire.ERROR, wire.UNKNOWN) else AttemptVerdict.SETTLED
+    )
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -7,6 +7,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.messages import WorkerMessage
+from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job
 from appledock.core.workers.answers import Answers
 from appledock.core.workers.commands import Commands
@@ -71,8 +72,8 @@
         self.orders.flush()
 
     # --- questions --------------------------------------------------------
-    def verdict(self, job: Job, attempt: Attempt, task: int) -> str | None:
-        """Is this attempt of a task over? `done`, `error`, `settled`, or None: open."""
+    def verdict(self, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
+        """Is this attempt of a task over? None: it is open."""
         return self.evidence.verdict(job, attempt, task)
 
     def probe(self, worker: Worker) -> None:
