--- a/appledock/core/machines/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -104,7 +104,7 @@
             if (
                 worker is None
                 or not self.e.placeable(worker)
-                or (room.agent_epoch != worker.session)
+                or (room.agent_epoch != worker.agent_epoch)
             ):
                 self.changed.add(name)
 
@@ -152,10 +152,10 @@
             kind.cpus,
             kind.gpus,
             kind.memory_gb,
-            set(worker.images),
+            set(worker.status.image_seen_at),
             fetching,
             self.e.replica.owner_of(worker.id),
-            len(worker.failed_jobs),
+            len(worker.placement.failed_jobs),
             self.e.partitions.gate(worker),
             Load() if self.e.rebalancer.enabled or self.e.partitions.enabled else None,
         )
