--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -155,7 +155,10 @@
         Guards against a burst of writes when a controller is back.
         """
         engine = self.engine
-        if engine.now - self.handed < c.PREFERRED_HAND_EVERY_S or engine.pacing.crowded():
+        if (
+            engine.now - self.handed < c.PREFERRED_HAND_EVERY_S
+            or engine.pacing.is_step_rate_limited()
+        ):
             return
         self.handed = engine.now
         for job in engine.replica.jobs.values():
@@ -168,7 +171,7 @@
                 and engine.job_writer.ready(job)
             ):
                 assert node is not None
-                engine.reconciler.hand_over(job, node)
+                engine.reconciler.hand_off(job, node)
                 return
 
     def places_everywhere(self, job: Job) -> bool:
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -50,7 +50,7 @@
 def _most_urgent_first(engine: Controller) -> list[Job]:
     return sorted(
         (engine.replica.jobs[job_id] for job_id in engine.replica.queued),
-        key=lambda job: (engine.queue_order.urgency(job), job.id),
+        key=lambda job: (engine.queue_order.sort_key(job), job.id),
     )
 
 
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -34,7 +34,7 @@
             if job_id in replica.jobs and job_id not in replica.cancelled
         ]
         found = [job for job in jobs if self._worthwhile(job) and self._due(job)]
-        return sorted(found, key=lambda job: (self.engine.queue_order.urgency(job), job.id))
+        return sorted(found, key=lambda job: (self.engine.queue_order.sort_key(job), job.id))
 
     def _worthwhile(self, job: Job) -> bool:
         """Does anybody gain if the job starts a boot time sooner?
@@ -43,7 +43,7 @@
         can still be met, or an objective for its wait.
         """
         _, end = self.engine.replica.needs.pressing(job)
-        waits = self.engine.objectives.limits_wait(job.spec)
+        waits = self.engine.objectives.has_wait_limit(job.spec)
         has_deadline = end < job.submitted + c.NO_DEADLINE_S
         return waits or (has_deadline and self.engine.wall < end)
 
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -94,7 +94,11 @@
             engine.reconcile_queue.deferred_jobs.add(job.id)
             engine.reconcile_queue.pending_reasons[job.id] = PendingReason.TEAM_RECORD_UNDER_WAY
             return False
-        if record is not None and heir == engine.settings.name and engine.pacing.crowded():
+        if (
+            record is not None
+            and heir == engine.settings.name
+            and engine.pacing.is_step_rate_limited()
+        ):
             # A step that waits for its write meets the others' changes of the record, and
             # is then placed anew: the share is raised first, by itself. Never where the job
             # is handed on: its charge goes along with it, or the heir's share would hold
--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -61,7 +61,7 @@
             writes=round(engine.client.limiter.recent_write_rate, 2),
             reporting=round(engine.workers.reporting(), 3),
             unanswered=engine.workers.unanswered_counts(),
-            pressed=engine.pacing.pressed(),
+            pressed=engine.pacing.is_service_rate_limited(),
         )
         engine.emit(PeerSend(heartbeat))
 
--- a/appledock/core/quota/quota.py
+++ b/appledock/core/quota/quota.py
@@ -249,7 +249,11 @@
             jobs = [replica.jobs[j] for j in replica.by_team.get(name, set()) & replica.queued]
             # A job that fails everywhere keeps nothing from the others.
             jobs.sort(
-                key=lambda job: (job.failures >= c.FAILING, self.e.queue_order.urgency(job), job.id)
+                key=lambda job: (
+                    job.failures >= c.FAILING,
+                    self.e.queue_order.sort_key(job),
+                    job.id,
+                )
             )
             queue = [(job.id, replica.job_owner(job), need(job.spec, job.queued)) for job in jobs]
             entry = walk(
--- a/appledock/core/scheduling/handoff.py
+++ b/appledock/core/scheduling/handoff.py
@@ -25,12 +25,12 @@
         """The job is over, or another controller's."""
         self.mine_since.pop(job_id, None)
 
-    def note_mine(self, job: Job) -> None:
+    def on_job_owned(self, job: Job) -> None:
         """The job is ours now."""
         if job.handoff:
             self.mine_since.setdefault(job.id, self.engine.now)
 
-    def target(
+    def choose_target(
         self, job: Job, rooms: list[MachineCapacity], left: int, gang: bool, zones: dict[str, int]
     ) -> str | None:
         """Name the controller for the `left` tasks; None: they stay here."""
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -239,7 +239,7 @@
             return Outcome.BUSY
         if engine.now < self.cooling.get(order.job, c.LONG_AGO):
             return Outcome.COOLING
-        if engine.pacing.crowded() or engine.pacing.pressed():
+        if engine.pacing.is_step_rate_limited() or engine.pacing.is_service_rate_limited():
             return Outcome.WRITES
         return (
             self._refused_by_task(job, order)
--- a/appledock/core/scheduling/objectives.py
+++ b/appledock/core/scheduling/objectives.py
@@ -39,11 +39,11 @@
     def _of(table: dict[str | None, set[float]], job_class: str) -> set[float]:
         return table.get(job_class, set()) | table.get(None, set())
 
-    def finished_in(self, spec: wire.JobSpec) -> list[float]:
+    def finish_limits_s(self, spec: wire.JobSpec) -> list[float]:
         """Seconds by which it should be over from when it can start, one for each objective."""
         return sorted(self._of(self.finished, spec.job_class))
 
-    def deadlines(self, spec: wire.JobSpec) -> list[float]:
+    def deadline_limits_s(self, spec: wire.JobSpec) -> list[float]:
         """Seconds from submission by which it should be over, one for each objective."""
         if spec.deadline_s is None:
             return []
@@ -51,11 +51,11 @@
             spec.deadline_s * times for times in self._of(self.times, spec.job_class) or {1.0}
         )
 
-    def limits_wait(self, spec: wire.JobSpec) -> bool:
+    def has_wait_limit(self, spec: wire.JobSpec) -> bool:
         """Does an objective limit how long a job of the class waits for its start?"""
         return bool(self._of(self.wait, spec.job_class))
 
-    def aged(self, spec: wire.JobSpec) -> float:
+    def ageing_threshold_s(self, spec: wire.JobSpec) -> float:
         """Seconds of waiting after which a job that has not begun comes first in its rank."""
         limits = self._of(self.wait, spec.job_class)
         if not limits or spec.service:
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -19,20 +19,20 @@
 
     def __init__(self, engine: Controller) -> None:
         self.engine = engine
-        self.gathering: dict[str, float] = {}
+        self.batching_since: dict[str, float] = {}
         """array -> since when it waits for room for a larger step"""
-        self.held_back = math.inf
+        self.deferred_since = math.inf
         """since when arrays wait for the writes of users and services"""
 
     def forget(self, job_id: str) -> None:
         """The job is over, or its step is under way."""
-        self.gathering.pop(job_id, None)
+        self.batching_since.pop(job_id, None)
 
-    def crowded(self) -> bool:
+    def is_step_rate_limited(self) -> bool:
         """Do steps wait for the state service's limit?"""
         return self.engine.client.limiter.waiting(Priority.STEP) > c.CROWDED
 
-    def pressed(self) -> bool:
+    def is_service_rate_limited(self) -> bool:
         """Do services wait for the state service's limit?
 
         Then passing one on for an image costs others more than it saves: two writes instead
@@ -40,28 +40,28 @@
         """
         return self.engine.client.limiter.waiting(Priority.URGENT) > c.CROWDED
 
-    def gather_pause(self) -> float:
+    def batching_window_s(self) -> float:
         """Seconds until arrays are placed again."""
-        if self.crowded():
+        if self.is_step_rate_limited():
             return c.GATHER_CROWDED_S
         return c.GATHER_SPARE_S if self.engine.client.limiter.spare_writes() else c.GATHER_S
 
-    def hold_back(self) -> bool:
+    def should_defer_batch_jobs(self) -> bool:
         """Must arrays wait, for a while, until users and services have got their writes?
 
         Ours, or those of another controller: steps of arrays would only keep room and writes
         from them.
         """
-        if not self.pressed() and not self.engine.heartbeats.others_pressed():
-            self.held_back = math.inf
+        if not self.is_service_rate_limited() and not self.engine.heartbeats.others_pressed():
+            self.deferred_since = math.inf
             return False
-        self.held_back = min(self.held_back, self.engine.now)
-        if self.engine.now - self.held_back < c.HOLD_BACK_S:
+        self.deferred_since = min(self.deferred_since, self.engine.now)
+        if self.engine.now - self.deferred_since < c.HOLD_BACK_S:
             return True
-        self.held_back = self.engine.now
+        self.deferred_since = self.engine.now
         return False
 
-    def progress_every(self, job: Job) -> float:
+    def progress_interval_s(self, job: Job) -> float:
         """Seconds between two lists of finished tasks of the job."""
         team = job.spec.team
         if self.engine.quota.exhausted(team) or any(
@@ -73,17 +73,18 @@
                 if self.engine.client.limiter.spare_writes()
                 else c.PROGRESS_EVERY_S
             )
-        return c.PROGRESS_CROWDED_S if self.crowded() else c.PROGRESS_RELAXED_S
+        return c.PROGRESS_CROWDED_S if self.is_step_rate_limited() else c.PROGRESS_RELAXED_S
 
-    def gathers(self, job: Job, rest: Job, tasks: int) -> bool:
+    def should_batch(self, job: Job, rest: Job, tasks: int) -> bool:
         """Does the array wait for more room, for a bounded time?
 
         So it does if writes lack and the step would be a small one.
         """
-        if job.spec.service or job.spec.gang or not self.crowded():
+        if job.spec.service or job.spec.gang or not self.is_step_rate_limited():
             return False
         if tasks >= min(rest.queued, c.GATHER_TASKS):
             return False
         return (
-            self.engine.now - self.gathering.setdefault(job.id, self.engine.now) < c.GATHER_STEP_S
+            self.engine.now - self.batching_since.setdefault(job.id, self.engine.now)
+            < c.GATHER_STEP_S
         )
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -24,26 +24,33 @@
         """The job is over."""
         self.ready_at.pop(job_id, None)
 
-    def since(self, job: Job) -> float:
+    def waiting_since(self, job: Job) -> float:
         """Time of day from which the job waits for being served."""
         return self.ready_at.get(job.id, job.submitted)
 
-    def urgency(self, job: Job) -> tuple[float, ...]:
+    def sort_key(self, job: Job) -> tuple[float, ...]:
         """Sort key of the queue: guarantee, rank, then slack and age inside the class.
 
         A job that others need has the highest rank of them, and their ends less what they take.
         """
         rank, end = self.engine.replica.needs.pressing(job)
-        since = self.since(job)
+        since = self.waiting_since(job)
         waited = self.engine.wall - since
-        if waited > self.engine.objectives.aged(job.spec) and not job.attempts and not job.done:
+        if (
+            waited > self.engine.objectives.ageing_threshold_s(job.spec)
+            and not job.attempts
+            and not job.done
+        ):
             # Ageing: first within its rank, later before all: every job begins. One
             # whose tasks were all stopped again to make room has not begun.
             return (-1 if waited > c.OVERDUE_S else 0, -rank, -1, since)
         inside = self.engine.quota.inside(job)
-        ends = [since + limit for limit in self.engine.objectives.finished_in(job.spec)]
+        ends = [since + limit for limit in self.engine.objectives.finish_limits_s(job.spec)]
         if job.spec.deadline_s is not None:
-            ends += [job.submitted + limit for limit in self.engine.objectives.deadlines(job.spec)]
+            ends += [
+                job.submitted + limit
+                for limit in self.engine.objectives.deadline_limits_s(job.spec)
+            ]
         elif end < job.deadline():
             ends.append(end)
         if job.spec.service or not ends:
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -76,7 +76,7 @@
             if job is None:
                 self._clear(job_id)
             elif self.e.owns_job(job):
-                self.handoff.note_mine(job)
+                self.handoff.on_job_owned(job)
                 self._settle(job)
             else:
                 self.handoff.forget(job_id)
@@ -187,9 +187,9 @@
             )
         elif new is not None and new.queued > job.queued and self._step_first(job.id):
             self.queue.deferred_jobs.add(job.id)
-        elif self.e.now >= self.writer.written_at.get(job.id, -1e9) + self.pacing.progress_every(
-            job
-        ):
+        elif self.e.now >= self.writer.written_at.get(
+            job.id, -1e9
+        ) + self.pacing.progress_interval_s(job):
             self.writer.commit(job, self.settlement.apply(job), Priority.PROGRESS)
         else:
             self.queue.deferred_jobs.add(job.id)
@@ -223,9 +223,13 @@
         ]
         # Room that running tasks free comes by and by: gathered for a moment, it is
         # taken by one job in one step, not by each in one of its own.
-        arrays = bool(waiting) and self.e.now >= self.next_arrays and not self.pacing.hold_back()
+        arrays = (
+            bool(waiting)
+            and self.e.now >= self.next_arrays
+            and not self.pacing.should_defer_batch_jobs()
+        )
         if arrays:
-            self.next_arrays = self.e.now + self.pacing.gather_pause()
+            self.next_arrays = self.e.now + self.pacing.batching_window_s()
         ready = [job for job in waiting if self.writer.ready(job) and (arrays or job.spec.service)]
         if len(ready) < len(waiting):
             self.queue.placement_due = True
@@ -237,7 +241,7 @@
         own = [room for room in rooms if room.owner == self.e.settings.name]
         self.preemption.refresh()
         full = _Full()
-        for job in sorted(ready, key=lambda job: (self.e.queue_order.urgency(job), job.id)):
+        for job in sorted(ready, key=lambda job: (self.e.queue_order.sort_key(job), job.id)):
             if not self.writer.ready(job):
                 self.queue.placement_due = True  # a step of another one took its write back
                 continue
@@ -290,7 +294,7 @@
                 self.queue.pending_reasons[job.id] = PendingReason.PREEMPTING
                 return False
             if better is not None:
-                return self.hand_over(job, better)
+                return self.hand_off(job, better)
         placed = self._find_room(job, count, rooms, own, zones or {})
         if not placed and self.preemption.claims.get(job.id):
             self.queue.pending_reasons[job.id] = PendingReason.PREEMPTING
@@ -301,11 +305,11 @@
             used[room.zone] = used.get(room.zone, 0) + number
         handoff = None
         if left and not ours:
-            handoff = self.handoff.target(job, rooms, left, job.spec.gang, used)
+            handoff = self.handoff.choose_target(job, rooms, left, job.spec.gang, used)
         if (
             placed
             and handoff is None
-            and self.pacing.gathers(job, rest, sum(number for _, number in placed))
+            and self.pacing.should_batch(job, rest, sum(number for _, number in placed))
         ):
             self.queue.pending_reasons[job.id] = PendingReason.BATCHING
             self.queue.placement_due = True
@@ -332,7 +336,7 @@
         if job.spec.gang:
             return False
         handoff = self.preemption.make_room(job, 1, zones, within_team=True)
-        return handoff is not None and self.hand_over(job, handoff)
+        return handoff is not None and self.hand_off(job, handoff)
 
     def _better_elsewhere(
         self,
@@ -347,7 +351,7 @@
         if better is None or better == self.e.settings.name:
             return better
         here = any(room.fits(job.spec) and allowed_on(job.spec, room) for room in own)
-        return None if here and self.pacing.pressed() else better
+        return None if here and self.pacing.is_service_rate_limited() else better
 
     def _find_room(
         self,
@@ -440,7 +444,7 @@
     def _priority(job: Job) -> Priority:
         return Priority.URGENT if job.spec.service else Priority.STEP
 
-    def hand_over(self, job: Job, node: str) -> bool:
+    def hand_off(self, job: Job, node: str) -> bool:
         """Pass a job on without placing anything."""
         view = self.e.replica.view
         assert view is not None
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -318,16 +318,16 @@
     quick = Job(spec(id="job-2", crates=1, sail_s=60.0, eta_s=30.0), 80.0)
     late = Job(spec(id="job-3", crates=1, sail_s=20.0, eta_s=30.0), 50.0)
     service = Job(spec(id="job-4", shape="daemon", rank="production", crates=1), 99.0)
-    order = sorted([late, hopeful, service, quick], key=e.queue_order.urgency)
+    order = sorted([late, hopeful, service, quick], key=e.queue_order.sort_key)
     assert [job.id for job in order] == ["job-4", "job-2", "job-1", "job-3"]
     # Ageing: of two that are too late the older; what has not begun within a minute
     # goes first in its rank, and in the end before all.
     older = Job(spec(id="job-5", crates=2, sail_s=20.0, eta_s=30.0), 45.0)
     aged = Job(spec(id="job-6", crates=90, sail_s=20.0, eta_s=30.0), 30.0)
-    order = sorted([late, older, aged, service, quick], key=e.queue_order.urgency)
+    order = sorted([late, older, aged, service, quick], key=e.queue_order.sort_key)
     assert [job.id for job in order] == ["job-4", "job-6", "job-2", "job-5", "job-3"]
     e.wall = 190.0
-    assert e.queue_order.urgency(aged) < e.queue_order.urgency(service)
+    assert e.queue_order.sort_key(aged) < e.queue_order.sort_key(service)
 
 
 @pytest.mark.parametrize(
@@ -479,13 +479,13 @@
 
 def test_arrays_hold_no_room_while_users_and_services_wait_for_writes() -> None:
     e = engine()
-    assert not e.pacing.hold_back()
+    assert not e.pacing.should_defer_batch_jobs()
     for _ in range(5):
         e.client.limiter.add(call(Priority.USER, 1))
     held = []
     for _ in range(50):  # ten seconds
         e.now += 0.2
-        held.append(e.pacing.hold_back())
+        held.append(e.pacing.should_defer_batch_jobs())
     assert held[:14] == [True] * 14
     assert 2 <= held.count(False) <= 4  # held back, but not for ever
 
@@ -495,11 +495,11 @@
     them after a wave of lost machines, arrays of the others took two thirds."""
     e = engine()
     e.heartbeats.on_peer(Heartbeat("n1", 0.1, writes=9.0, pressed=True))
-    assert e.pacing.hold_back()
+    assert e.pacing.should_defer_batch_jobs()
     e.now += c.HEARTBEAT_LOST_S + 1
-    assert not e.pacing.hold_back()  # it may be over since: nobody is heard
+    assert not e.pacing.should_defer_batch_jobs()  # it may be over since: nobody is heard
     e.heartbeats.on_peer(Heartbeat("n1", 0.1, writes=9.0, pressed=False))
-    assert not e.pacing.hold_back()
+    assert not e.pacing.should_defer_batch_jobs()
 
 
 def test_objectives_order_arrays_by_class_and_unknown_ones_are_ignored(
@@ -518,14 +518,14 @@
     )
     assert "beauty" in caplog.text
     seal = spec(berth="seal", sail_s=70.0)
-    assert objectives.deadlines(seal) == [70.0, 105.0]
-    assert objectives.finished_in(seal) == [250.0]
-    assert objectives.aged(seal) == c.AGED_SHARE * 100.0
-    assert objectives.deadlines(spec(berth="other", sail_s=70.0)) == [70.0]
-    assert objectives.finished_in(spec(berth="other", sail_s=70.0)) == []
-    assert objectives.deadlines(spec(berth="other", sail_s=None)) == []
-    assert objectives.aged(spec(berth="other")) == c.AGED_S
-    assert objectives.aged(spec(berth="gate", shape="daemon")) == c.AGED_S
+    assert objectives.deadline_limits_s(seal) == [70.0, 105.0]
+    assert objectives.finish_limits_s(seal) == [250.0]
+    assert objectives.ageing_threshold_s(seal) == c.AGED_SHARE * 100.0
+    assert objectives.deadline_limits_s(spec(berth="other", sail_s=70.0)) == [70.0]
+    assert objectives.finish_limits_s(spec(berth="other", sail_s=70.0)) == []
+    assert objectives.deadline_limits_s(spec(berth="other", sail_s=None)) == []
+    assert objectives.ageing_threshold_s(spec(berth="other")) == c.AGED_S
+    assert objectives.ageing_threshold_s(spec(berth="gate", shape="daemon")) == c.AGED_S
 
 
 def test_a_job_that_was_only_handed_on_or_stopped_again_has_not_begun() -> None:
@@ -535,9 +535,9 @@
     e.wall = 1000.0
     young = Job(spec(id="job-000001", sail_s=500.0), 1000.0 - 5, 1)
     passed = Job(spec(id="job-000002", crates=9, sail_s=500.0), 1000.0 - 70, 1, steps=3)
-    assert e.queue_order.urgency(passed) < e.queue_order.urgency(young)
+    assert e.queue_order.sort_key(passed) < e.queue_order.sort_key(young)
     passed.done.add(0)
-    assert e.queue_order.urgency(passed) > e.queue_order.urgency(young)
+    assert e.queue_order.sort_key(passed) > e.queue_order.sort_key(young)
 
 
 def test_waiting_steps_of_arrays_make_way_for_stops_and_services() -> None:
@@ -576,16 +576,16 @@
     one, other = Job(spec(id="job-000001"), 0.0, 1), Job(spec(id="job-000002"), 0.0, 2)
     e.replica.set_job(one)
     e.replica.set_job(other)
-    assert e.pacing.progress_every(one) == c.PROGRESS_RELAXED_S
+    assert e.pacing.progress_interval_s(one) == c.PROGRESS_RELAXED_S
     e.reconcile_queue.pending_reasons["job-000002"] = "team limit"
     e.client.limiter.writes.level = 0.0
-    assert e.pacing.progress_every(one) == c.PROGRESS_EVERY_S
+    assert e.pacing.progress_interval_s(one) == c.PROGRESS_EVERY_S
     e.client.limiter.writes.level = e.client.limiter.writes.rate
-    assert e.pacing.progress_every(one) == c.PROGRESS_SPARE_S  # nobody lacks these writes
+    assert e.pacing.progress_interval_s(one) == c.PROGRESS_SPARE_S  # nobody lacks these writes
     e.reconcile_queue.pending_reasons["job-000002"] = "no room"
     for _ in range(c.CROWDED + 1):
         e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
-    assert e.pacing.progress_every(one) == c.PROGRESS_CROWDED_S
+    assert e.pacing.progress_interval_s(one) == c.PROGRESS_CROWDED_S
 
 
 def test_charges_are_given_back_soon_where_another_controllers_jobs_lack_the_limit() -> None:
@@ -605,7 +605,7 @@
     e.quota.forget_caches()
     assert e.quota.exhausted("red") and not e.reconcile_queue.pending_reasons
     e.client.limiter.writes.level = e.client.limiter.writes.rate
-    assert e.pacing.progress_every(running) == c.PROGRESS_SPARE_S
+    assert e.pacing.progress_interval_s(running) == c.PROGRESS_SPARE_S
 
 
 def test_a_launch_of_an_earlier_term_asks_for_no_further_one() -> None:
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -106,14 +106,14 @@
 def test_arrays_gather_room_for_a_larger_step_while_writes_lack() -> None:
     e = owner_of_nothing()
     job = Job(spec(id="job-000001", crates=30), 0.0, 1)
-    assert not e.pacing.gathers(job, job, 2)
+    assert not e.pacing.should_batch(job, job, 2)
     for _ in range(c.CROWDED + 1):
         e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
-    assert not e.pacing.gathers(job, job, c.GATHER_TASKS)
-    assert e.pacing.gathers(job, job, 2)
+    assert not e.pacing.should_batch(job, job, c.GATHER_TASKS)
+    assert e.pacing.should_batch(job, job, 2)
     nearly_done = Job(spec(id="job-000002", crates=2), 0.0, 1)
-    assert not e.pacing.gathers(nearly_done, nearly_done, 2)
+    assert not e.pacing.should_batch(nearly_done, nearly_done, 2)
     service = Job(spec(id="job-000003", crates=4, shape="daemon"), 0.0, 1)
-    assert not e.pacing.gathers(service, service, 1)
+    assert not e.pacing.should_batch(service, service, 1)
     e.now += c.GATHER_STEP_S
-    assert not e.pacing.gathers(job, job, 2)
+    assert not e.pacing.should_batch(job, job, 2)
