--- a/appledock/core/quota/quota.py
+++ b/appledock/core/quota/quota.py
@@ -251,7 +251,7 @@
             jobs.sort(
                 key=lambda job: (
                     job.consecutive_failures >= c.FAILING,
-                    self.e.queue_order.urgency(job),
+                    self.e.queue_order.sort_key(job),
                     job.id,
                 )
             )
