--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -87,7 +87,7 @@
             "members": view.members if view else {},
             "overrides": view.overrides if view else {},
             "detached": sorted(view.detached) if view else [],
-            "format": engine.replica.format[1],
+            "format": engine.replica.record_format.value,
             "formats": {
                 node: member.format for node, member in sorted(engine.replica.members.items())
             },
@@ -117,18 +117,18 @@
             "done": len(job.done),
             "open": job.open_tasks,
             "queued": job.queued,
-            "cancelled": engine.replica.withdrawn(job.id),
+            "cancelled": engine.replica.is_cancelled(job.id),
             "owner": engine.replica.job_owner(job) if engine.replica.view else None,
             "failures": job.failures,
             "waits_for": self._waits_for(job),
             "needs": job.spec.needs or [],
-            "needs_left": engine.replica.needs.left(job.id),
-            "needed_by": sorted(engine.replica.needs.dependents.get(job.id, ())),
+            "needs_left": engine.replica.dependencies.left(job.id),
+            "needed_by": sorted(engine.replica.dependencies.dependents.get(job.id, ())),
             "unsettled": [self._attempt(job, attempt) for attempt in job.attempts],
         }
 
     def _waits_for(self, job: Job) -> str | None:
-        needs = self.engine.replica.needs
+        needs = self.engine.replica.dependencies
         if job.id in needs.doomed:
             return "its end: a job that it needs is cancelled"
         if job.id in needs.waiting:
@@ -216,7 +216,7 @@
     def settings(self) -> dict[str, Any]:
         """Values, defaults, ranges and reasons of the settings."""
         return {
-            "version": self.engine.replica.settings[0],
+            "version": self.engine.replica.stored_settings.version,
             "settings": {
                 name: {
                     "value": self.engine.operator_settings[name],
@@ -249,12 +249,12 @@
         if not isinstance(body, dict) or not isinstance(body.get("settings"), dict):
             self._answer(cmd, {"error": "settings: an object is needed"}, 400)
             return
-        version, stored = self.engine.replica.settings
-        asked = body.get("version", version)
+        stored = self.engine.replica.stored_settings
+        asked = body.get("version", stored.version)
         if isinstance(asked, bool) or not isinstance(asked, int):
             self._answer(cmd, {"error": "version: an integer is needed"}, 400)
             return
-        new = dict(stored)
+        new = dict(stored.value)
         try:
             for name, value in body["settings"].items():
                 if value is None and name in DECLARATIONS:
@@ -269,7 +269,7 @@
             match outcome:
                 case Committed():
                     self.engine.replica.put(SETTINGS, new, outcome.revision)
-                    self.engine.operator_settings.apply(self.engine.replica.settings[1])
+                    self.engine.operator_settings.apply(self.engine.replica.stored_settings.value)
                     self.engine.reconcile_queue.placement_due = True
                     self._answer(cmd, self.settings())
                 case Conflict():
--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -83,13 +83,13 @@
 
     def state(self, job_id: str) -> wire.JobState | None:
         """The job as this controller knows it."""
-        final = self.e.replica.finals.get(job_id)
+        final = self.e.replica.final_states.get(job_id)
         if final is not None:
             return wire.JobState(job_id, final)
         job = self.e.replica.jobs.get(job_id)
         if job is None:
             return None
-        if self.e.replica.withdrawn(job_id):
+        if self.e.replica.is_cancelled(job_id):
             return wire.JobState(job_id, wire.CANCELLED, len(job.done), 0)
         running = self.e.running(job)
         return wire.JobState(
@@ -130,9 +130,9 @@
         taken back here. The proof's revision is later than any such cancellation.
         """
         replica = self.e.replica
-        if replica.withdrawn(asked.job) or asked.job not in replica.needs.waiting:
+        if replica.is_cancelled(asked.job) or asked.job not in replica.dependencies.waiting:
             self._tell(asked, False)
-        elif replica.revision < revision or replica.needs.undecided(asked.job):
+        elif replica.revision < revision or replica.dependencies.undecided(asked.job):
             self.lagging.append((asked, revision))
         else:
             self._tell(asked, False)
@@ -140,7 +140,7 @@
     def _read_outcomes(self) -> None:
         """How needed jobs ended that are not in the picture: after a start, or if they
         ended long ago. A few at a time."""
-        unknown = self.e.replica.needs.unknown
+        unknown = self.e.replica.dependencies.unknown
         if not unknown or not self.e.reader.loaded:
             return
         for need in sorted(unknown):
@@ -152,7 +152,7 @@
 
             def ended(need: str = need) -> None:
                 self.reading.discard(need)
-                if need in self.e.replica.needs.unknown:
+                if need in self.e.replica.dependencies.unknown:
                     self.read_at[need] = self.e.now + c.RETRY_MAX_S
                 else:
                     self.read_at.pop(need, None)
@@ -165,7 +165,7 @@
             return
         spec = cmd.spec
         asked = Asked(cmd.request_id, spec.id, self.open[cmd.request_id], spec)
-        if spec.id in self.e.replica.finals or spec.id in self.e.replica.jobs:
+        if spec.id in self.e.replica.final_states or spec.id in self.e.replica.jobs:
             self._poll(asked)
             return
         refusal = self.verdict(spec)
@@ -185,7 +185,7 @@
         That never changes, so the creation itself need not be conditional on it."""
         spec = asked.spec
         assert spec is not None
-        if spec.needs and self.e.replica.format[1] < 2:
+        if spec.needs and self.e.replica.record_format.value < 2:
             self.refuse(asked.request_id, "not every controller knows jobs that need others yet")
             return
         while unread and self._accepted(unread[0]):
@@ -228,7 +228,7 @@
         self.e.reader.read_keys([JOBS + job_id], read_final, failed)
 
     def _accepted(self, job_id: str) -> bool:
-        return job_id in self.e.replica.jobs or job_id in self.e.replica.finals
+        return job_id in self.e.replica.jobs or job_id in self.e.replica.final_states
 
     def verdict(self, spec: wire.JobSpec) -> str | None:
         """Why the job can never run; empty if that cannot be told yet."""
@@ -292,7 +292,7 @@
                     201,
                     wire.JobState(
                         spec.id,
-                        (wire.CANCELLED if self.e.replica.withdrawn(spec.id) else wire.PENDING),
+                        (wire.CANCELLED if self.e.replica.is_cancelled(spec.id) else wire.PENDING),
                     ),
                 )
             elif isinstance(outcome, Conflict):
@@ -312,7 +312,7 @@
     def _poll(self, asked: Asked) -> None:
         """What is final is told at once, in an outage too: a committed cancellation
         is never taken back, nor does its job end in another way."""
-        if asked.job in self.e.replica.finals or self.e.replica.withdrawn(asked.job):
+        if asked.job in self.e.replica.final_states or self.e.replica.is_cancelled(asked.job):
             self._tell(asked, False)
         else:
             self.polls.append(asked)
@@ -343,7 +343,7 @@
         for asked in self.polls:
             if asked.request_id not in self.open:
                 continue
-            if asked.job in self.e.replica.finals:
+            if asked.job in self.e.replica.final_states:
                 self._tell(asked, False)
                 continue
             if len(conditions) + 2 > most:
@@ -383,7 +383,7 @@
         )
 
     def _tell_proven(self, asked: Asked, absent: bool, revision: int) -> None:
-        if asked.job in self.e.replica.needs.waiting:
+        if asked.job in self.e.replica.dependencies.waiting:
             self._tell_current(asked, revision)
         else:
             self._tell(asked, absent)
@@ -392,7 +392,7 @@
         """The cached version was old: read both keys, then answer."""
 
         def read() -> None:
-            if asked.job in self.e.replica.needs.waiting:
+            if asked.job in self.e.replica.dependencies.waiting:
                 self._poll(asked)  # the proof tells how far the picture must reach
             else:
                 self._tell(asked, True)
@@ -405,7 +405,7 @@
     def cancel(self, cmd: Cancel) -> None:
         if self._admit(cmd.request_id):
             asked = Asked(cmd.request_id, cmd.job, self.open[cmd.request_id])
-            if cmd.job in self.e.replica.finals or cmd.job in self.e.replica.jobs:
+            if cmd.job in self.e.replica.final_states or cmd.job in self.e.replica.jobs:
                 self._cancel(asked)
             else:
                 self._read_job(
@@ -419,7 +419,7 @@
         makes every later start fail."""
         if asked.request_id not in self.open:
             return
-        final = self.e.replica.finals.get(asked.job)
+        final = self.e.replica.final_states.get(asked.job)
         job = self.e.replica.jobs.get(asked.job)
         if final is not None:
             self.answer(asked.request_id, 200, wire.JobState(asked.job, final))
@@ -458,7 +458,7 @@
             else:
                 self.refuse(asked.request_id, "state service does not answer")
 
-        if self.e.replica.withdrawn(job.id):
+        if self.e.replica.is_cancelled(job.id):
             # Cancelled already, by us or a request before, and for ever.
             self._tell(asked, False)
             return
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -57,7 +57,7 @@
     def _savers(self, machine: str) -> dict[str, set[int]]:
         """Job -> its tasks on the machine that save, and that nobody has told to stop."""
         result = {}
-        for job_id, attempts in self.engine.replica.by_machine.get(machine, {}).items():
+        for job_id, attempts in self.engine.replica.attempts_by_machine.get(machine, {}).items():
             spec = self.engine.replica.jobs[job_id].spec
             tasks = {task for x in attempts if not x.stopping for task in x.tasks}
             if tasks and spec.checkpoint_s > 0 and not spec.gang:
@@ -88,8 +88,8 @@
     def _replicas_on(self, machine: str) -> bool:
         replica = self.engine.replica
         return any(
-            replica.jobs[job].spec.service and not replica.withdrawn(job)
-            for job in replica.by_machine.get(machine, {})
+            replica.jobs[job].spec.service and not replica.is_cancelled(job)
+            for job in replica.attempts_by_machine.get(machine, {})
         )
 
     def _kept_for(self, partition: str, holders: dict[str, Holding]) -> str | None:
@@ -104,14 +104,15 @@
         known = self.kept.get(partition)
         if known in own:
             return known
-        by_machine = self.engine.replica.by_machine
+        by_machine = self.engine.replica.attempts_by_machine
         return min(own, key=lambda m: (len(by_machine.get(m, {})), m), default=None)
 
     def _may_gain_room(self, machine: str) -> bool:
         """Is anything free on it, or will be when arrays end?"""
         replica = self.engine.replica
         return machine in self.engine.capacity_index.open or any(
-            not replica.jobs[job].spec.service for job in replica.by_machine.get(machine, {})
+            not replica.jobs[job].spec.service
+            for job in replica.attempts_by_machine.get(machine, {})
         )
 
     def _move_replicas(self, most: int) -> None:
@@ -132,12 +133,12 @@
         engine = self.engine
         worker = engine.workers.table.get(machine)
         result: list[Proposal] = []
-        for job_id, attempts in engine.replica.by_machine.get(machine, {}).items():
+        for job_id, attempts in engine.replica.attempts_by_machine.get(machine, {}).items():
             job = engine.replica.jobs[job_id]
             if (
                 worker is None
                 or not self.shares.moves_off(job.spec, machine)
-                or engine.replica.withdrawn(job_id)
+                or engine.replica.is_cancelled(job_id)
                 or job.queued
                 or engine.moves.rests(job_id)
                 or not engine.moves.hears(engine.replica.job_owner(job))
@@ -179,5 +180,5 @@
                 if not holding.leaving:
                     continue
                 for job_id, tasks in self._savers(machine).items():
-                    if engine.owns_job(engine.replica.jobs[job_id]):
+                    if engine.replica.owns_job(engine.settings.name, engine.replica.jobs[job_id]):
                         engine.reconciler.stop(job_id, machine, tasks)
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -143,7 +143,7 @@
             or (
                 settled
                 and machine not in engine.workers.table
-                and machine not in engine.replica.by_machine
+                and machine not in engine.replica.attempts_by_machine
             )
         ]
 
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -90,9 +90,9 @@
         replica = self.engine.replica
         return (
             self.enabled
-            and replica.format[1] >= c.CAPACITY_FORMAT
+            and replica.record_format.value >= c.CAPACITY_FORMAT
             and replica.view is not None
-            and replica.view.version > replica.format[0]
+            and replica.view.version > replica.record_format.version
         )
 
     def pool_of(self, worker: Worker) -> str | None:
@@ -162,8 +162,8 @@
             node = self.preferred(job)
             if (
                 node not in (None, engine.settings.name)
-                and engine.owns_job(job)
-                and not engine.replica.withdrawn(job.id)
+                and engine.replica.owns_job(engine.settings.name, job)
+                and not engine.replica.is_cancelled(job.id)
                 and not engine.moves.rests(job.id)
                 and engine.job_writer.ready(job)
             ):
@@ -190,7 +190,10 @@
             return
         self.next_pass = engine.now + settings.assign_every_s
         if not self.in_force():
-            if engine.replica.format[1] >= c.CAPACITY_FORMAT and engine.membership.leader():
+            if (
+                engine.replica.record_format.value >= c.CAPACITY_FORMAT
+                and engine.membership.leader()
+            ):
                 # Steps of before are void under a view that comes after the format.
                 engine.membership.want_term = True
             return
@@ -217,7 +220,7 @@
             if self.pool_of(worker) == pool and name not in engine.workers.gone:
                 tasks: Counter[str] = Counter()
                 cost = 0.0
-                for job_id, attempts in engine.replica.by_machine.get(name, {}).items():
+                for job_id, attempts in engine.replica.attempts_by_machine.get(name, {}).items():
                     spec = engine.replica.jobs[job_id].spec
                     count = sum(len(attempt.tasks) for attempt in attempts)
                     tasks[self.partition_of(spec) or ""] += count
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -166,10 +166,6 @@
         """Emit a call whose answer goes to `done`."""
         self.runtime.call(make, done)
 
-    def owns_job(self, job: Job) -> bool:
-        """Is the job ours to move on, by the newest view known?"""
-        return self.replica.view is not None and self.replica.job_owner(job) == self.settings.name
-
     def running(self, job: Job) -> int:
         """Tasks that reports show as running, for display."""
         count = 0
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -206,7 +206,7 @@
             self.reconcile_queue.placement_due = True
         if replica.settings_changed:
             replica.settings_changed = False
-            self.operator_settings.apply(replica.settings[1])
+            self.operator_settings.apply(replica.stored_settings.value)
             self.reconcile_queue.placement_due = True
         if replica.changed_jobs:
             for team in replica.changed_teams:
@@ -215,7 +215,10 @@
             for job_id in sorted(replica.changed_jobs):
                 if job_id in replica.jobs:
                     self.fleet.note(replica.jobs[job_id])
-                    if job_id in replica.needs.needs and job_id not in replica.needs.waiting:
+                    if (
+                        job_id in replica.dependencies.needs
+                        and job_id not in replica.dependencies.waiting
+                    ):
                         self.queue_order.ready_at.setdefault(job_id, self.runtime.wall)
                 self.reconcile_queue.jobs.add(job_id)
             replica.changed_jobs.clear()
--- a/appledock/core/fleet/catalogue.py
+++ b/appledock/core/fleet/catalogue.py
@@ -37,12 +37,12 @@
 
         So an outage of the cloud does not keep a restarted controller from deciding.
         """
-        version, rows = self.engine.replica.catalogue
-        if version == self.read_version:
+        catalogue = self.engine.replica.catalogue
+        if catalogue.version == self.read_version:
             return
-        self.read_version = version
+        self.read_version = catalogue.version
         try:
-            types = _stored_types(rows)
+            types = _stored_types(catalogue.value)
         except msgspec.ValidationError as error:
             log.error("malformed catalogue: %s", error)
             return
@@ -74,14 +74,14 @@
     def _differs_from_stored(self) -> bool:
         """Has anything but the prices changed, which move all the time?"""
         try:
-            stored = _stored_types(self.engine.replica.catalogue[1])
+            stored = _stored_types(self.engine.replica.catalogue.value)
         except msgspec.ValidationError:
             return True
         return _without_prices(stored) != _without_prices(self.engine.machine_types.values())
 
     def _store(self) -> None:
         engine = self.engine
-        version = engine.replica.catalogue[0]
+        version = engine.replica.catalogue.version
         value = {"types": [msgspec.to_builtins(kind) for kind in engine.machine_types.values()]}
         if len(wire.encode(value)) > engine.client.max_value_bytes:
             return
--- a/appledock/core/fleet/cordons.py
+++ b/appledock/core/fleet/cordons.py
@@ -92,12 +92,12 @@
 
     def _stop_work(self, name: str, only_checkpointing: bool) -> None:
         engine = self.engine
-        for job_id, attempts in engine.replica.by_machine.get(name, {}).items():
+        for job_id, attempts in engine.replica.attempts_by_machine.get(name, {}).items():
             job = engine.replica.jobs[job_id]
             if only_checkpointing and job.spec.checkpoint_s <= 0:
                 continue
             tasks = _running_tasks(attempts)
-            if tasks and engine.owns_job(job):
+            if tasks and engine.replica.owns_job(engine.settings.name, job):
                 engine.reconciler.stop(job_id, name, tasks)
 
 
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -43,13 +43,13 @@
         )
         if tasks:
             held[job.spec.team] = used + quota.need(job.spec, tasks)
-            result.append(Demand(job, tasks, job.id in engine.replica.queued))
+            result.append(Demand(job, tasks, job.id in engine.replica.queued_jobs))
     return result
 
 
 def _most_urgent_first(engine: Controller) -> list[Job]:
     return sorted(
-        (engine.replica.jobs[job_id] for job_id in engine.replica.queued),
+        (engine.replica.jobs[job_id] for job_id in engine.replica.queued_jobs),
         key=lambda job: (engine.queue_order.urgency(job), job.id),
     )
 
@@ -59,7 +59,7 @@
     for name, room in engine.capacity_index.table.items():
         worker = engine.workers.table[name]
         freed = MachineCapacity("", room.type, room.zone, room.spot, 0, 0.0, 0.0, 0.0)
-        for job_id, attempts in engine.replica.by_machine.get(name, {}).items():
+        for job_id, attempts in engine.replica.attempts_by_machine.get(name, {}).items():
             spec = engine.replica.jobs[job_id].spec
             if spec.service or spec.estimate_s <= 0:
                 continue
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -30,8 +30,8 @@
         replica = self.engine.replica
         jobs = [
             replica.jobs[job_id]
-            for job_id in replica.needs.waiting - replica.needs.doomed
-            if job_id in replica.jobs and job_id not in replica.cancelled
+            for job_id in replica.dependencies.waiting - replica.dependencies.doomed
+            if job_id in replica.jobs and job_id not in replica.cancelled_jobs
         ]
         found = [job for job in jobs if self._worthwhile(job) and self._due(job)]
         return sorted(found, key=lambda job: (self.engine.queue_order.urgency(job), job.id))
@@ -42,7 +42,7 @@
         A machine that waits costs money, so there must be a deadline behind the job that
         can still be met, or an objective for its wait.
         """
-        _, end = self.engine.replica.needs.pressing(job)
+        _, end = self.engine.replica.dependencies.pressing(job)
         waits = self.engine.objectives.limits_wait(job.spec)
         has_deadline = end < job.submitted + c.NO_DEADLINE_S
         return waits or (has_deadline and self.engine.wall < end)
@@ -58,12 +58,12 @@
 
         Infinite if that cannot be told, or if one of them waits itself.
         """
-        return max(map(self._over_in, self.engine.replica.needs.left(job.id)), default=0.0)
+        return max(map(self._over_in, self.engine.replica.dependencies.left(job.id)), default=0.0)
 
     def _over_in(self, job_id: str) -> float:
         """Seconds until an open job is over, by its owner's estimate."""
         job = self.engine.replica.jobs.get(job_id)
-        if job is None or job.spec.service or job_id in self.engine.replica.needs.waiting:
+        if job is None or job.spec.service or job_id in self.engine.replica.dependencies.waiting:
             return math.inf
         left = job.spec.estimate_s if job.queued > 0 else 0.0
         for attempt in job.attempts:
--- a/appledock/core/fleet/headroom.py
+++ b/appledock/core/fleet/headroom.py
@@ -116,7 +116,7 @@
         makes way for it.
         """
         machines = {}
-        jobs, by_machine = self.engine.replica.jobs, self.engine.replica.by_machine
+        jobs, by_machine = self.engine.replica.jobs, self.engine.replica.attempts_by_machine
         for room in self.engine.capacity_index.table.values():
             if room.spot or not room.images & images.keys():
                 continue
--- a/appledock/core/fleet/machines.py
+++ b/appledock/core/fleet/machines.py
@@ -176,7 +176,7 @@
 
     def empty(self, name: str) -> bool:
         """No open attempt is recorded there, and no task shows in its report."""
-        if name in self.engine.replica.by_machine:
+        if name in self.engine.replica.attempts_by_machine:
             return False
         worker = self.engine.workers.table.get(name)
         if worker is None or worker.report is None:
@@ -194,7 +194,7 @@
         machine_type = self.engine.machine_types.get(machine.kind.type)
         if machine.age_s <= late_after_s(machine_type) or led_since is None:
             return False
-        if name in self.engine.replica.by_machine:
+        if name in self.engine.replica.attempts_by_machine:
             # Somebody heard of it, or there would be no step: the list is late, and a
             # leader that has just got its lead back may go by one that is minutes old.
             return False
--- a/appledock/core/fleet/returns.py
+++ b/appledock/core/fleet/returns.py
@@ -152,7 +152,8 @@
     def _dead(self, worker: Worker) -> bool:
         """Silent for so long that nothing of ours can still run there?"""
         return self.engine.now - worker.heard_at > c.SILENT_DELETE_S and (
-            worker.lapsed >= worker.session or worker.id not in self.engine.replica.by_machine
+            worker.lapsed >= worker.session
+            or worker.id not in self.engine.replica.attempts_by_machine
         )
 
     # --- on the way out ---------------------------------------------------
--- a/appledock/core/fleet/silence.py
+++ b/appledock/core/fleet/silence.py
@@ -67,7 +67,10 @@
 
     def _runs_service(self, name: str) -> bool:
         replica = self.engine.replica
-        return any(replica.jobs[job_id].spec.service for job_id in replica.by_machine.get(name, ()))
+        return any(
+            replica.jobs[job_id].spec.service
+            for job_id in replica.attempts_by_machine.get(name, ())
+        )
 
     def _mute(self, worker: Worker) -> bool:
         """Has it left our last question without an answer?"""
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -78,7 +78,7 @@
 
     def on_peer_connected(self, name: str) -> None:
         """A link opened: the peer may have missed what was said."""
-        for job_id in sorted(self.engine.replica.cancelled):
+        for job_id in sorted(self.engine.replica.cancelled_jobs):
             job = self.engine.replica.jobs[job_id]
             self.engine.emit(PeerSend(self._message(job_id, job, job.version), name))
 
@@ -97,8 +97,8 @@
     # --- halts ------------------------------------------------------------
     def _cancelled(self, job_id: str) -> bool:
         return (
-            job_id in self.engine.replica.cancelled
-            or self.engine.replica.finals.get(job_id) == wire.CANCELLED
+            job_id in self.engine.replica.cancelled_jobs
+            or self.engine.replica.final_states.get(job_id) == wire.CANCELLED
         )
 
     def seen(self, report: wire.Report) -> None:
@@ -163,12 +163,12 @@
         if now < self.next_look:
             return
         self.next_look = now + c.SILENCE_EVERY_S
-        if not replica.cancelled and not self.known:
+        if not replica.cancelled_jobs and not self.known:
             return
         self._forget_old()
         to_halt: dict[str, list[wire.TaskReport]] = {}
         to_delete: set[str] = set()
-        for job_id in sorted(replica.cancelled):
+        for job_id in sorted(replica.cancelled_jobs):
             job = replica.jobs[job_id]
             known = self._noted(job)
             late = self._late(known)
@@ -189,7 +189,7 @@
 
     def _forget_old(self) -> None:
         now = self.engine.now
-        for job_id in [j for j in self.known if j not in self.engine.replica.cancelled]:
+        for job_id in [j for j in self.known if j not in self.engine.replica.cancelled_jobs]:
             del self.known[job_id]
         self.halted = {key: at for key, at in self.halted.items() if now - at < c.HALT_AGAIN_S}
         self.deleting = {
--- a/appledock/core/jobs/codec.py
+++ b/appledock/core/jobs/codec.py
@@ -24,7 +24,7 @@
 
     def encode(self, job: Job) -> dict[str, Any]:
         """The job's record, in the format in use."""
-        return job.encode(self._replica.format[1])
+        return job.encode(self._replica.record_format.value)
 
     def fits(self, job: Job) -> bool:
         """Does the record keep to the size that a value may have?"""
--- a/appledock/core/jobs/settlement.py
+++ b/appledock/core/jobs/settlement.py
@@ -33,7 +33,7 @@
 
     def machine_changed(self, machine: str) -> None:
         """A report, a lapse, a deletion or a record has changed what is known of it."""
-        for job_id in self.engine.replica.by_machine.get(machine, ()):
+        for job_id in self.engine.replica.attempts_by_machine.get(machine, ()):
             self._stale.setdefault(job_id, set()).add(machine)
 
     def examine_all(self, job_id: str) -> None:
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -72,7 +72,7 @@
 
     def over(self, job: Job) -> str | None:
         """Say how the job has ended, if it has."""
-        if job.cancelled or job.id in self.engine.replica.needs.doomed:
+        if job.cancelled or job.id in self.engine.replica.dependencies.doomed:
             return wire.CANCELLED if not job.attempts else None
         if not job.spec.service and len(job.done) == job.spec.tasks:
             return wire.DONE
@@ -213,8 +213,8 @@
             other = self.engine.replica.jobs.get(other_id)
             if (
                 other is not None
-                and self.engine.replica.needs.inherited_rank(other)
-                < self.engine.replica.needs.inherited_rank(job)
+                and self.engine.replica.dependencies.inherited_rank(other)
+                < self.engine.replica.dependencies.inherited_rank(job)
                 and any(
                     (room := self.engine.capacity_index.table.get(machine)) is not None
                     and allowed_on(job.spec, room)
@@ -232,7 +232,7 @@
     def release_shares(self) -> None:
         """Give up shares of teams' limits that more urgent jobs of others lack."""
         quota = self.engine.quota
-        for team in self.engine.replica.by_team:
+        for team in self.engine.replica.jobs_by_team:
             surplus = quota.surplus(team)
             if not surplus.some() or team in quota.writing:
                 continue
--- a/appledock/core/machines/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -161,7 +161,7 @@
         """Charge the room with what the records put there; how much of it the worker shows."""
         jobs = self.e.replica.jobs
         shown = 0
-        for job_id, attempts in self.e.replica.by_machine.get(worker.id, {}).items():
+        for job_id, attempts in self.e.replica.attempts_by_machine.get(worker.id, {}).items():
             spec = jobs[job_id].spec
             for attempt in attempts:
                 if attempt.session != room.session:
@@ -185,7 +185,7 @@
         """Is a task there that no record explains?"""
         known = {
             (f"{job_id}/{task}", attempt.number)
-            for job_id, attempts in self.e.replica.by_machine.get(worker.id, {}).items()
+            for job_id, attempts in self.e.replica.attempts_by_machine.get(worker.id, {}).items()
             for attempt in attempts
             for task in attempt.tasks
         }
--- a/appledock/core/membership/membership.py
+++ b/appledock/core/membership/membership.py
@@ -115,7 +115,7 @@
 
     def acting(self) -> bool:
         """Authority, and a picture that is complete up to the view."""
-        acts = self.authority() and self.engine.replica.synced
+        acts = self.authority() and self.engine.replica.has_reached_view()
         if not acts:
             self.acting_since = self.engine.now
         return acts
@@ -163,7 +163,7 @@
         """
         replica = self.engine.replica
         if (
-            replica.format[1] >= self.newest_format
+            replica.record_format.value >= self.newest_format
             or self.raising
             or self.engine.now < self.next_raise
             or not self.leader()
@@ -176,7 +176,7 @@
         plan = Transaction(
             {
                 **self.conditions(),
-                FORMAT: replica.format[0],
+                FORMAT: replica.record_format.version,
                 **{MEMBERS + node: member.version for node, member in replica.members.items()},
             },
             [Put(FORMAT, {"format": self.newest_format})],
@@ -416,7 +416,12 @@
     def _check_view(self) -> None:
         """Takes a new view when members and view differ, or a new term is needed."""
         view, now = self.view, self.engine.now
-        if view is None or self.changing or not self.member() or not self.engine.replica.synced:
+        if (
+            view is None
+            or self.changing
+            or not self.member()
+            or not self.engine.replica.has_reached_view()
+        ):
             return
         if self.node not in self.engine.replica.members:
             return
--- a/appledock/core/quota/quota.py
+++ b/appledock/core/quota/quota.py
@@ -173,7 +173,7 @@
         if shares is None:
             shares = {}
             replica = self.e.replica
-            for job_id in sorted(replica.by_team.get(team, ())):
+            for job_id in sorted(replica.jobs_by_team.get(team, ())):
                 job = replica.jobs[job_id]
                 amount = self.holds(job)
                 if amount.some():
@@ -214,7 +214,7 @@
         held = self.held_in_all(team)
         return any(
             not (held + need(replica.jobs[job_id].spec, 1)).fits(limit(limits))
-            for job_id in replica.by_team.get(team, set()) & replica.queued
+            for job_id in replica.jobs_by_team.get(team, set()) & replica.queued_jobs
         )
 
     # --- shares -----------------------------------------------------------
@@ -246,7 +246,9 @@
             limits = self.e.teams.get(name)
             if limits is None or not self.known(name):
                 return {}, NOTHING
-            jobs = [replica.jobs[j] for j in replica.by_team.get(name, set()) & replica.queued]
+            jobs = [
+                replica.jobs[j] for j in replica.jobs_by_team.get(name, set()) & replica.queued_jobs
+            ]
             # A job that fails everywhere keeps nothing from the others.
             jobs.sort(
                 key=lambda job: (job.failures >= c.FAILING, self.e.queue_order.urgency(job), job.id)
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -232,12 +232,12 @@
         worker = engine.workers.table.get(machine.name)
         if worker is None:
             return []
-        for job_id, attempts in engine.replica.by_machine.get(machine.name, {}).items():
+        for job_id, attempts in engine.replica.attempts_by_machine.get(machine.name, {}).items():
             job = engine.replica.jobs[job_id]
             free = (
                 self.planner.movable(job.spec)
                 and job.queued == 0
-                and not engine.replica.withdrawn(job_id)
+                and not engine.replica.is_cancelled(job_id)
                 and not engine.moves.rests(job_id)
                 and engine.moves.hears(engine.replica.job_owner(job))
             )
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -206,7 +206,7 @@
         if not engine.membership.acting() or order.term != engine.membership.term:
             return Outcome.STALE
         job = engine.replica.jobs.get(order.job)
-        if job is None or engine.replica.withdrawn(order.job):
+        if job is None or engine.replica.is_cancelled(order.job):
             return Outcome.JOB_OVER
         return None
 
@@ -228,7 +228,7 @@
         if refusal is not None:
             return refusal
         job = engine.replica.jobs[order.job]
-        if not engine.owns_job(job):
+        if not engine.replica.owns_job(engine.settings.name, job):
             return Outcome.NOT_OURS
         if not self.enabled:
             return Outcome.OFF
@@ -420,9 +420,9 @@
     def _over(self, under_way: UnderWay) -> Outcome | None:
         engine, order = self.engine, under_way.order
         job = engine.replica.jobs.get(order.job)
-        if job is None or engine.replica.withdrawn(order.job):
+        if job is None or engine.replica.is_cancelled(order.job):
             return Outcome.JOB_OVER
-        if not engine.owns_job(job):
+        if not engine.replica.owns_job(engine.settings.name, job):
             return Outcome.NOT_OURS
         if engine.now >= under_way.until:
             return Outcome.LATE
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -66,7 +66,7 @@
         team = job.spec.team
         if self.engine.quota.exhausted(team) or any(
             self.engine.reconcile_queue.pending_reasons.get(other) is PendingReason.TEAM_LIMIT
-            for other in self.engine.replica.by_team.get(team, ())
+            for other in self.engine.replica.jobs_by_team.get(team, ())
         ):
             return (
                 c.PROGRESS_SPARE_S
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -134,13 +134,13 @@
         result: list[Victim] = []
         if worker is None:
             return result
-        for other_id, attempts in self.e.replica.by_machine.get(room.machine, {}).items():
+        for other_id, attempts in self.e.replica.attempts_by_machine.get(room.machine, {}).items():
             other = self.e.replica.jobs[other_id]
             # A job that others need is spared as they are, but stops nobody for their sake:
             # wide early stages with the rank of the last one had 600 tasks stopped and
             # started again on one day, and the writes that this took were what lacked.
             if (
-                self.e.replica.needs.inherited_rank(other) >= job.spec.rank
+                self.e.replica.dependencies.inherited_rank(other) >= job.spec.rank
                 or other.cancelled
                 or other.spec.gang
             ):
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -33,7 +33,7 @@
 
         A job that others need has the highest rank of them, and their ends less what they take.
         """
-        rank, end = self.engine.replica.needs.pressing(job)
+        rank, end = self.engine.replica.dependencies.pressing(job)
         since = self.since(job)
         waited = self.engine.wall - since
         if waited > self.engine.objectives.aged(job.spec) and not job.attempts and not job.done:
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -48,17 +48,19 @@
             return
         replica = self.e.replica
         for worker in self.queue.changed_workers:
-            self.queue.jobs.update(replica.by_machine.get(worker, ()))
+            self.queue.jobs.update(replica.attempts_by_machine.get(worker, ()))
             self.settlement.machine_changed(worker)
         self.queue.changed_workers.clear()
         if self.e.now >= self.next_sweep:
             self.next_sweep = self.e.now + c.SWEEP_EVERY_S
             for job_id, open_job in replica.jobs.items():
-                if (open_job.attempts or replica.withdrawn(job_id)) and self.e.owns_job(open_job):
+                if (open_job.attempts or replica.is_cancelled(job_id)) and self.e.replica.owns_job(
+                    self.e.settings.name, open_job
+                ):
                     self.queue.jobs.add(job_id)
                     self.settlement.examine_all(job_id)
             self._watch_lost()
-            if replica.queued:
+            if replica.queued_jobs:
                 # Some reasons to wait end with time alone: a job handed to us may be
                 # handed on only after a while, and in a quiet cluster nothing else
                 # happened that would have made us look again.
@@ -75,7 +77,7 @@
             job = replica.jobs.get(job_id)
             if job is None:
                 self._clear(job_id)
-            elif self.e.owns_job(job):
+            elif self.e.replica.owns_job(self.e.settings.name, job):
                 self.handoff.note_mine(job)
                 self._settle(job)
             else:
@@ -105,7 +107,7 @@
                 (job.cancelled or attempt.stopping) and self._unseen(job, attempt)
                 for attempt in job.attempts
             )
-            if not waits or not self.e.owns_job(job):
+            if not waits or not self.e.replica.owns_job(self.e.settings.name, job):
                 self.lost_since.pop(job.id, None)
             elif self.e.now - self.lost_since.setdefault(job.id, self.e.now) > c.TERM_BUMP_AFTER_S:
                 self.e.membership.want_term = True
@@ -135,7 +137,7 @@
 
     def ask_to_stop(self, job: Job, machine: str, tasks: set[int]) -> None:
         """Stop tasks of anybody's job: its owner does it."""
-        if self.e.owns_job(job):
+        if self.e.replica.owns_job(self.e.settings.name, job):
             self.stop(job.id, machine, tasks)
         else:
             owner = self.e.replica.job_owner(job)
@@ -164,7 +166,7 @@
         if not self.writer.ready(job):
             # Those cancelled with another one too: refused once, their end was never
             # written, since nothing else happens to them.
-            if job.attempts or self.e.replica.withdrawn(job.id):
+            if job.attempts or self.e.replica.is_cancelled(job.id):
                 self.queue.deferred_jobs.add(job.id)
             return
         new = self.settlement.settled(job)
@@ -181,7 +183,7 @@
         self.queue.placement_due = True
         if over:
             # Other jobs can start only once this end is written.
-            needed = job.id in self.e.replica.needs.dependents
+            needed = job.id in self.e.replica.dependencies.dependents
             self.writer.commit(
                 job, self.settlement.apply(job), Priority.URGENT if needed else Priority.FINAL
             )
@@ -213,13 +215,13 @@
             job
             for job in (
                 replica.jobs[j]
-                for j in replica.queued.union(
+                for j in replica.queued_jobs.union(
                     j
                     for j in self.queue.capacity_freed_at
-                    if j in replica.jobs and j not in replica.needs.waiting
+                    if j in replica.jobs and j not in replica.dependencies.waiting
                 )
             )
-            if self.e.owns_job(job)
+            if self.e.replica.owns_job(self.e.settings.name, job)
         ]
         # Room that running tasks free comes by and by: gathered for a moment, it is
         # taken by one job in one step, not by each in one of its own.
@@ -242,7 +244,7 @@
                 self.queue.placement_due = True  # a step of another one took its write back
                 continue
             if full.covers(
-                job.spec, self.e.replica.needs.inherited_rank(job)
+                job.spec, self.e.replica.dependencies.inherited_rank(job)
             ) and not self.e.moves.moving(job.id):
                 # Like tasks are decided as a class: nothing this large fits now.
                 self.queue.pending_reasons[job.id] = PendingReason.NO_CAPACITY
@@ -251,7 +253,7 @@
                 not self._place(job, rooms, own)
                 and self.queue.pending_reasons.get(job.id) == PendingReason.NO_CAPACITY
             ):
-                full.add(job.spec, self.e.replica.needs.inherited_rank(job))
+                full.add(job.spec, self.e.replica.dependencies.inherited_rank(job))
 
     def _place(self, job: Job, rooms: list[MachineCapacity], own: list[MachineCapacity]) -> bool:
         """Request the job's next step, or hand it on; False if neither can be."""
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -18,6 +18,7 @@
 from appledock.core.records.capacity import CAPACITY, CapacityRecords
 from appledock.core.records.dependencies import Dependencies
 from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.versioned import Versioned
 from appledock.core.store.keys import CATALOGUE, FINAL, FORMAT, JOBS, MEMBERS, SETTINGS, TEAMS, VIEW
 
 log = logging.getLogger(__name__)
@@ -103,23 +104,23 @@
         self.revision = 0
         """the watch has delivered every change up to here"""
         self.jobs: dict[str, Job] = {}
-        self.finals: OrderedDict[str, str] = OrderedDict()
+        self.final_states: OrderedDict[str, str] = OrderedDict()
         self.teams: dict[str, Team] = {}
         self.members: dict[str, Member] = {}
         self.view: View | None = None
-        self.catalogue: tuple[int, list[Any]] = (0, [])
-        self.settings: tuple[int, dict[str, Any]] = (0, {})
-        self.by_machine: dict[str, dict[str, list[Attempt]]] = {}
+        self.catalogue: Versioned[list[Any]] = Versioned([])
+        self.stored_settings: Versioned[dict[str, Any]] = Versioned({})
+        self.attempts_by_machine: dict[str, dict[str, list[Attempt]]] = {}
         """machine -> job -> its unsettled attempts there"""
-        self.by_team: dict[str, set[str]] = {}
+        self.jobs_by_team: dict[str, set[str]] = {}
         """team -> its open jobs"""
-        self.cancelled: set[str] = set()
+        self.cancelled_jobs: set[str] = set()
         """open jobs that are cancelled"""
-        self.format: tuple[int, int] = (0, 1)
-        """version of the record, and the format of records that is in use"""
+        self.record_format = Versioned(1)
+        """format of stored records that all members write"""
         self.capacity = CapacityRecords()
-        self.needs = Dependencies()
-        self.queued: set[str] = set()
+        self.dependencies = Dependencies()
+        self.queued_jobs: set[str] = set()
         """open jobs with tasks that wait for a step, and for no other job"""
         self.marks: dict[str, int] = {}
         self.changed_jobs: set[str] = set()
@@ -133,9 +134,8 @@
         self._owners: dict[str, str] = {}
 
     # --- reading ----------------------------------------------------------
-    @property
-    def synced(self) -> bool:
-        """The picture includes all that was committed before the present view.
+    def has_reached_view(self) -> bool:
+        """Does the replica include all that was committed before the present view?
 
         Guards against a new owner that takes a running task for a stray because
         the step that launched it has not reached this controller yet.
@@ -156,6 +156,10 @@
             return job.handoff[0]
         return self.owner_of(job.id)
 
+    def owns_job(self, node: str, job: Job) -> bool:
+        """Does the controller own the job, by the newest view known?"""
+        return self.view is not None and self.job_owner(job) == node
+
     def team(self, name: str) -> Team:
         return self.teams.setdefault(name, Team())
 
@@ -174,11 +178,11 @@
         if key == VIEW:
             return max(known, self.view.version if self.view else 0)
         if key == CATALOGUE:
-            return max(known, self.catalogue[0])
+            return max(known, self.catalogue.version)
         if key == SETTINGS:
-            return max(known, self.settings[0])
+            return max(known, self.stored_settings.version)
         if key == FORMAT:
-            return max(known, self.format[0])
+            return max(known, self.record_format.version)
         if key.startswith(CAPACITY):
             return max(known, self.capacity.version(key))
         return known
@@ -224,13 +228,15 @@
             self._owners.clear()
             self.view_changed = True
         elif key == CATALOGUE:
-            self.catalogue = (version, list(value["types"]))
+            self.catalogue = Versioned(list(value["types"]), version)
         elif key == SETTINGS:
-            self.settings = (version, dict(value))
+            self.stored_settings = Versioned(dict(value), version)
             self.settings_changed = True
         elif key == FORMAT:
             # Never back: records of the newer format may be there.
-            self.format = (version, max(self.format[1], int(value["format"])))
+            self.record_format = Versioned(
+                max(self.record_format.value, int(value["format"])), version
+            )
         elif key.startswith(CAPACITY):
             self.capacity.put(key, value, version)
 
@@ -246,21 +252,21 @@
             self.members.pop(key[len(MEMBERS) :], None)
             self.members_changed = True
         elif key == SETTINGS:
-            self.settings = (0, {})
+            self.stored_settings = Versioned({})
             self.settings_changed = True
         elif key.startswith(CAPACITY):
             self.capacity.drop(key)
 
     def add_final(self, job: str, state: str) -> None:
-        self.finals[job] = state
-        if len(self.finals) > c.FINAL_CACHE:
-            self.finals.popitem(last=False)
-        self.needs.final(job, state)
+        self.final_states[job] = state
+        if len(self.final_states) > c.FINAL_CACHE:
+            self.final_states.popitem(last=False)
+        self.dependencies.final(job, state)
         self._follow_needs()
 
     def _follow_needs(self) -> None:
         """Jobs that became ready, or are cancelled with one that they need."""
-        changed, self.needs.changed = self.needs.changed, set()
+        changed, self.dependencies.changed = self.dependencies.changed, set()
         for job_id in changed:
             job = self.jobs.get(job_id)
             if job is not None:
@@ -269,14 +275,14 @@
                 self.changed_teams.add(job.spec.team)
 
     def _queue(self, job: Job) -> None:
-        if job.queued > 0 and job.id not in self.needs.waiting:
-            self.queued.add(job.id)
+        if job.queued > 0 and job.id not in self.dependencies.waiting:
+            self.queued_jobs.add(job.id)
         else:
-            self.queued.discard(job.id)
+            self.queued_jobs.discard(job.id)
 
-    def withdrawn(self, job_id: str) -> bool:
+    def is_cancelled(self, job_id: str) -> bool:
         """Is the open job cancelled, by its user or with one that it needs?"""
-        return job_id in self.cancelled or job_id in self.needs.doomed
+        return job_id in self.cancelled_jobs or job_id in self.dependencies.doomed
 
     def set_job(self, job: Job) -> None:
         """A record that this controller has just committed."""
@@ -288,11 +294,11 @@
         self.jobs[job.id] = job
         job.seal()
         self._index(old, job)
-        self.by_team.setdefault(job.spec.team, set()).add(job.id)
-        self.needs.job(job, self.jobs, self.finals)
+        self.jobs_by_team.setdefault(job.spec.team, set()).add(job.id)
+        self.dependencies.job(job, self.jobs, self.final_states)
         self._queue(job)
         if job.cancelled:
-            self.cancelled.add(job.id)
+            self.cancelled_jobs.add(job.id)
         self.changed_jobs.add(job.id)
         self.changed_teams.add(job.spec.team)
         self._follow_needs()
@@ -305,30 +311,30 @@
         job_id = (new or old).id  # type: ignore[union-attr]
         all_over = old is not None and new is not None and old.cancelled != new.cancelled
         for machine, attempts in after.items():
-            self.by_machine.setdefault(machine, {})[job_id] = attempts
+            self.attempts_by_machine.setdefault(machine, {})[job_id] = attempts
             if all_over or before.get(machine) != attempts:
                 self.changed_machines.add(machine)
         for machine in before.keys() - after.keys():
             self.changed_machines.add(machine)
-            jobs = self.by_machine.get(machine)
+            jobs = self.attempts_by_machine.get(machine)
             if jobs is not None:
                 jobs.pop(job_id, None)
                 if not jobs:
-                    del self.by_machine[machine]
+                    del self.attempts_by_machine[machine]
 
     def _forget_job(self, job_id: str) -> None:
         job = self.jobs.pop(job_id, None)
         if job is not None:
             self._index(job, None)
-            self.queued.discard(job_id)
-            self.cancelled.discard(job_id)
-            self.needs.dropped(job_id)
+            self.queued_jobs.discard(job_id)
+            self.cancelled_jobs.discard(job_id)
+            self.dependencies.dropped(job_id)
             self.changed_teams.add(job.spec.team)
-            team = self.by_team.get(job.spec.team)
+            team = self.jobs_by_team.get(job.spec.team)
             if team is not None:
                 team.discard(job_id)
                 if not team:
-                    del self.by_team[job.spec.team]
+                    del self.jobs_by_team[job.spec.team]
             self.changed_jobs.add(job_id)
 
     def load(self, rows: list[Any], revision: int) -> None:
--- a/appledock/core/workers/commands.py
+++ b/appledock/core/workers/commands.py
@@ -52,7 +52,7 @@
         session = worker.session
         replica = self.engine.replica
         recorded = {}
-        for job_id, attempts in sorted(replica.by_machine.get(worker.id, {}).items()):
+        for job_id, attempts in sorted(replica.attempts_by_machine.get(worker.id, {}).items()):
             job = replica.jobs[job_id]
             for attempt in attempts:
                 if attempt.session == session:
--- a/appledock/core/workers/gossip.py
+++ b/appledock/core/workers/gossip.py
@@ -123,7 +123,7 @@
 
         The first message may have been lost with its link.
         """
-        waiting = self.engine.replica.by_machine
+        waiting = self.engine.replica.attempts_by_machine
         gone = [machine for machine in waiting if machine in self.workers.gone]
         if gone:
             self._send_gone(gone)
--- a/appledock/core/workers/liveness.py
+++ b/appledock/core/workers/liveness.py
@@ -31,7 +31,7 @@
         """Find the sessions that have lapsed, and ask workers that are quiet."""
         lease_s = self.engine.settings.cluster.workers.lease_s
         lease_s = lease_s * (1 + c.CLOCK_DRIFT) + c.LAPSE_MARGIN_S
-        for machine in list(self.engine.replica.by_machine):
+        for machine in list(self.engine.replica.attempts_by_machine):
             worker = self.workers.get(machine)
             if machine not in self.workers.gone:
                 self._check_lease(worker, lease_s)
@@ -57,7 +57,7 @@
         self.gossip.announce_lapsed(worker.id, session)
 
     def _newest_recorded_session(self, machine: str) -> int:
-        attempts = self.engine.replica.by_machine[machine].values()
+        attempts = self.engine.replica.attempts_by_machine[machine].values()
         return max((attempt.session for row in attempts for attempt in row), default=0)
 
     # --- direct questions -------------------------------------------------
@@ -75,9 +75,9 @@
         """Does a job of ours have an open attempt in the worker's session?"""
         engine = self.engine
         return any(
-            engine.owns_job(engine.replica.jobs[job_id])
+            engine.replica.owns_job(engine.settings.name, engine.replica.jobs[job_id])
             and any(attempt.session > worker.lapsed for attempt in attempts)
-            for job_id, attempts in engine.replica.by_machine.get(worker.id, {}).items()
+            for job_id, attempts in engine.replica.attempts_by_machine.get(worker.id, {}).items()
         )
 
     def show(self, worker: Worker) -> None:
--- a/appledock/core/workers/table.py
+++ b/appledock/core/workers/table.py
@@ -60,5 +60,5 @@
                 self.engine.rebalancer.speeds.forget(machine)
         if len(self.gone) > c.GONE_MAX:
             for machine in sorted(self.gone, key=self.gone.__getitem__)[: c.GONE_MAX // 2]:
-                if machine not in self.engine.replica.by_machine:
+                if machine not in self.engine.replica.attempts_by_machine:
                     del self.gone[machine]
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -307,7 +307,7 @@
         replica.put(key, value, 7)
         kind, _, name = key.removeprefix(self.key_prefix("LIVE")).partition("/")
         if key.startswith(self.key_prefix("FINAL")):
-            return {"state": replica.finals[key.removeprefix(self.key_prefix("FINAL"))]}
+            return {"state": self.final_states(replica)[key.removeprefix(self.key_prefix("FINAL"))]}
         if kind == "jobs":
             return self._plain(self.encode_job(replica.jobs[name], format_))
         if kind == "teams":
@@ -316,13 +316,19 @@
             return self.member_record(replica.members[name])
         if kind == "view":
             return self._plain(replica.view.encode())
-        return self._plain(
-            {
-                "catalogue": {"types": replica.catalogue[1]},
-                "settings": replica.settings[1],
-                "format": {"format": replica.format[1]},
-            }[kind]
-        )
+        return self._plain(self.single_record(replica, kind))
+
+    def final_states(self, replica: Any) -> Any:
+        """Job -> how it ended."""
+        return replica.finals
+
+    def single_record(self, replica: Any, kind: str) -> Any:
+        """The value of a record of which there is one."""
+        return {
+            "catalogue": {"types": replica.catalogue[1]},
+            "settings": replica.settings[1],
+            "format": {"format": replica.format[1]},
+        }[kind]
 
     def encode_job(self, job: Any, format_: int) -> Any:
         return job.encode(format_)
@@ -434,6 +440,12 @@
     def healthy(self, controller: Any) -> bool:
         return bool(controller.health.is_healthy())
 
+    def queue_length(self, controller: Any) -> int:
+        return len(controller.replica.queued_jobs)
+
+    def format_in_use(self, controller: Any) -> int:
+        return int(controller.replica.record_format.value)
+
     def shares_in_force(self, controller: Any) -> bool:
         return bool(controller.partitions.in_force())
 
@@ -462,6 +474,16 @@
     def key_prefix(self, name: str) -> str:
         return str(getattr(self.keys, name))
 
+    def final_states(self, replica: Any) -> Any:
+        return replica.final_states
+
+    def single_record(self, replica: Any, kind: str) -> Any:
+        return {
+            "catalogue": {"types": replica.catalogue.value},
+            "settings": replica.stored_settings.value,
+            "format": {"format": replica.record_format.value},
+        }[kind]
+
 
 @cache
 def present() -> Code:
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -97,7 +97,7 @@
         for queue in e.client.limiter.queues:
             queue.clear()
         if puts:
-            version = e.replica.catalogue[0] + 1
+            version = e.replica.catalogue.version + 1
             e.replica.put(CATALOGUE, json.loads(wire.encode(puts[0].value)), version)
         return bool(puts)
 
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -537,7 +537,7 @@
     world.job(1, "red", tasks=2)
     world.clock.run(40.0)
     assert not any(key.startswith(CAPACITY) for key in world.state.rows)
-    assert all(node.engine.replica.format[1] == 2 for node in world.nodes.values())
+    assert all(node.engine.replica.record_format.value == 2 for node in world.nodes.values())
     rooms = [
         room for node in world.nodes.values() for room in node.engine.capacity_index.table.values()
     ]
@@ -625,7 +625,7 @@
     assert world.mixed == [] and world.judge.broken == [] and world.unfinished() == []
 
     def hasty(self: CapacityShares) -> bool:
-        return self.enabled and self.engine.replica.format[1] >= c.CAPACITY_FORMAT
+        return self.enabled and self.engine.replica.record_format.value >= c.CAPACITY_FORMAT
 
     monkeypatch.setattr(CapacityShares, "in_force", hasty)
     assert unaware(1, monkeypatch).mixed
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -100,12 +100,12 @@
         """Settle and place tasks of a job of ours, perhaps handing it on."""
         e, rng = self.engines[name], self.rng
         view = e.replica.view
-        if view is None or name not in view.members or not e.replica.synced:
+        if view is None or name not in view.members or not e.replica.has_reached_view():
             return
         mine = [
             job
             for job in e.replica.jobs.values()
-            if e.owns_job(job) and (name, job.id) not in self.busy
+            if e.replica.owns_job(e.settings.name, job) and (name, job.id) not in self.busy
         ]
         if not mine:
             return
@@ -134,7 +134,7 @@
     def release(self, name: str) -> None:
         e = self.engines[name]
         view = e.replica.view
-        if view is not None and name in view.members and e.replica.synced:
+        if view is not None and name in view.members and e.replica.has_reached_view():
             surplus = e.quota.surplus("red")
             if surplus.some() and "red" not in e.quota.writing:
                 self._send(name, None, None, e.quota.lower("red", surplus))
