--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -12,7 +12,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.machines.machine_capacity import type_fits
+from appledock.core.machines.machine_capacity import can_run_on_type
 from appledock.core.records.job import Attempt, Job
 
 if TYPE_CHECKING:
@@ -49,7 +49,9 @@
 
     def _due(self, job: Job) -> bool:
         boots = [
-            kind.boot_s for kind in self.engine.machine_types.values() if type_fits(job.spec, kind)
+            kind.boot_s
+            for kind in self.engine.machine_types.values()
+            if can_run_on_type(job.spec, kind)
         ]
         return bool(boots) and self.ready_in(job) <= min(boots) * c.AHEAD_SHARE
 
@@ -79,7 +81,7 @@
         entry = worker.tasks.get(key)
         if entry is not None and entry.state == wire.EXITED:
             return 0.0
-        since = worker.since.get(key)
+        since = worker.status.running_since.get(key)
         if since is None:
             return job.spec.estimate_s
         return left_by_estimate_s(job.spec, self.engine.now - since)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -94,7 +94,7 @@
 
 
 def test_machines_taken_whatever_the_job_allows(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(placement, "allowed_on", lambda spec, room: True)
+    monkeypatch.setattr(placement, "is_allowed_on", lambda spec, room: True)
     assert "wrong_place" in kinds(range(10))
 
 
@@ -111,10 +111,10 @@
 def test_cancelled_jobs_that_are_never_halted(monkeypatch: Patch) -> None:
     """Owners that halt nothing are not enough to break the rule: whoever sees a task of a
     cancelled job halts it. Without that, machines go; without that too, the judge notices."""
-    commands = Workers.commands
+    commands = Workers.commands_for
     monkeypatch.setattr(
         Workers,
-        "commands",
+        "commands_for",
         lambda self, worker, direct: [
             x for x in commands(self, worker, direct) if x.op != wire.HALT
         ],
