--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -74,7 +74,7 @@
 
     def final_state(self, job: Job) -> str | None:
         """Say how the job has ended, if it has."""
-        if job.cancelled or job.id in self.engine.replica.dependencies.cancelled_by_dependency:
+        if job.cancelled or job.id in self.engine.replica.dependencies.doomed:
             return wire.CANCELLED if not job.attempts else None
         if not job.spec.service and len(job.completed_tasks) == job.spec.tasks:
             return wire.DONE
@@ -238,7 +238,7 @@
     def release_unused_allocations(self) -> None:
         """Give up shares of teams' limits that more urgent jobs of others lack."""
         quota = self.engine.quota
-        for team in self.engine.replica.by_team:
+        for team in self.engine.replica.jobs_by_team:
             surplus = quota.surplus(team)
             if not surplus.some() or team in quota.writing:
                 continue
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -137,7 +137,7 @@
         result: list[Victim] = []
         if worker is None:
             return result
-        for other_id, attempts in self.e.replica.by_machine.get(room.name, {}).items():
+        for other_id, attempts in self.e.replica.attempts_by_machine.get(room.name, {}).items():
             other = self.e.replica.jobs[other_id]
             # A job that others need is spared as they are, but stops nobody for their sake:
             # wide early stages with the rank of the last one had 600 tasks stopped and
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -49,17 +49,19 @@
             return
         replica = self.e.replica
         for worker in self.queue.changed_workers:
-            self.queue.jobs.update(replica.by_machine.get(worker, ()))
+            self.queue.jobs.update(replica.attempts_by_machine.get(worker, ()))
             self.settlement.on_machine_changed(worker)
         self.queue.changed_workers.clear()
         if self.e.now >= self.next_sweep:
             self.next_sweep = self.e.now + c.SWEEP_EVERY_S
             for job_id, open_job in replica.jobs.items():
-                if (open_job.attempts or replica.withdrawn(job_id)) and self.e.owns_job(open_job):
+                if (open_job.attempts or replica.is_cancelled(job_id)) and self.e.replica.owns_job(
+                    self.e.settings.name, open_job
+                ):
                     self.queue.jobs.add(job_id)
                     self.settlement.examine_all(job_id)
             self._watch_lost()
-            if replica.queued:
+            if replica.queued_jobs:
                 # Some reasons to wait end with time alone: a job handed to us may be
                 # handed on only after a while, and in a quiet cluster nothing else
                 # happened that would have made us look again.
@@ -76,7 +78,7 @@
             job = replica.jobs.get(job_id)
             if job is None:
                 self._clear(job_id)
-            elif self.e.owns_job(job):
+            elif self.e.replica.owns_job(self.e.settings.name, job):
                 self.handoff.on_job_owned(job)
                 self._settle(job)
             else:
@@ -106,7 +108,7 @@
                 (job.cancelled or attempt.stopping) and self._unseen(job, attempt)
                 for attempt in job.attempts
             )
-            if not waits or not self.e.owns_job(job):
+            if not waits or not self.e.replica.owns_job(self.e.settings.name, job):
                 self.lost_since.pop(job.id, None)
             elif self.e.now - self.lost_since.setdefault(job.id, self.e.now) > c.TERM_BUMP_AFTER_S:
                 self.e.membership.want_term = True
@@ -137,7 +139,7 @@
 
     def ask_to_stop(self, job: Job, machine: str, tasks: set[int]) -> None:
         """Stop tasks of anybody's job: its owner does it."""
-        if self.e.owns_job(job):
+        if self.e.replica.owns_job(self.e.settings.name, job):
             self.stop(job.id, machine, tasks)
         else:
             owner = self.e.replica.job_owner(job)
@@ -173,7 +175,7 @@
         if not self.writer.can_write(job):
             # Those cancelled with another one too: refused once, their end was never
             # written, since nothing else happens to them.
-            if job.attempts or self.e.replica.withdrawn(job.id):
+            if job.attempts or self.e.replica.is_cancelled(job.id):
                 self.queue.deferred_jobs.add(job.id)
             return
         new = self.settlement.without_settled_attempts(job)
@@ -230,13 +232,13 @@
             job
             for job in (
                 replica.jobs[j]
-                for j in replica.queued.union(
+                for j in replica.queued_jobs.union(
                     j
                     for j in self.queue.capacity_freed_at
-                    if j in replica.jobs and j not in replica.dependencies.waiting_jobs
+                    if j in replica.jobs and j not in replica.dependencies.waiting
                 )
             )
-            if self.e.owns_job(job)
+            if self.e.replica.owns_job(self.e.settings.name, job)
         ]
         # Room that running tasks free comes by and by: gathered for a moment, it is
         # taken by one job in one step, not by each in one of its own.
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,7 +13,6 @@
 from appledock import wire
 from appledock.core.fleet import MachineKind
 from appledock.core.fleet.model import BootingMachine
-from appledock.core.jobs.reconcile_queue import PendingReason
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.messages import Heartbeat
 from appledock.core.quota import quota
@@ -541,7 +540,7 @@
     e = engine()
     e.wall = 1000.0
     young = Job(spec(id="job-000001", sail_s=500.0), 1000.0 - 5, 1)
-    passed = Job(spec(id="job-000002", crates=9, sail_s=500.0), 1000.0 - 70, 1, steps=3)
+    passed = Job(spec(id="job-000002", crates=9, sail_s=500.0), 1000.0 - 70, 1, last_step=3)
     assert e.queue_order.sort_key(passed) < e.queue_order.sort_key(young)
     passed.completed_tasks.add(0)
     assert e.queue_order.sort_key(passed) > e.queue_order.sort_key(young)
