--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -30,7 +30,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
 from appledock.core.scheduling.moves import Moves
-from appledock.core.scheduling.objectives import Objectives
+from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.pacing import Pacing
 from appledock.core.scheduling.preemption import Preemption
 from appledock.core.scheduling.queue_order import QueueOrder
@@ -60,7 +60,7 @@
         self.machine_types: dict[str, wire.MachineType] = {}
         """name -> machine type that the cloud offers; one object for all parts"""
         self.reconcile_queue = ReconcileQueue()
-        self.objectives = Objectives(settings.cluster.objectives)
+        self.objectives = ServiceLevelObjectives(settings.cluster.objectives)
         self.client = StoreClient(self.runtime)
         self.replica = Replica()
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
@@ -73,12 +73,19 @@
         self.partitions = CapacityShares(self, capacity)
         self.moves = Moves(self)
         self.quota = Quota(self)
-        self.queue_order = QueueOrder(self)
+        self.queue_order = QueueOrder(self.runtime, self.replica, self.quota, self.objectives)
         self.settlement = Settlement(self)
         self.preemption = Preemption(self)
         self.job_writer = JobWriter(self)
-        self.handoff = HandOff(self)
-        self.pacing = Pacing(self)
+        self.handoff = HandOff(self.runtime, self.replica)
+        self.pacing = Pacing(
+            self.runtime,
+            self.client.limiter,
+            self.replica,
+            self.quota,
+            self.reconcile_queue,
+            self.heartbeats.others_pressed,
+        )
         self.reconciler = Reconciler(self)
         self.cancellation = CancellationEnforcer(self)
         self.fleet = Fleet(self)
--- a/appledock/core/scheduling/objectives.py
+++ b/appledock/core/scheduling/objectives.py
@@ -1,63 +1,90 @@
-"""What the platform's objectives ask of the order in which jobs are served."""
+"""Service-level objectives: the limits on waiting and completion that order the queue."""
 
 from __future__ import annotations
 
+import enum
 import logging
 from collections.abc import Iterable
 
-from appledock import constants as c
-from appledock import wire
+from appledock import constants, wire
 from appledock.settings import Objective
 
 log = logging.getLogger(__name__)
 
-KNOWN = frozenset({"wait", "deadline", "finished", "guarantee"})
+LimitsByClass = dict[str | None, set[float]]
+"""class of jobs -> limits; None: those of objectives that hold for every class"""
 
 
-class Objectives:
-    """Limits by class of jobs; an objective without a class is for all of them."""
+class ObjectiveKind(enum.StrEnum):
+    """What an objective limits; the values are those of the settings file."""
+
+    WAIT = "wait"
+    """time from submission to the start"""
+    DEADLINE = "deadline"
+    """completion, as a multiple of the job's own deadline"""
+    FINISHED = "finished"
+    """time from submission to completion"""
+    GUARANTEE = "guarantee"
+    """that teams get their guaranteed quota; it does not order the queue"""
+
+
+class ServiceLevelObjectives:
+    """Limits by class of jobs; an objective without a class holds for all of them."""
 
     def __init__(self, objectives: Iterable[Objective]) -> None:
-        self.times: dict[str | None, set[float]] = {}
-        """class -> multiples of the deadline that an objective names"""
-        self.finished: dict[str | None, set[float]] = {}
-        """class -> s, from submission to the end"""
-        self.wait: dict[str | None, set[float]] = {}
-        """class -> s, from submission to the start"""
+        self._deadline_factors: LimitsByClass = {}
+        """multiples of a job's own deadline"""
+        self._finish_limits_s: LimitsByClass = {}
+        self._wait_limits_s: LimitsByClass = {}
         for objective in objectives:
-            name = objective.job_class
-            if objective.kind == "deadline" and objective.times:
-                self.times.setdefault(name, set()).add(objective.times)
-            elif objective.kind == "finished" and objective.within_s:
-                self.finished.setdefault(name, set()).add(objective.within_s)
-            elif objective.kind == "wait" and objective.within_s:
-                self.wait.setdefault(name, set()).add(objective.within_s)
-            elif objective.kind not in KNOWN:
-                log.info("an objective of kind %s is not known and ignored", objective.kind)
-
-    @staticmethod
-    def _of(table: dict[str | None, set[float]], job_class: str) -> set[float]:
-        return table.get(job_class, set()) | table.get(None, set())
+            self._add(objective)
+
+    def _add(self, objective: Objective) -> None:
+        match objective.kind:
+            case ObjectiveKind.DEADLINE:
+                _add_limit(self._deadline_factors, objective.job_class, objective.times)
+            case ObjectiveKind.FINISHED:
+                _add_limit(self._finish_limits_s, objective.job_class, objective.within_s)
+            case ObjectiveKind.WAIT:
+                _add_limit(self._wait_limits_s, objective.job_class, objective.within_s)
+            case ObjectiveKind.GUARANTEE:
+                pass
+            case unknown:
+                log.info("objective ignored: unknown_kind=%s", unknown)
 
     def finish_limits_s(self, spec: wire.JobSpec) -> list[float]:
-        """Seconds by which it should be over from when it can start, one for each objective."""
-        return sorted(self._of(self.finished, spec.job_class))
+        """Seconds from when the job could start until it should be complete, ascending."""
+        return sorted(_limits_of(self._finish_limits_s, spec.job_class))
 
     def deadline_limits_s(self, spec: wire.JobSpec) -> list[float]:
-        """Seconds from submission by which it should be over, one for each objective."""
+        """Seconds from submission until the job should be complete, ascending.
+
+        The job's own deadline where no objective names a multiple of it; empty for a job
+        without a deadline.
+        """
         if spec.deadline_s is None:
             return []
-        return sorted(
-            spec.deadline_s * times for times in self._of(self.times, spec.job_class) or {1.0}
-        )
+        factors = _limits_of(self._deadline_factors, spec.job_class) or {1.0}
+        return sorted(spec.deadline_s * factor for factor in factors)
 
     def has_wait_limit(self, spec: wire.JobSpec) -> bool:
         """Does an objective limit how long a job of the class waits for its start?"""
-        return bool(self._of(self.wait, spec.job_class))
+        return bool(_limits_of(self._wait_limits_s, spec.job_class))
 
     def ageing_threshold_s(self, spec: wire.JobSpec) -> float:
         """Seconds of waiting after which a job that has not begun comes first in its rank."""
-        limits = self._of(self.wait, spec.job_class)
-        if not limits or spec.service:
-            return c.AGED_S
-        return min(c.OVERDUE_S, c.AGED_SHARE * min(limits))
+        limits_s = _limits_of(self._wait_limits_s, spec.job_class)
+        if not limits_s or spec.service:
+            return constants.AGED_S
+        return min(constants.OVERDUE_S, constants.AGED_SHARE * min(limits_s))
+
+
+def _add_limit(table: LimitsByClass, job_class: str | None, limit: float | None) -> None:
+    """Add the limit that an objective names, if it names one."""
+    if limit:
+        table.setdefault(job_class, set()).add(limit)
+
+
+def _limits_of(table: LimitsByClass, job_class: str) -> set[float]:
+    """Return the limits that hold for a class, those for every class included."""
+    return table.get(job_class, set()) | table.get(None, set())
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -1,90 +1,115 @@
-"""How often steps are placed and finished tasks recorded, by what writes are left."""
+"""How often steps are placed and completions recorded, by the store's writes that are left."""
 
 from __future__ import annotations
 
 import math
-from typing import TYPE_CHECKING
+from collections.abc import Callable
 
-from appledock import constants as c
-from appledock.core.jobs.reconcile_queue import PendingReason
+from appledock import constants
+from appledock.core.jobs.reconcile_queue import PendingReason, ReconcileQueue
+from appledock.core.quota.quota import Quota
 from appledock.core.records.job import Job
-from appledock.core.store.rate_limiter import Priority
-
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
+from appledock.core.runtime import Runtime
+from appledock.core.store.rate_limiter import Priority, StoreRateLimiter
+from appledock.core.store.replica import Replica
 
 
 class Pacing:
-    """Spends the state service's writes where they are felt most."""
-
-    def __init__(self, engine: Controller) -> None:
-        self.engine = engine
-        self.batching_since: dict[str, float] = {}
-        """array -> since when it waits for room for a larger step"""
-        self.deferred_since = math.inf
-        """since when arrays wait for the writes of users and services"""
+    """Spends the rate limit of the key-value store where users notice it most.
+
+    Batching windows collect free capacity, so that a job takes it in one step and one write
+    in place of many small ones.
+    """
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        limiter: StoreRateLimiter,
+        replica: Replica,
+        quota: Quota,
+        reconcile_queue: ReconcileQueue,
+        is_peer_rate_limited: Callable[[], bool],
+    ) -> None:
+        self._runtime = runtime
+        self._limiter = limiter
+        self._replica = replica
+        self._quota = quota
+        self._reconcile_queue = reconcile_queue
+        self._is_peer_rate_limited = is_peer_rate_limited
+        """do services of another controller wait for the store's rate limit?"""
+        self._batching_since: dict[str, float] = {}
+        """job -> since when it waits for capacity for a larger step"""
+        self._deferred_since = math.inf
+        """since when batch jobs wait for the writes of users and services"""
 
     def forget(self, job_id: str) -> None:
-        """The job is over, or its step is under way."""
-        self.batching_since.pop(job_id, None)
+        """End the job's batching window: it is over, or its step is under way."""
+        self._batching_since.pop(job_id, None)
 
     def is_step_rate_limited(self) -> bool:
-        """Do steps wait for the state service's limit?"""
-        return self.engine.client.limiter.waiting(Priority.STEP) > c.CROWDED
+        """Do steps wait for the store's rate limit?"""
+        return self._limiter.waiting(Priority.STEP) > constants.CROWDED
 
     def is_service_rate_limited(self) -> bool:
-        """Do services wait for the state service's limit?
+        """Do steps of services wait for the store's rate limit?
 
-        Then passing one on for an image costs others more than it saves: two writes instead
-        of one.
+        Then handing one off for image locality costs others more than it saves: two writes
+        in place of one.
         """
-        return self.engine.client.limiter.waiting(Priority.URGENT) > c.CROWDED
+        return self._limiter.waiting(Priority.URGENT) > constants.CROWDED
 
     def batching_window_s(self) -> float:
-        """Seconds until arrays are placed again."""
+        """Seconds until batch jobs are placed again."""
         if self.is_step_rate_limited():
-            return c.GATHER_CROWDED_S
-        return c.GATHER_SPARE_S if self.engine.client.limiter.spare_writes() else c.GATHER_S
+            return constants.GATHER_CROWDED_S
+        if self._limiter.spare_writes():
+            return constants.GATHER_SPARE_S
+        return constants.GATHER_S
 
     def should_defer_batch_jobs(self) -> bool:
-        """Must arrays wait, for a while, until users and services have got their writes?
+        """Must batch jobs wait until users and services have got their writes?
 
-        Ours, or those of another controller: steps of arrays would only keep room and writes
-        from them.
+        Those of this controller or of another one: steps of batch jobs would only keep
+        capacity and writes from them. At most for `HOLD_BACK_S` at a time.
         """
-        if not self.is_service_rate_limited() and not self.engine.heartbeats.others_pressed():
-            self.deferred_since = math.inf
+        if not self.is_service_rate_limited() and not self._is_peer_rate_limited():
+            self._deferred_since = math.inf
             return False
-        self.deferred_since = min(self.deferred_since, self.engine.now)
-        if self.engine.now - self.deferred_since < c.HOLD_BACK_S:
+        now = self._runtime.now
+        self._deferred_since = min(self._deferred_since, now)
+        if now - self._deferred_since < constants.HOLD_BACK_S:
             return True
-        self.deferred_since = self.engine.now
+        self._deferred_since = now
         return False
 
     def progress_interval_s(self, job: Job) -> float:
-        """Seconds between two lists of finished tasks of the job."""
-        team = job.spec.team
-        if self.engine.quota.exhausted(team) or any(
-            self.engine.reconcile_queue.pending_reasons.get(other) is PendingReason.TEAM_LIMIT
-            for other in self.engine.replica.by_team.get(team, ())
-        ):
-            return (
-                c.PROGRESS_SPARE_S
-                if self.engine.client.limiter.spare_writes()
-                else c.PROGRESS_EVERY_S
-            )
-        return c.PROGRESS_CROWDED_S if self.is_step_rate_limited() else c.PROGRESS_RELAXED_S
-
-    def should_batch(self, job: Job, rest: Job, tasks: int) -> bool:
-        """Does the array wait for more room, for a bounded time?
-
-        So it does if writes lack and the step would be a small one.
+        """Least seconds between two writes that only record completed tasks of the job."""
+        if self._is_team_limited(job.spec.team):
+            # Each completion that is recorded lets a task of the team start.
+            if self._limiter.spare_writes():
+                return constants.PROGRESS_SPARE_S
+            return constants.PROGRESS_EVERY_S
+        if self.is_step_rate_limited():
+            return constants.PROGRESS_CROWDED_S
+        return constants.PROGRESS_RELAXED_S
+
+    def _is_team_limited(self, team: str) -> bool:
+        """Is the team's limit, and not capacity, what a queued task of it waits for?"""
+        reasons = self._reconcile_queue.pending_reasons
+        return self._quota.exhausted(team) or any(
+            reasons.get(job_id) is PendingReason.TEAM_LIMIT
+            for job_id in self._replica.by_team.get(team, ())
+        )
+
+    def should_batch(self, job: Job, unsettled: Job, tasks: int) -> bool:
+        """Does a step of `tasks` tasks wait for more capacity, for a bounded time?
+
+        It does while writes are scarce, if it is small. `unsettled` is the job without its
+        settled attempts.
         """
         if job.spec.service or job.spec.gang or not self.is_step_rate_limited():
             return False
-        if tasks >= min(rest.queued, c.GATHER_TASKS):
+        if tasks >= min(unsettled.queued, constants.GATHER_TASKS):
             return False
-        return (
-            self.engine.now - self.batching_since.setdefault(job.id, self.engine.now)
-            < c.GATHER_STEP_S
-        )
+        now = self._runtime.now
+        return now - self._batching_since.setdefault(job.id, now) < constants.GATHER_STEP_S
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -306,7 +306,7 @@
             used[room.zone] = used.get(room.zone, 0) + number
         handoff = None
         if left and not ours:
-            handoff = self.handoff.choose_target(job, rooms, left, job.spec.gang, used)
+            handoff = self.handoff.choose_target(job, rooms, left, used)
         if (
             placed
             and handoff is None
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,12 +13,13 @@
 from appledock import wire
 from appledock.core.fleet import MachineKind
 from appledock.core.fleet.model import BootingMachine
+from appledock.core.jobs.reconcile_queue import PendingReason
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.messages import Heartbeat
 from appledock.core.quota import quota
 from appledock.core.records.job import Attempt, Job, decode
 from appledock.core.scheduling import placement, preemption
-from appledock.core.scheduling.objectives import Objectives
+from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.placement import Sampling
 from appledock.core.store.keys import JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
@@ -510,7 +511,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
-    objectives = Objectives(
+    objectives = ServiceLevelObjectives(
         [
             Objective("deadline", "seal", times=1.5),
             Objective("deadline", "seal", times=1.0),
@@ -581,12 +582,12 @@
     e.replica.set_job(one)
     e.replica.set_job(other)
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_RELAXED_S
-    e.reconcile_queue.pending_reasons["job-000002"] = "team limit"
+    e.reconcile_queue.pending_reasons["job-000002"] = PendingReason.TEAM_LIMIT
     e.client.limiter.writes.level = 0.0
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_EVERY_S
     e.client.limiter.writes.level = e.client.limiter.writes.rate
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_SPARE_S  # nobody lacks these writes
-    e.reconcile_queue.pending_reasons["job-000002"] = "no room"
+    e.reconcile_queue.pending_reasons["job-000002"] = PendingReason.NO_CAPACITY
     for _ in range(c.CROWDED + 1):
         e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_CROWDED_S
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -87,9 +87,9 @@
     rooms = [room("m1", 4, "b"), room("m2", 2, "b"), room("m3", 1, "a")]
     rooms[0].owner, rooms[1].owner, rooms[2].owner = "n1", "n1", "n2"
     last = Job(spec(crates=5, memory_gb=0.0, together=True), 0.0, 3)
-    assert e.handoff.choose_target(last, rooms, 1, False, {"a": 4}) == "n2"
+    assert e.handoff.choose_target(last, rooms, 1, {"a": 4}) == "n2"
     monkeypatch.setattr(handoff, "count_free_slots", any_zone)
-    assert e.handoff.choose_target(last, rooms, 1, False, {"a": 4}) == "n1"
+    assert e.handoff.choose_target(last, rooms, 1, {"a": 4}) == "n1"
 
 
 def any_zone(spec: wire.JobSpec, rooms: list[MachineCapacity], zones: dict[str, int]) -> int:
--- /dev/null
+++ b/tests/unit/scheduling/test_handoff.py
@@ -0,0 +1,59 @@
+"""Choice of the controller that a step is handed to, built from its collaborators."""
+
+from __future__ import annotations
+
+import random
+
+from appledock import constants
+from appledock.core.machines.machine_capacity import MachineCapacity
+from appledock.core.records.job import Job
+from appledock.core.runtime import Runtime
+from appledock.core.scheduling.handoff import HandOff
+from appledock.core.store.replica import Replica, View
+from tests.test_decisions import room
+from tests.test_requests import settings, spec
+
+
+def parts(leader: str = "n2") -> tuple[HandOff, Runtime]:
+    runtime = Runtime(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1))
+    replica = Replica()
+    replica.view = View(1, {"n0": "x", "n1": "y", "n2": "z"}, leader)
+    return HandOff(runtime, replica), runtime
+
+
+def machine(owner: str, cpus: float) -> MachineCapacity:
+    result = room(f"vm-of-{owner}", cpus)
+    result.owner = owner
+    return result
+
+
+def job(**changes: object) -> Job:
+    return Job(spec(cores=1.0, memory_gb=0.0, **changes), 0.0)
+
+
+def test_a_batch_job_goes_to_the_peer_with_most_free_slots_if_it_has_enough() -> None:
+    handoff, _ = parts()
+    machines = [machine("n0", 9), machine("n1", 1), machine("n2", 2), machine("gone", 9)]
+    assert handoff.choose_target(job(crates=4), machines, 4, {}) == "n2"
+    assert handoff.choose_target(job(crates=40), machines, 40, {}) is None
+
+
+def test_a_batch_job_that_was_handed_here_rests_before_it_is_handed_off_again() -> None:
+    handoff, runtime = parts()
+    received = job(crates=4)
+    received.handoff = ("n0", "x")
+    handoff.on_job_owned(received)
+    runtime.now += constants.HANDOFF_EVERY_S
+    assert handoff.choose_target(received, [machine("n1", 4)], 4, {}) is None
+    runtime.now += 0.1
+    assert handoff.choose_target(received, [machine("n1", 4)], 4, {}) == "n1"
+
+
+def test_a_gang_goes_whole_to_one_peer_or_to_the_leader_for_all_machines() -> None:
+    handoff, _ = parts()
+    gang = job(crates=4, shape="group")
+    assert handoff.choose_target(gang, [machine("n1", 4), machine("n2", 3)], 4, {}) == "n1"
+    assert handoff.choose_target(gang, [machine("n1", 2), machine("n0", 2)], 4, {}) == "n2"
+    assert handoff.choose_target(gang, [machine("n1", 2), machine("n0", 1)], 4, {}) is None
+    here, _ = parts(leader="n0")
+    assert here.choose_target(gang, [machine("n1", 2), machine("n0", 2)], 4, {}) is None
