--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -98,7 +98,7 @@
         reasons = self._reconcile_queue.pending_reasons
         return self._quota.exhausted(team) or any(
             reasons.get(job_id) is PendingReason.TEAM_LIMIT
-            for job_id in self._replica.by_team.get(team, ())
+            for job_id in self._replica.jobs_by_team.get(team, ())
         )
 
     def should_batch(self, job: Job, unsettled: Job, tasks: int) -> bool:
