--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -81,7 +81,7 @@
         return {
             "node": engine.settings.name,
             "healthy": engine.health.is_healthy(),
-            "authority": engine.membership.authority(),
+            "authority": engine.membership.has_authority(),
             "leader": view.leader if view else None,
             "term": view.term if view else 0,
             "members": view.members if view else {},
@@ -95,7 +95,7 @@
             "jobs": len(engine.replica.jobs),
             "queued_tasks": sum(job.queued for job in engine.replica.jobs.values()),
             "machines": sum(w.report is not None for w in engine.workers.table.values()),
-            "booting": len(engine.fleet.booting()) if engine.membership.leader() else None,
+            "booting": len(engine.fleet.booting()) if engine.membership.is_leader() else None,
             "calls_waiting": budget.size(),
             "users_waiting": len(engine.user_requests.open),
             "machine_types": sorted(engine.machine_types),
@@ -290,7 +290,7 @@
         if worker is None or worker.report is None:
             self._answer(cmd, {"error": f"no such machine: {name}"}, 404)
             return
-        if not self.engine.membership.acting():
+        if not self.engine.membership.can_act():
             self._answer(cmd, {"error": "this controller has no authority now"}, 503)
             return
         self.engine.fleet.operate(name, action)
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -81,7 +81,7 @@
                 role = "leader"
             elif name in view.detached:
                 role = "detached"
-            reached = name == engine.settings.name or engine.heartbeats.reached(name)
+            reached = name == engine.settings.name or engine.heartbeats.is_reachable(name)
             rows[f"controller/{name}"] = ControllerRow(role, reached, workers[name])
         return rows
 
--- a/appledock/core/api/health.py
+++ b/appledock/core/api/health.py
@@ -34,5 +34,5 @@
             self._reader.loaded
             and self._membership.joined
             and bool(self._machine_types)
-            and not self._heartbeats.shut_out()
+            and not self._heartbeats.is_isolated()
         )
--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -251,12 +251,12 @@
     def _first_owner(self, job: Job) -> tuple[str, str] | None:
         """Who owns a new job, if not who is derived: recorded with the job, it costs no write."""
         member, view = self.e.membership, self.e.replica.view
-        if not member.acting() or view is None:
+        if not member.can_act() or view is None:
             return None
         preferred = self.e.partitions.preferred(job)
         if preferred is not None:
             return (preferred, view.members[preferred])
-        if not self.e.heartbeats.works(view.owner_of(job.id)):
+        if not self.e.heartbeats.is_served(view.owner_of(job.id)):
             # Its owner would not see it before its lease is over: it is ours.
             return (member.node, member.incarnation)
         return None
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -134,7 +134,7 @@
     def _vanished(self) -> list[str]:
         """Machines in the records that no longer exist."""
         engine = self.engine
-        settled = engine.now - engine.membership.acting_since > c.UNHEARD_S
+        settled = engine.now - engine.membership.can_act_since > c.UNHEARD_S
         return [
             machine
             for bucket in engine.replica.capacity.buckets.values()
@@ -150,7 +150,7 @@
     def _write(self, changes: dict[str, Holding | None]) -> None:
         """As many records as one transaction takes; the others at the next pass."""
         engine = self.engine
-        plan = Transaction(engine.membership.conditions())
+        plan = Transaction(engine.membership.fencing_conditions())
         written: dict[int, Bucket] = {}
         for number in sorted({bucket_of(machine) for machine in changes}):
             if len(plan.writes) >= min(engine.settings.cluster.state.txn_ops, self.most_writes):
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -147,7 +147,7 @@
         incarnation, since = self.seen.get(node, ("", self.engine.now))
         steady = self.engine.now - since >= c.PREFERRED_STEADY_S
         known = view.members.get(node) == incarnation
-        return node if known and steady and self.engine.heartbeats.reached(node) else None
+        return node if known and steady and self.engine.heartbeats.is_reachable(node) else None
 
     def _hand_over(self) -> None:
         """Hand a job of ours to its partition's controller; one after the other.
@@ -182,7 +182,7 @@
     def tick(self) -> None:
         """Look at who holds what, if it is time to."""
         engine, settings = self.engine, self.settings
-        if settings is None or not engine.membership.acting():
+        if settings is None or not engine.membership.can_act():
             return
         self._note_members()
         self._hand_over()
@@ -190,12 +190,12 @@
             return
         self.next_pass = engine.now + settings.assign_every_s
         if not self.in_force():
-            if engine.replica.format[1] >= c.CAPACITY_FORMAT and engine.membership.leader():
+            if engine.replica.format[1] >= c.CAPACITY_FORMAT and engine.membership.is_leader():
                 # Steps of before are void under a view that comes after the format.
-                engine.membership.want_term = True
+                engine.view_requests.new_term = True
             return
         self.drains.tick()
-        if engine.membership.leader():
+        if engine.membership.is_leader():
             self.holders.tick()
             self.drains.lead(settings.moves_in_flight)
 
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -23,6 +23,7 @@
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
+from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.quota import Quota
 from appledock.core.rebalancing.rebalancer import Rebalancer
@@ -65,6 +66,7 @@
         self.replica = Replica()
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
         self.reader = StateReader(self)
+        self.view_requests = ViewChangeRequests()
         self.membership = Membership(self)
         self.heartbeats = Heartbeats(self)
         self.workers = Workers(self)
--- a/appledock/core/fleet/catalogue.py
+++ b/appledock/core/fleet/catalogue.py
@@ -68,7 +68,7 @@
         engine.machine_types.update((offered.name, offered) for offered in reply.data.types)
         engine.capacity_index.touch_all()
         engine.reconcile_queue.placement_due = True
-        if engine.membership.leader() and self._differs_from_stored():
+        if engine.membership.is_leader() and self._differs_from_stored():
             self._store()
 
     def _differs_from_stored(self) -> bool:
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -49,7 +49,7 @@
         now = self.engine.now
         if not self.engine.reader.loaded:
             return
-        if self.engine.membership.acting() and now >= self.next_drain:
+        if self.engine.membership.can_act() and now >= self.next_drain:
             self.next_drain = now + c.FLEET_EVERY_S
             self.cordons.drain(self._returning_as_leader())
         leader = self._follow_leadership()
@@ -70,7 +70,7 @@
 
     def _follow_leadership(self) -> bool:
         """Do we lead? When that begins, what is known of the machines may be old."""
-        if not self.engine.membership.leader():
+        if not self.engine.membership.is_leader():
             self.led_since = None
             return False
         if self.led_since is None:
--- a/appledock/core/fleet/returns.py
+++ b/appledock/core/fleet/returns.py
@@ -99,7 +99,7 @@
 
     def _surely_empty(self, name: str) -> bool:
         """Is it empty, and would we have heard of a step that its owner places there?"""
-        return self.machines.empty(name) and self.engine.heartbeats.reached(
+        return self.machines.empty(name) and self.engine.heartbeats.is_reachable(
             self.engine.replica.owner_of(name)
         )
 
--- a/appledock/core/fleet/silence.py
+++ b/appledock/core/fleet/silence.py
@@ -45,7 +45,7 @@
         report_s = engine.settings.cluster.workers.report_s
         # Asked at once, but deleted only by a leader that knows its way: one just
         # elected in a crash had to wait for the answers as well, two seconds more.
-        sure = now - engine.membership.acting_since >= c.CALM_S
+        sure = now - engine.membership.can_act_since >= c.CALM_S
         result = []
         for name, worker in engine.workers.table.items():
             # Silent, or deaf: its reports arrive and our answers do not.
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -211,9 +211,9 @@
             return True
         owner = self.engine.replica.owner_of(worker.id)
         if owner == self.engine.settings.name:
-            return not self.engine.membership.acting()
+            return not self.engine.membership.can_act()
         return (
-            not self.engine.heartbeats.works(owner)
+            not self.engine.heartbeats.is_served(owner)
             or self.engine.now - known.since > c.HALT_FOR_OTHERS_S
         )
 
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -119,7 +119,7 @@
 
     def _plan(self, job: Job, new: Job, over: str | None, record: Team | None) -> Transaction:
         """Build the transaction: the job's record or its end, and the team's record."""
-        plan = Transaction(self.engine.membership.conditions())
+        plan = Transaction(self.engine.membership.fencing_conditions())
         plan.conditions[JOBS + job.id] = job.version
         if over:
             plan.writes += [Delete(JOBS + job.id), Put(FINAL + job.id, {"state": over})]
@@ -241,7 +241,7 @@
     def _write_team(self, team: str, record: Team, priority: Priority) -> None:
         """Change the shares of a team's limit without a step."""
         plan = Transaction(
-            self.engine.membership.conditions(), [Put(TEAMS + team, record.encode())]
+            self.engine.membership.fencing_conditions(), [Put(TEAMS + team, record.encode())]
         )
         plan.conditions[TEAMS + team] = record.version
         ended = self.engine.quota.begin(None, None, team, record)
--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReceivedHeartbeat:
     """The last heartbeat of a peer."""
 
     at: float
@@ -34,7 +34,7 @@
 
     def __init__(self, engine: Controller) -> None:
         self.engine = engine
-        self.heard: dict[str, Heard] = {}
+        self.last_heartbeats: dict[str, ReceivedHeartbeat] = {}
         self.next_at = 0.0
         self.served_or_outage_at = 0.0
         """when we were last served, or knew that nobody is"""
@@ -46,7 +46,7 @@
         if self.engine.now >= self.next_at:
             self.next_at = self.engine.now + c.HEARTBEAT_EVERY_S
             self._send()
-            if self.heard:
+            if self.last_heartbeats:
                 self.engine.client.limiter.on_peer_write_rate(
                     sum(heard.heartbeat.writes for heard in self._reached()),
                     self.engine.settings.cluster.state.write_rps * c.BUDGET_SHARE,
@@ -54,7 +54,7 @@
 
     def _send(self) -> None:
         engine = self.engine
-        since = engine.now - engine.membership.served_at
+        since = engine.now - engine.membership.store_answered_at
         heartbeat = Heartbeat(
             node=engine.settings.name,
             served_s=round(min(since, c.AGE_MAX_S), 3),
@@ -68,42 +68,42 @@
     def on_peer(self, message: Heartbeat) -> None:
         """Note how a peer fares."""
         now = self.engine.now
-        self.heard[message.node] = Heard(now, now - message.served_s, message)
+        self.last_heartbeats[message.node] = ReceivedHeartbeat(now, now - message.served_s, message)
 
-    def reached(self, node: str) -> bool:
+    def is_reachable(self, node: str) -> bool:
         """Do messages of this controller arrive here?"""
         if node == self.engine.settings.name:
             return True
-        heard = self.heard.get(node)
+        heard = self.last_heartbeats.get(node)
         return heard is not None and self.engine.now - heard.at < c.HEARTBEAT_LOST_S
 
-    def _reached(self) -> Iterator[Heard]:
+    def _reached(self) -> Iterator[ReceivedHeartbeat]:
         """The last heartbeats of the peers whose messages arrive here."""
-        return (heard for peer, heard in self.heard.items() if self.reached(peer))
+        return (heard for peer, heard in self.last_heartbeats.items() if self.is_reachable(peer))
 
-    def works(self, node: str) -> bool:
+    def is_served(self, node: str) -> bool:
         """Does it, as far as it says, reach the state service?"""
         if node == self.engine.settings.name:
-            return self.engine.membership.acting()
-        return self.reached(node) and (
-            self.engine.now - self.heard[node].served_at < c.HEARTBEAT_SERVED_S
+            return self.engine.membership.can_act()
+        return self.is_reachable(node) and (
+            self.engine.now - self.last_heartbeats[node].served_at < c.HEARTBEAT_SERVED_S
         )
 
-    def hears_workers(self, node: str) -> bool:
+    def receives_worker_reports(self, node: str) -> bool:
         """Does it, as far as it says, hear most of its workers?"""
-        heard = self.heard.get(node)
+        heard = self.last_heartbeats.get(node)
         share = heard.heartbeat.reporting if heard is not None else 1.0
-        return self.reached(node) and share >= c.REPORTING_SHARE
+        return self.is_reachable(node) and share >= c.REPORTING_SHARE
 
-    def unanswered_elsewhere(self, owner: str) -> int:
+    def unanswered_workers_at_peers(self, owner: str) -> int:
         """Workers that waited for the owner in vain and then came to a peer of ours."""
         return sum(heard.heartbeat.unanswered.get(owner, 0) for heard in self._reached())
 
-    def others_pressed(self) -> bool:
+    def is_any_peer_under_pressure(self) -> bool:
         """Do services of another controller wait for the writes that we all share?"""
         return any(heard.heartbeat.pressed for heard in self._reached())
 
-    def peer_reached_by_workers_of(self, owner: str) -> str | None:
+    def peer_contacted_by_workers_of(self, owner: str) -> str | None:
         """The peer to which most of those workers came."""
         counts = {
             heard.heartbeat.node: heard.heartbeat.unanswered.get(owner, 0)
@@ -113,34 +113,34 @@
         return peer if peer is not None and counts[peer] else None
 
     def _shut_out_now(self) -> bool:
-        served = self.engine.membership.served_at
+        served = self.engine.membership.store_answered_at
         peers = [peer.name for peer in self.engine.settings.peers]
         if not peers or self.engine.now - served < c.SHUT_OUT_S:
             return False
-        reached = [peer for peer in peers if self.reached(peer)]
+        reached = [peer for peer in peers if self.is_reachable(peer)]
         # In an outage, the others were last served at about the same time.
         return not reached or any(
-            self.heard[peer].served_at - served > c.SERVED_LATER_S for peer in reached
+            self.last_heartbeats[peer].served_at - served > c.SERVED_LATER_S for peer in reached
         )
 
-    def shut_out(self) -> bool:
+    def is_isolated(self) -> bool:
         """Are we the only ones that the state service does not serve?
 
         True as well if we reach nobody: then the others probably go on without us.
         """
         return self.engine.now - self.served_or_outage_at > c.SHUT_OUT_FOR_S
 
-    def leader_lost(self) -> bool:
+    def has_leader_failed(self) -> bool:
         """Does the leader, and not the network between us all, fail?
 
         It says that it is not served, or it alone is not heard.
         """
         view = self.engine.replica.view
-        if view is None or self.works(view.leader):
+        if view is None or self.is_served(view.leader):
             return False
         others = [
             peer.name
             for peer in self.engine.settings.peers
             if peer.name != view.leader and peer.name in view.members
         ]
-        return self.reached(view.leader) or any(self.works(peer) for peer in others)
+        return self.is_reachable(view.leader) or any(self.is_served(peer) for peer in others)
--- a/appledock/core/membership/membership.py
+++ b/appledock/core/membership/membership.py
@@ -57,29 +57,21 @@
         self.joined = False
         self.joining = False
         self.next_join = 0.0
-        self.touch_sent = c.LONG_AGO
-        self.view_sent = c.LONG_AGO
-        self.served_at = c.LONG_AGO
+        self.lease_renewed_at = c.LONG_AGO
+        self.view_confirmed_at = c.LONG_AGO
+        self.store_answered_at = c.LONG_AGO
         """when the state service last answered a renewal or a question"""
         self.next_touch = 0.0
         self.touching = False
         self.confirming = False
         self.next_view = 0.0
         self.changing = False
-        self.want_term = False
-        self.want_lead = False
-        """the leader fails while we do not"""
         self.leader_seen = 0.0
-        self.want_override: dict[str, str] = {}
-        self.want_detached: set[str] = set()
-        """members that workers do not reach, though the state service knows them"""
-        self.want_attached = False
-        """workers answer us again"""
         self.raising = False
         """a newer format of records is being recorded"""
         self.next_raise = 0.0
         self.term_at = c.LONG_AGO
-        self.acting_since = c.LONG_AGO
+        self.can_act_since = c.LONG_AGO
         """last moment without authority"""
 
     # --- state ------------------------------------------------------------
@@ -98,7 +90,7 @@
         """Number of the newest view known, 0 before the first."""
         return self.view.term if self.view else 0
 
-    def member(self) -> bool:
+    def is_member(self) -> bool:
         """Does the view name this incarnation of ours?"""
         return (
             self.joined
@@ -106,29 +98,30 @@
             and self.view.members.get(self.node) == self.incarnation
         )
 
-    def authority(self) -> bool:
+    def has_authority(self) -> bool:
         """May this controller act for the controllers right now?"""
         return (
-            self.member()
-            and self.engine.now < min(self.touch_sent, self.view_sent) + self.lease_local_s
+            self.is_member()
+            and self.engine.now
+            < min(self.lease_renewed_at, self.view_confirmed_at) + self.lease_local_s
         )
 
-    def acting(self) -> bool:
+    def can_act(self) -> bool:
         """Authority, and a picture that is complete up to the view."""
-        acts = self.authority() and self.engine.replica.synced
+        acts = self.has_authority() and self.engine.replica.synced
         if not acts:
-            self.acting_since = self.engine.now
+            self.can_act_since = self.engine.now
         return acts
 
-    def detached(self) -> bool:
+    def is_detached(self) -> bool:
         """Does the view say that workers do not reach us?"""
         return self.view is not None and self.node in self.view.detached
 
-    def leader(self) -> bool:
+    def is_leader(self) -> bool:
         """Do we lead, and may we act?"""
-        return self.acting() and self.view is not None and self.view.leader == self.node
+        return self.can_act() and self.view is not None and self.view.leader == self.node
 
-    def conditions(self) -> dict[str, int]:
+    def fencing_conditions(self) -> dict[str, int]:
         """Conditions of every scheduling write.
 
         A fenced or outvoted controller's writes fail by themselves.
@@ -166,7 +159,7 @@
             replica.format[1] >= self.newest_format
             or self.raising
             or self.engine.now < self.next_raise
-            or not self.leader()
+            or not self.is_leader()
             or len(replica.members) < self.engine.settings.cluster.size
             or any(member.format < self.newest_format for member in replica.members.values())
         ):
@@ -175,7 +168,7 @@
         # Conditional on every member's key: together they prove that moment.
         plan = Transaction(
             {
-                **self.conditions(),
+                **self.fencing_conditions(),
                 FORMAT: replica.format[0],
                 **{MEMBERS + node: member.version for node, member in replica.members.items()},
             },
@@ -215,7 +208,7 @@
                 self._retry_join()
                 return
             self.lease = outcome.lease
-            self.touch_sent = sent
+            self.lease_renewed_at = sent
             self._read_self()
 
         self.engine.client.submit(
@@ -270,11 +263,11 @@
 
         def on_outcome(outcome: StoreOutcome) -> None:
             if isinstance(outcome, Committed):
-                self.served_at = self.engine.now
+                self.store_answered_at = self.engine.now
                 revision = outcome.revision
                 self.joining, self.joined = False, True
                 self.engine.replica.put(MEMBERS + self.node, value, revision)
-                self.view_sent = sent
+                self.view_confirmed_at = sent
                 self.next_touch = self.engine.now + c.TOUCH_EVERY_S / 2
                 self.engine.replica.put(VIEW, new.encode(), revision)
                 log.info(
@@ -306,8 +299,8 @@
                 return
             match outcome:
                 case Acknowledged():
-                    self.touch_sent = sent
-                    self.served_at = self.engine.now
+                    self.lease_renewed_at = sent
+                    self.store_answered_at = self.engine.now
                     self.next_touch = max(self.engine.now, sent + c.TOUCH_EVERY_S)
                 case Missing():
                     self._lost("lease ended")
@@ -334,8 +327,8 @@
                 return
             self.engine.replica.put(VIEW, outcome.value, outcome.version)
             if self.view is not None and outcome.version == self.view.version:
-                if self.member():
-                    self.view_sent = max(self.view_sent, sent)
+                if self.is_member():
+                    self.view_confirmed_at = max(self.view_confirmed_at, sent)
                 else:
                     self._lost("excluded from the view")
 
@@ -345,7 +338,7 @@
         log.warning("%s: %s; joining again", self.incarnation, why)
         self.joined = False
         self.lease = None
-        self.touch_sent = self.view_sent = c.LONG_AGO
+        self.lease_renewed_at = self.view_confirmed_at = c.LONG_AGO
         self.next_join = self.engine.now
 
     # --- views ------------------------------------------------------------
@@ -377,9 +370,11 @@
             if members.get(node) == incarnation
         }
         detached.update(
-            (node, members[node]) for node in sorted(self.want_detached) if node in members
+            (node, members[node])
+            for node in sorted(self.engine.view_requests.members_to_detach)
+            if node in members
         )
-        if self.want_attached:
+        if self.engine.view_requests.attach_self:
             detached.pop(self.node, None)
         if len(detached) == len(members):
             # Nobody would own anything: then it is the workers that are cut off.
@@ -393,7 +388,7 @@
             old is not None
             and old.leader in members
             and members[old.leader] == old.members.get(old.leader)
-            and not self.want_lead
+            and not self.engine.view_requests.take_leadership
         )
         return old.leader if old is not None and stays else self.node
 
@@ -408,7 +403,7 @@
             and to[0] not in detached
             and worker not in self.engine.workers.gone
         }
-        for worker, node in self.want_override.items():
+        for worker, node in self.engine.view_requests.overrides.items():
             if node in members:
                 overrides[worker] = [node, members[node]]
         return overrides
@@ -416,19 +411,25 @@
     def _check_view(self) -> None:
         """Takes a new view when members and view differ, or a new term is needed."""
         view, now = self.view, self.engine.now
-        if view is None or self.changing or not self.member() or not self.engine.replica.synced:
+        if view is None or self.changing or not self.is_member() or not self.engine.replica.synced:
             return
         if self.node not in self.engine.replica.members:
             return
         members = {node: m.incarnation for node, m in self.engine.replica.members.items()}
         differs = members != view.members
-        if view.leader == self.node or not self.engine.heartbeats.leader_lost():
+        if view.leader == self.node or not self.engine.heartbeats.has_leader_failed():
             self.leader_seen = now
-        self.want_lead = now - self.leader_seen > c.LEADER_LOST_S
-        wanted = self.want_term or self.want_override or self.want_lead or self.want_attached
+        self.engine.view_requests.take_leadership = now - self.leader_seen > c.LEADER_LOST_S
+        requests = self.engine.view_requests
+        wanted = (
+            requests.new_term
+            or requests.overrides
+            or requests.take_leadership
+            or requests.attach_self
+        )
         if (
             not differs
-            and not self.want_detached
+            and not self.engine.view_requests.members_to_detach
             and not (wanted and now >= self.term_at + c.TERM_BUMP_EVERY_S)
         ):
             self.next_view = 0.0
@@ -448,14 +449,14 @@
         self.changing = True
         new = self._next_view(members)
         sent = self.engine.now
-        plan = Transaction(self.conditions(), [Put(VIEW, new.encode())])
+        plan = Transaction(self.fencing_conditions(), [Put(VIEW, new.encode())])
 
         def on_outcome(outcome: StoreOutcome) -> None:
             self.changing = False
             self.next_view = 0.0
             match outcome:
                 case Committed():
-                    self.view_sent = max(self.view_sent, sent)
+                    self.view_confirmed_at = max(self.view_confirmed_at, sent)
                     self.engine.replica.put(VIEW, new.encode(), outcome.revision)
                     log.info(
                         "view %d: members %s, leader %s", new.term, sorted(new.members), new.leader
@@ -470,11 +471,8 @@
     def on_view(self) -> None:
         """A newer view is known."""
         self.term_at = self.engine.now
-        self.want_term = self.want_lead = False
+        self.engine.view_requests.clear()
         self.leader_seen = self.engine.now
-        self.want_override.clear()
-        self.want_detached.clear()
-        self.want_attached = False
-        if self.joined and not self.member():
+        if self.joined and not self.is_member():
             # Our member key may still exist; only a fresh read decides.
             self.confirm()
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -108,7 +108,7 @@
     def tick(self) -> None:
         """Plan moves, if it is time to."""
         engine, settings = self.engine, self.settings
-        if settings is None or not engine.membership.acting():
+        if settings is None or not engine.membership.can_act():
             return
         engine.capacity_index.refresh()
         self.refresh_means()
@@ -120,7 +120,7 @@
             return
         self.blocked = {name: row for name, row in self.blocked.items() if row[0] > engine.now}
         self._plan_own()
-        if engine.membership.leader():
+        if engine.membership.is_leader():
             self._plan_between_owners()
 
     def _smooth(self, time_constant_s: float) -> None:
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -113,7 +113,7 @@
 
     def hears(self, node: str) -> bool:
         """Would the controller hear of a move, and would we hear what came of it?"""
-        return node == self.engine.settings.name or self.engine.heartbeats.reached(node)
+        return node == self.engine.settings.name or self.engine.heartbeats.is_reachable(node)
 
     # --- planner ----------------------------------------------------------
     def request(self, proposal: Proposal) -> None:
@@ -203,7 +203,7 @@
     def _refused_anywhere(self, order: MoveOrder) -> Outcome | None:
         """What any controller can tell: is the order of this view, and is there such a job?"""
         engine = self.engine
-        if not engine.membership.acting() or order.term != engine.membership.term:
+        if not engine.membership.can_act() or order.term != engine.membership.term:
             return Outcome.STALE
         job = engine.replica.jobs.get(order.job)
         if job is None or engine.replica.withdrawn(order.job):
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -52,7 +52,7 @@
         Ours, or those of another controller: steps of arrays would only keep room and writes
         from them.
         """
-        if not self.pressed() and not self.engine.heartbeats.others_pressed():
+        if not self.pressed() and not self.engine.heartbeats.is_any_peer_under_pressure():
             self.held_back = math.inf
             return False
         self.held_back = min(self.held_back, self.engine.now)
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -44,7 +44,7 @@
 
     # --- timers -----------------------------------------------------------
     def tick(self) -> None:
-        if not self.e.membership.acting():
+        if not self.e.membership.can_act():
             return
         replica = self.e.replica
         for worker in self.queue.changed_workers:
@@ -108,7 +108,7 @@
             if not waits or not self.e.owns_job(job):
                 self.lost_since.pop(job.id, None)
             elif self.e.now - self.lost_since.setdefault(job.id, self.e.now) > c.TERM_BUMP_AFTER_S:
-                self.e.membership.want_term = True
+                self.e.view_requests.new_term = True
 
     def _unseen(self, job: Job, attempt: Attempt) -> bool:
         if attempt.term != self.e.membership.term:
@@ -361,7 +361,7 @@
         rng, scorer = self.e.rng, self.e.rebalancer.scorer(job.spec)
         sampling = Sampling(rng, sample, scorer)
         placed = placement.place(job.spec, count, own, sampling, zones, gang)
-        if gang and not placed and self.e.membership.leader():
+        if gang and not placed and self.e.membership.is_leader():
             # What fits no part is placed by the leader over all machines; the rest
             # is handed on, or leader and owner would fill the same room twice.
             sampling = Sampling(rng, scorer=scorer)
--- a/appledock/core/workers/answers.py
+++ b/appledock/core/workers/answers.py
@@ -32,7 +32,7 @@
 
     def answer(self, request_id: int, report: wire.Report) -> None:
         """Take in a report that came straight from its worker, and answer it."""
-        if not self.engine.membership.acting():
+        if not self.engine.membership.can_act():
             self._learn_without_authority(report)
             self._refuse(request_id, "not entitled")
         elif report.worker in self.workers.gone:
@@ -81,13 +81,13 @@
             self._count_misdirected(worker, owner, unanswered)
         heartbeats = self.engine.heartbeats
         to: str | None = owner
-        if not heartbeats.hears_workers(owner) and (
-            unanswered or heartbeats.peer_reached_by_workers_of(owner)
+        if not heartbeats.receives_worker_reports(owner) and (
+            unanswered or heartbeats.peer_contacted_by_workers_of(owner)
         ):
             # Sent back, it would wait in vain again, perhaps until its lease ends.
             # Named no node, it comes to the next one a second later, and from there
             # back to us: until then a new view should have moved it.
-            to = None if unanswered else heartbeats.peer_reached_by_workers_of(owner)
+            to = None if unanswered else heartbeats.peer_contacted_by_workers_of(owner)
         self.engine.emit(Reply(request_id, 421, wire.Redirect(to)))
 
     def _count_misdirected(self, worker: Worker, owner: str, unanswered: bool) -> None:
@@ -107,4 +107,4 @@
         worker.misdirected = Misdirected(since, tries + 1)
         if tries + 1 >= c.OVERRIDE_MIN_TRIES and now - since >= c.OVERRIDE_AFTER_S:
             log.warning("%s cannot reach its owner %s; taking it over", worker.id, owner)
-            self.engine.membership.want_override[worker.id] = self.engine.settings.name
+            self.engine.view_requests.overrides[worker.id] = self.engine.settings.name
--- a/appledock/core/workers/commands.py
+++ b/appledock/core/workers/commands.py
@@ -44,7 +44,7 @@
                     worker.direct.pop(key, None)
                     result.append(wire.Command(wire.FORGET, *key))
         if kept > c.KEPT_MAX:
-            self.engine.membership.want_term = True
+            self.engine.view_requests.new_term = True
         return result + self._launches(worker, recorded)
 
     def _recorded(self, worker: Worker) -> dict[TaskKey, Recorded]:
--- a/appledock/core/workers/detachment.py
+++ b/appledock/core/workers/detachment.py
@@ -51,7 +51,7 @@
         Counted among those that anybody has heard of.
         """
         view, now = self.engine.replica.view, self.engine.now
-        if view is None or self.engine.membership.detached():
+        if view is None or self.engine.membership.is_detached():
             return 0.0
         near_s = c.REPORTING_INTERVALS * self.engine.settings.cluster.workers.report_s
         heard = [
@@ -75,9 +75,9 @@
             self._forget_old(owner)
             if owner not in self.unanswered:
                 continue
-            waited = len(self.unanswered[owner]) + self.engine.heartbeats.unanswered_elsewhere(
-                owner
-            )
+            waited = len(
+                self.unanswered[owner]
+            ) + self.engine.heartbeats.unanswered_workers_at_peers(owner)
             if waited < c.DETACH_MIN or not self._may_detach(owner):
                 continue
             owned = self._heard_of(owner)
@@ -88,7 +88,7 @@
                     owned,
                     owner,
                 )
-                self.engine.membership.want_detached.add(owner)
+                self.engine.view_requests.members_to_detach.add(owner)
                 del self.unanswered[owner]
 
     def _forget_old(self, owner: str) -> None:
@@ -106,7 +106,9 @@
     def _may_detach(self, owner: str) -> bool:
         view = self.engine.replica.view
         assert view is not None
-        return owner in view.attached() and not self.engine.heartbeats.hears_workers(owner)
+        return owner in view.attached() and not self.engine.heartbeats.receives_worker_reports(
+            owner
+        )
 
     def _heard_of(self, owner: str) -> int:
         """How many workers of the owner anybody has heard of lately."""
@@ -121,13 +123,13 @@
     def _probe(self) -> None:
         """While detached: ask some workers directly. Once they answer, we own again."""
         now, member = self.engine.now, self.engine.membership
-        if not member.detached():
+        if not member.is_detached():
             self.probes = 0
             return
         if now < self.next_probe:
             return
         self.next_probe = now + c.SHOW_EVERY_S
-        member.want_attached = self.probes >= c.PROBE_ROUNDS
+        self.engine.view_requests.attach_self = self.probes >= c.PROBE_ROUNDS
         known = [
             worker for _, worker in sorted(self.workers.table.items()) if worker.report is not None
         ]
@@ -147,7 +149,7 @@
             nonlocal left
             if reply.report is None:
                 self.probes, left = 0, -1
-                self.engine.membership.want_attached = False
+                self.engine.view_requests.attach_self = False
                 return
             left -= 1
             self.probes += left == 0
--- a/appledock/core/workers/liveness.py
+++ b/appledock/core/workers/liveness.py
@@ -49,7 +49,7 @@
             return
         # The view must be proven to have been ours until then: a
         # newer owner may have renewed the lease.
-        if member.view_sent < ends_at:
+        if member.view_confirmed_at < ends_at:
             member.confirm()
             return
         log.info("%s: session %d has lapsed", worker.id, session)
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -45,7 +45,7 @@
 
     def tick(self) -> None:
         """Tell the peers what is due; sessions that have lapsed, workers worth asking."""
-        if not self.engine.membership.acting():
+        if not self.engine.membership.can_act():
             return
         self.gossip.tick()
         if self.engine.now >= self.next_look:
--- a/appledock/core/workers/orders.py
+++ b/appledock/core/workers/orders.py
@@ -38,7 +38,7 @@
     def flush(self) -> None:
         """Send to all workers that may need other commands than before."""
         due, self.workers.orders_due = self.workers.orders_due, set()
-        if not self.engine.membership.acting():
+        if not self.engine.membership.can_act():
             return
         for name in sorted(due):
             worker = self.workers.table.get(name)
@@ -53,7 +53,7 @@
         if (
             worker.calling
             or report is None
-            or not self.engine.membership.acting()
+            or not self.engine.membership.can_act()
             or report.session <= worker.lapsed
             or worker.id in self.workers.gone
         ):
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -394,10 +394,10 @@
         return [under_way.order for under_way in controller.moves.active.values()]
 
     def hears(self, controller: Any, peer: str) -> bool:
-        return bool(controller.heartbeats.reached(peer))
+        return bool(controller.heartbeats.is_reachable(peer))
 
     def told_by(self, controller: Any, peer: str) -> dict[str, Any]:
-        heard = controller.heartbeats.heard[peer]
+        heard = controller.heartbeats.last_heartbeats[peer]
         return {
             "node": peer,
             "served_s": round(controller.now - heard.served_at, 3),
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -93,7 +93,9 @@
         node.crash(1.0)
     world.clock.run(76.0)
     assert busy(world) == FLEET
-    leader = next(node.engine for node in world.nodes.values() if node.engine.membership.leader())
+    leader = next(
+        node.engine for node in world.nodes.values() if node.engine.membership.is_leader()
+    )
     world.clock.run(88.0)
     assert len(leader.fleet.machines.listed) == FLEET
 
@@ -141,7 +143,9 @@
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
     e.replica.view_changed = False
     e.membership.joined, e.membership.incarnation = True, "x.1"
-    e.membership.touch_sent = e.membership.view_sent = e.membership.served_at = e.now
+    e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
+        e.membership.store_answered_at
+    ) = e.now
     e.replica.advance(1)
     for number in range(FLEET):
         tasks = [wire.TaskReport(f"job-{number:06d}/{n}", 1, wire.RUNNING) for n in range(8)]
@@ -155,7 +159,9 @@
     """Most bytes that one batch gives to a link that has just opened, and workers told of."""
     e, most, told = owner_of_all(), 0, set()
     for _ in range(math.ceil(seconds / c.TICK_S)):
-        e.membership.touch_sent = e.membership.view_sent = e.membership.served_at = e.now
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
+            e.membership.store_answered_at
+        ) = e.now
         batch: list[ev.Cmd] = [ev.Tick()] if told else [ev.PeerOpened("n1")]
         effects = e.handle(batch, e.now + c.TICK_S, 0.0)
         messages = [
@@ -191,13 +197,13 @@
     e = owner_of_all()
     e.client.max_value_bytes = 14_000
     wanted = {f"vm-{number:06d}": "n0" for number in range(250)}
-    e.membership.want_override = dict(wanted)
+    e.view_requests.overrides = dict(wanted)
     view = e.membership._next_view({"n0": "x.1"})
     assert set(view.overrides) == set(wanted)
     e.replica.put(VIEW, view.encode(), 2)
     gone = sorted(wanted)[:100]
     e.workers.set_gone(gone)
-    e.membership.want_override = {}
+    e.view_requests.overrides = {}
     assert set(e.membership._next_view({"n0": "x.1"}).overrides) == set(wanted) - set(gone)
     e.client.max_value_bytes = 3000
     view = e.membership._next_view({"n0": "x.1"})
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -23,7 +23,7 @@
     """The machine goes on reporting, the controller keeps its authority."""
     effects: list[ev.Effect] = []
     for step in range(int(seconds)):
-        e.membership.touch_sent = e.membership.view_sent = NOW + step
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = NOW + step
         seq = e.workers.table["vm-1"].seen[1] + 1
         effects += e.handle([ev.Reported(seq, report(seq)), ev.Tick()], NOW + step, 0.0)
     return effects
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -561,7 +561,7 @@
     service = Job(spec(id=mine[1], crates=1, cores=4.0, rank="production", shape="daemon"), 0.0, 3)
     e.replica.set_job(service)
     for _ in range(3):
-        e.membership.touch_sent = e.membership.view_sent = e.now
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
         e.handle([], e.now + 0.11, 0.0)
     assert e.capacity_index.reserved_on == {vm: {mine[1]: 1}}
     assert mine[0] not in e.job_writer.busy and mine[1] in e.job_writer.busy
@@ -621,6 +621,6 @@
     worker = e.workers.table["vm-1"]
     for term, wanted in ((4, False), (5, True)):
         worker.direct = dict.fromkeys(worker.tasks, term)
-        e.membership.want_term = False
+        e.view_requests.new_term = False
         assert e.workers.commands(worker, direct=False) == []  # nothing is forgotten
-        assert e.membership.want_term == wanted
+        assert e.view_requests.new_term == wanted
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -135,7 +135,9 @@
     )
     e.replica.view_changed = False
     e.membership.joined, e.membership.incarnation = True, "x.1"
-    e.membership.touch_sent = e.membership.view_sent = e.membership.served_at = e.now
+    e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
+        e.membership.store_answered_at
+    ) = e.now
     e.replica.advance(1)
     return e
 
@@ -181,9 +183,9 @@
         name = next(f"vm-{i}" for i in range(99) if e.replica.owner_of(f"vm-{i}") == "n1")
         e.workers.learn(report(name, 50))
         for step in range(12):
-            e.membership.touch_sent = e.membership.view_sent = e.now
+            e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
             e.handle([ev.Reported(step, report(name, 20 + step))], e.now + 0.9, 0.0)
-        return e.membership.want_override
+        return e.view_requests.overrides
 
     assert wanted() == {}
     monkeypatch.setattr(Workers, "learn", lambda self, report: True)
@@ -216,7 +218,7 @@
 
 def test_whoever_is_shut_out_alone_steps_aside_and_comes_back(monkeypatch: Patch) -> None:
     assert not any(alone()[0])
-    monkeypatch.setattr(Heartbeats, "shut_out", lambda self: False)
+    monkeypatch.setattr(Heartbeats, "is_isolated", lambda self: False)
     assert any(alone()[0])
 
 
@@ -249,7 +251,7 @@
         return world.judge.begun[job] - world.judge.accepted[job]
 
     assert begin_s() < 5.0
-    monkeypatch.setattr(Heartbeats, "works", lambda self, node: True)
+    monkeypatch.setattr(Heartbeats, "is_served", lambda self, node: True)
     assert begin_s() > 6.0
 
 
@@ -271,7 +273,7 @@
 
     e, gone = returned()
     assert gone == {name for name in names if e.replica.owner_of(name) != "n2"}
-    monkeypatch.setattr(Heartbeats, "reached", lambda self, node: True)
+    monkeypatch.setattr(Heartbeats, "is_reachable", lambda self, node: True)
     assert returned()[1] == set(names)
 
 
@@ -399,7 +401,7 @@
             if not silent:
                 e.workers.learn(report("vm-1", 2 + step))
             Reconciler._watch_lost(e.reconciler)
-        return e.membership.want_term
+        return e.view_requests.new_term
 
     assert wants(silent=False)
     assert not wants(silent=True)
--- a/tests/test_launches.py
+++ b/tests/test_launches.py
@@ -23,7 +23,7 @@
     e.replica.advance(9)
     member = e.membership
     member.joined, member.incarnation, member.lease = True, "x.1", 1
-    member.touch_sent = member.view_sent = now
+    member.lease_renewed_at = member.view_confirmed_at = now
     e.handle([], now, 0.0)
     return e
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -86,7 +86,7 @@
     world.refuse_peers(3.0)
     service(world, 1)
     world.clock.run(6.0)
-    leader = next(node for node in world.nodes.values() if node.engine.membership.leader())
+    leader = next(node for node in world.nodes.values() if node.engine.membership.is_leader())
     others = [node for node in world.nodes.values() if node is not leader]
     rented = set(leader.engine.fleet.machines.rented_at)
     assert rented and all(not node.engine.fleet.machines.rented_at for node in others)
@@ -113,7 +113,7 @@
     e.replica.set_job(Job(spec(owner="red", crates=2), e.wall, 5, handoff=("n0", "x.1")))
     seen: list[ev.Effect] = []
     for tick in range(int(seconds / c.TICK_S)):
-        e.membership.touch_sent = e.membership.view_sent = e.now
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
         batch: list[ev.Cmd] = [ev.Tick()]
         if tick % 20 == 0:  # its reports come, and show nothing new
             batch.append(
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -89,6 +89,6 @@
     assert world.judge.final["job-000000"][0] == wire.DONE
     assert sum(len(worker.tasks) for worker in world.cloud.workers.values()) == 3
     for node in world.nodes.values():
-        node.engine.membership.want_term = True
+        node.engine.view_requests.new_term = True
     world.clock.run(50.0)
     assert all(not worker.tasks for worker in world.cloud.workers.values())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -259,7 +259,7 @@
     e = owner_of_nothing()
     e.client.max_value_bytes = 1700
     members = dict(e.replica.view.members)
-    e.membership.want_override = {f"vm-{number:06d}": "n0" for number in range(90)}
+    e.view_requests.overrides = {f"vm-{number:06d}": "n0" for number in range(90)}
     view = e.membership._next_view(members)
     assert 20 < len(view.overrides) < 90
     assert len(wire.encode(view.encode())) <= 1700
@@ -336,7 +336,7 @@
     while e.now < start + 60.0:
         for worker in e.workers.table.values():
             worker.heard_at = worker.well_at = e.now
-        e.membership.touch_sent = e.membership.view_sent = e.now
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
         for call in calls(e.handle([], e.now + 0.2, e.wall), Transaction):
             plan = call.request
             if any(getattr(write, "key", "") == JOBS + name for write in plan.writes):
