--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -28,7 +28,7 @@
 from appledock.capacity.settings import Capacity, Shares
 from appledock.core.capacity.drains import Drains
 from appledock.core.capacity.ownership import Holders
-from appledock.core.machines.capacity_index import Entry
+from appledock.core.machines.capacity_index import StepReservation
 from appledock.core.records.capacity import HOLDINGS
 from appledock.core.records.job import Attempt, Job
 from appledock.core.workers import Worker
@@ -114,14 +114,14 @@
             gate = self._gates[key] = Gate(self, *key)
         return gate
 
-    def conditions(self, reserved: Iterable[Entry]) -> dict[str, int]:
+    def conditions(self, reserved: Iterable[StepReservation]) -> dict[str, int]:
         """What a step that uses these machines is conditional on: who holds them."""
         if not self.in_force():
             return {}
         result = {}
         for machine, _, _ in reserved:
-            room = self.engine.capacity_index.table.get(machine)
-            if room is not None and room.gate is not None:
+            room = self.engine.capacity_index.machines.get(machine)
+            if room is not None and room.admission is not None:
                 number = bucket_of(machine)
                 result[f"{HOLDINGS}{number}"] = self.engine.replica.capacity.bucket(number).version
         return result
@@ -155,7 +155,10 @@
         Guards against a burst of writes when a controller is back.
         """
         engine = self.engine
-        if engine.now - self.handed < c.PREFERRED_HAND_EVERY_S or engine.pacing.crowded():
+        if (
+            engine.now - self.handed < c.PREFERRED_HAND_EVERY_S
+            or engine.pacing.is_step_rate_limited()
+        ):
             return
         self.handed = engine.now
         for job in engine.replica.jobs.values():
@@ -168,7 +171,7 @@
                 and engine.job_writer.ready(job)
             ):
                 assert node is not None
-                engine.reconciler.hand_over(job, node)
+                engine.reconciler.hand_off(job, node)
                 return
 
     def places_everywhere(self, job: Job) -> bool:
@@ -214,7 +217,7 @@
         engine = self.engine
         result = []
         for name, worker in sorted(engine.workers.table.items()):
-            if self.pool_of(worker) == pool and name not in engine.workers.gone:
+            if self.pool_of(worker) == pool and name not in engine.workers.deleted_machines:
                 tasks: Counter[str] = Counter()
                 cost = 0.0
                 for job_id, attempts in engine.replica.by_machine.get(name, {}).items():
@@ -235,7 +238,7 @@
         for attempt in attempts:
             for task in attempt.tasks:
                 key = (f"{spec.id}/{task}", attempt.number)
-                ran = self.engine.now - worker.since.get(key, self.engine.now)
+                ran = self.engine.now - worker.status.running_since.get(key, self.engine.now)
                 longest = max(longest, spec.estimate_s - ran, c.TASK_LEAVES_S)
         return longest
 
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -12,7 +12,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.machines.machine_capacity import type_fits
+from appledock.core.machines.machine_capacity import can_run_on_type
 from appledock.core.records.job import Attempt, Job
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
             if job_id in replica.jobs and job_id not in replica.cancelled
         ]
         found = [job for job in jobs if self._worthwhile(job) and self._due(job)]
-        return sorted(found, key=lambda job: (self.engine.queue_order.urgency(job), job.id))
+        return sorted(found, key=lambda job: (self.engine.queue_order.sort_key(job), job.id))
 
     def _worthwhile(self, job: Job) -> bool:
         """Does anybody gain if the job starts a boot time sooner?
@@ -43,13 +43,15 @@
         can still be met, or an objective for its wait.
         """
         _, end = self.engine.replica.needs.pressing(job)
-        waits = self.engine.objectives.limits_wait(job.spec)
+        waits = self.engine.objectives.has_wait_limit(job.spec)
         has_deadline = end < job.submitted + c.NO_DEADLINE_S
         return waits or (has_deadline and self.engine.wall < end)
 
     def _due(self, job: Job) -> bool:
         boots = [
-            kind.boot_s for kind in self.engine.machine_types.values() if type_fits(job.spec, kind)
+            kind.boot_s
+            for kind in self.engine.machine_types.values()
+            if can_run_on_type(job.spec, kind)
         ]
         return bool(boots) and self.ready_in(job) <= min(boots) * c.AHEAD_SHARE
 
@@ -79,7 +81,7 @@
         entry = worker.tasks.get(key)
         if entry is not None and entry.state == wire.EXITED:
             return 0.0
-        since = worker.since.get(key)
+        since = worker.status.running_since.get(key)
         if since is None:
             return job.spec.estimate_s
         return left_by_estimate_s(job.spec, self.engine.now - since)
--- a/appledock/core/scheduling/handoff.py
+++ b/appledock/core/scheduling/handoff.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from appledock import constants as c
-from appledock.core.machines.machine_capacity import MachineCapacity, room_for
+from appledock.core.machines.machine_capacity import MachineCapacity, count_free_slots
 from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
@@ -25,12 +25,12 @@
         """The job is over, or another controller's."""
         self.mine_since.pop(job_id, None)
 
-    def note_mine(self, job: Job) -> None:
+    def on_job_owned(self, job: Job) -> None:
         """The job is ours now."""
         if job.handoff:
             self.mine_since.setdefault(job.id, self.engine.now)
 
-    def target(
+    def choose_target(
         self, job: Job, rooms: list[MachineCapacity], left: int, gang: bool, zones: dict[str, int]
     ) -> str | None:
         """Name the controller for the `left` tasks; None: they stay here."""
@@ -43,13 +43,13 @@
         best = {
             owner: fit
             for owner, theirs in by_owner.items()
-            if (fit := room_for(job.spec, theirs, zones))
+            if (fit := count_free_slots(job.spec, theirs, zones))
         }
         if gang:
             whole = {node: fit for node, fit in best.items() if fit >= left}
             if whole:
                 return max(sorted(whole), key=whole.__getitem__)
-            everywhere = room_for(job.spec, rooms, zones)
+            everywhere = count_free_slots(job.spec, rooms, zones)
             if everywhere >= left and view.leader != self.engine.settings.name:
                 return view.leader
             return None
