--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -90,10 +90,10 @@
         if job is None:
             return None
         if self.e.replica.is_cancelled(job_id):
-            return wire.JobState(job_id, wire.CANCELLED, len(job.done), 0)
+            return wire.JobState(job_id, wire.CANCELLED, len(job.completed_tasks), 0)
         running = self.e.running(job)
         return wire.JobState(
-            job_id, wire.RUNNING if running else wire.PENDING, len(job.done), running
+            job_id, wire.RUNNING if running else wire.PENDING, len(job.completed_tasks), running
         )
 
     def _admit(self, request_id: int) -> bool:
@@ -265,7 +265,7 @@
         spec = asked.spec
         assert spec is not None
         job = Job(spec, self.e.wall)
-        job.handoff = self._first_owner(job)
+        job.handoff_target = self._first_owner(job)
         plan = Transaction(
             {JOBS + spec.id: 0, FINAL + spec.id: 0}, [Put(JOBS + spec.id, self.e.codec.encode(job))]
         )
@@ -447,7 +447,7 @@
                 else:
                     new.version = revision
                     self.e.replica.set_job(new)
-                self.e.cancellation.told(None if over else new, job.id, revision)
+                self.e.cancellation.broadcast(None if over else new, job.id, revision)
                 self.answer(asked.request_id, 200, wire.JobState(job.id, wire.CANCELLED))
             elif isinstance(outcome, Conflict):
                 self._read_job(
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -85,7 +85,7 @@
         """
         if job.spec.service or job.spec.gang or not self.is_step_rate_limited():
             return False
-        if tasks >= min(rest.queued, c.GATHER_TASKS):
+        if tasks >= min(rest.queued_task_count, c.GATHER_TASKS):
             return False
         return (
             self.engine.now - self.batching_since.setdefault(job.id, self.engine.now)
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -26,7 +26,7 @@
 
     def waiting_since(self, job: Job) -> float:
         """Time of day from which the job waits for being served."""
-        return self.ready_at.get(job.id, job.submitted)
+        return self.ready_at.get(job.id, job.submitted_at)
 
     def sort_key(self, job: Job) -> tuple[float, ...]:
         """Sort key of the queue: guarantee, rank, then slack and age inside the class.
@@ -39,7 +39,7 @@
         if (
             waited > self.engine.objectives.ageing_threshold_s(job.spec)
             and not job.attempts
-            and not job.done
+            and not job.completed_tasks
         ):
             # Ageing: first within its rank, later before all: every job begins. One
             # whose tasks were all stopped again to make room has not begun.
@@ -48,10 +48,10 @@
         ends = [since + limit for limit in self.engine.objectives.finish_limits_s(job.spec)]
         if job.spec.deadline_s is not None:
             ends += [
-                job.submitted + limit
+                job.submitted_at + limit
                 for limit in self.engine.objectives.deadline_limits_s(job.spec)
             ]
-        elif end < job.deadline():
+        elif end < job.deadline_at():
             ends.append(end)
         if job.spec.service or not ends:
             return (0 if inside else 1, -rank, 0, since)
@@ -64,5 +64,5 @@
             # Too late for every aim: in order of age, so that none waits for ever, and
             # none that can still be in time waits for it.
             return (0 if inside else 1, -rank, hope, since)
-        left = (job.spec.tasks - len(job.done)) * max(job.spec.estimate_s, 1.0)
+        left = (job.spec.tasks - len(job.completed_tasks)) * max(job.spec.estimate_s, 1.0)
         return (0 if inside else 1, -rank, hope, left * max(job.spec.cpus, 0.1))
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -17,7 +17,7 @@
 from appledock import constants as c
 from appledock.core.records.capacity import CAPACITY, CapacityRecords
 from appledock.core.records.dependencies import Dependencies
-from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.job import Attempt, Job
 from appledock.core.records.versioned import Versioned
 from appledock.core.store.keys import CATALOGUE, FINAL, FORMAT, JOBS, MEMBERS, SETTINGS, TEAMS, VIEW
 
@@ -152,8 +152,11 @@
 
     def job_owner(self, job: Job) -> str:
         assert self.view is not None
-        if job.handoff and self.view.members.get(job.handoff[0]) == job.handoff[1]:
-            return job.handoff[0]
+        if (
+            job.handoff_target
+            and self.view.members.get(job.handoff_target[0]) == job.handoff_target[1]
+        ):
+            return job.handoff_target[0]
         return self.owner_of(job.id)
 
     def owns_job(self, node: str, job: Job) -> bool:
@@ -198,7 +201,7 @@
 
     def _put(self, key: str, value: Any, version: int) -> None:
         if key.startswith(JOBS):
-            self._set_job(decode(value, version))
+            self._set_job(decode_job(value, version))
         elif key.startswith(FINAL):
             self.add_final(key[len(FINAL) :], value["state"])
         elif key.startswith(TEAMS):
@@ -275,7 +278,7 @@
                 self.changed_teams.add(job.spec.team)
 
     def _queue(self, job: Job) -> None:
-        if job.queued > 0 and job.id not in self.dependencies.waiting:
+        if job.queued_task_count > 0 and job.id not in self.dependencies.waiting:
             self.queued_jobs.add(job.id)
         else:
             self.queued_jobs.discard(job.id)
--- a/appledock/core/workers/evidence.py
+++ b/appledock/core/workers/evidence.py
@@ -33,24 +33,28 @@
         if worker is None:
             return None
         report = worker.report
-        if report is None or report.session < attempt.session:
-            return AttemptVerdict.SETTLED if attempt.session <= worker.lease.expired_epoch else None
-        if report.session > attempt.session:
+        if report is None or report.session < attempt.agent_epoch:
+            return (
+                AttemptVerdict.SETTLED
+                if attempt.agent_epoch <= worker.lease.expired_epoch
+                else None
+            )
+        if report.session > attempt.agent_epoch:
             return AttemptVerdict.SETTLED
-        key = (f"{job.id}/{task}", attempt.number)
+        key = (f"{job.id}/{task}", attempt.attempt_number)
         entry = worker.tasks.get(key)
         if entry is None:
             # Orders of the step's term are refused once the worker shows a higher one,
             # and launches are only sent under the term of their step.
             over = (
                 report.token > attempt.term
-                or attempt.session <= worker.lease.expired_epoch
+                or attempt.agent_epoch <= worker.lease.expired_epoch
                 or self._never_launched(worker, job, attempt, key)
             )
             return AttemptVerdict.SETTLED if over else None
         if entry.state == wire.EXITED:
             return _of_exited(job, entry)
-        return AttemptVerdict.SETTLED if attempt.session <= worker.lease.expired_epoch else None
+        return AttemptVerdict.SETTLED if attempt.agent_epoch <= worker.lease.expired_epoch else None
 
     def _never_launched(self, worker: Worker, job: Job, attempt: Attempt, key: TaskKey) -> bool:
         """Only the owner launches, it never did, and the record forbids it now."""
