--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -90,10 +90,10 @@
         if job is None:
             return None
         if self.e.replica.is_cancelled(job_id):
-            return wire.JobState(job_id, wire.CANCELLED, len(job.done), 0)
+            return wire.JobState(job_id, wire.CANCELLED, len(job.completed_tasks), 0)
         running = self.e.running(job)
         return wire.JobState(
-            job_id, wire.RUNNING if running else wire.PENDING, len(job.done), running
+            job_id, wire.RUNNING if running else wire.PENDING, len(job.completed_tasks), running
         )
 
     def _admit(self, request_id: int) -> bool:
@@ -251,12 +251,12 @@
     def _first_owner(self, job: Job) -> tuple[str, str] | None:
         """Who owns a new job, if not who is derived: recorded with the job, it costs no write."""
         member, view = self.e.membership, self.e.replica.view
-        if not member.acting() or view is None:
+        if not member.can_act() or view is None:
             return None
         preferred = self.e.partitions.preferred(job)
         if preferred is not None:
             return (preferred, view.members[preferred])
-        if not self.e.heartbeats.works(view.owner_of(job.id)):
+        if not self.e.heartbeats.is_served(view.owner_of(job.id)):
             # Its owner would not see it before its lease is over: it is ours.
             return (member.node, member.incarnation)
         return None
@@ -265,7 +265,7 @@
         spec = asked.spec
         assert spec is not None
         job = Job(spec, self.e.wall)
-        job.handoff = self._first_owner(job)
+        job.handoff_target = self._first_owner(job)
         plan = Transaction(
             {JOBS + spec.id: 0, FINAL + spec.id: 0}, [Put(JOBS + spec.id, self.e.codec.encode(job))]
         )
@@ -447,7 +447,7 @@
                 else:
                     new.version = revision
                     self.e.replica.set_job(new)
-                self.e.cancellation.told(None if over else new, job.id, revision)
+                self.e.cancellation.broadcast(None if over else new, job.id, revision)
                 self.answer(asked.request_id, 200, wire.JobState(job.id, wire.CANCELLED))
             elif isinstance(outcome, Conflict):
                 self._read_job(
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -23,6 +23,7 @@
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
+from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.quota import Quota
 from appledock.core.rebalancing.rebalancer import Rebalancer
@@ -65,6 +66,7 @@
         self.replica = Replica()
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
         self.reader = StateReader(self)
+        self.view_requests = ViewChangeRequests()
         self.membership = Membership(self)
         self.heartbeats = Heartbeats(self)
         self.workers = Workers(self)
@@ -84,7 +86,7 @@
             self.replica,
             self.quota,
             self.reconcile_queue,
-            self.heartbeats.others_pressed,
+            self.heartbeats.is_any_peer_under_pressure,
         )
         self.reconciler = Reconciler(self)
         self.cancellation = CancellationEnforcer(self)
@@ -180,7 +182,7 @@
             worker = self.workers.table.get(attempt.machine)
             if worker is not None:
                 for task in attempt.tasks:
-                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.number))
+                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.attempt_number))
                     count += entry is not None and entry.state == wire.RUNNING
         return count
 
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -223,7 +223,7 @@
                 self.reconcile_queue.jobs.add(job_id)
             replica.changed_jobs.clear()
             for machine in replica.changed_machines:
-                self.settlement.machine_changed(machine)
+                self.settlement.on_machine_changed(machine)
             self.workers.commands_due |= replica.changed_machines
             self.capacity_index.mark_each_changed(replica.changed_machines)
             replica.changed_machines.clear()
--- a/appledock/core/scheduling/handoff.py
+++ b/appledock/core/scheduling/handoff.py
@@ -26,7 +26,7 @@
 
     def on_job_owned(self, job: Job) -> None:
         """The job is this controller's, perhaps by a hand-off."""
-        if job.handoff:
+        if job.handoff_target:
             self._received_at.setdefault(job.id, self._runtime.now)
 
     def choose_target(
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -109,7 +109,7 @@
         """
         if job.spec.service or job.spec.gang or not self.is_step_rate_limited():
             return False
-        if tasks >= min(unsettled.queued, constants.GATHER_TASKS):
+        if tasks >= min(unsettled.queued_task_count, constants.GATHER_TASKS):
             return False
         now = self._runtime.now
         return now - self._batching_since.setdefault(job.id, now) < constants.GATHER_STEP_S
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -67,7 +67,7 @@
 
     def waiting_since(self, job: Job) -> float:
         """Time of day (s) from which the job waits for being served."""
-        return self.ready_at.get(job.id, job.submitted)
+        return self.ready_at.get(job.id, job.submitted_at)
 
     def sort_key(self, job: Job) -> QueueSortKey:
         """Sort key of the job: guarantee, rank, slack, then work left or age.
@@ -100,7 +100,7 @@
         return (
             waited_s > self._objectives.ageing_threshold_s(job.spec)
             and not job.attempts
-            and not job.done
+            and not job.completed_tasks
         )
 
     def _guarantee_class(self, job: Job) -> GuaranteeClass:
@@ -113,9 +113,10 @@
         limits_at = [since + limit_s for limit_s in self._objectives.finish_limits_s(job.spec)]
         if job.spec.deadline_s is not None:
             limits_at += [
-                job.submitted + limit_s for limit_s in self._objectives.deadline_limits_s(job.spec)
+                job.submitted_at + limit_s
+                for limit_s in self._objectives.deadline_limits_s(job.spec)
             ]
-        elif inherited_deadline_at < job.deadline():
+        elif inherited_deadline_at < job.deadline_at():
             limits_at.append(inherited_deadline_at)
         return limits_at
 
@@ -131,5 +132,5 @@
 
 def _work_left_core_s(job: Job) -> float:
     """Work until the job is complete, in core seconds: the shortest is served first."""
-    left_s = (job.spec.tasks - len(job.done)) * max(job.spec.estimate_s, 1.0)
+    left_s = (job.spec.tasks - len(job.completed_tasks)) * max(job.spec.estimate_s, 1.0)
     return left_s * max(job.spec.cpus, 0.1)
--- a/appledock/core/workers/commands.py
+++ b/appledock/core/workers/commands.py
@@ -44,7 +44,7 @@
                     worker.commanded.repeatable_launches.pop(key, None)
                     result.append(wire.Command(wire.FORGET, *key))
         if kept > c.KEPT_MAX:
-            self.engine.membership.want_term = True
+            self.engine.view_requests.new_term = True
         return result + self._launches(worker, recorded)
 
     def _recorded(self, worker: Worker) -> dict[TaskKey, Recorded]:
@@ -55,10 +55,10 @@
         for job_id, attempts in sorted(replica.attempts_by_machine.get(worker.id, {}).items()):
             job = replica.jobs[job_id]
             for attempt in attempts:
-                if attempt.session == session:
+                if attempt.agent_epoch == session:
                     row = (job, attempt)
                     for number in attempt.tasks:
-                        recorded[(f"{job_id}/{number}", attempt.number)] = row
+                        recorded[(f"{job_id}/{number}", attempt.attempt_number)] = row
         return recorded
 
     def _halt(
