--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,12 +13,13 @@
 from appledock import wire
 from appledock.core.fleet import MachineKind
 from appledock.core.fleet.model import BootingMachine
+from appledock.core.jobs.reconcile_queue import PendingReason
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.messages import Heartbeat
 from appledock.core.quota import quota
 from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling import placement, preemption
-from appledock.core.scheduling.objectives import Objectives
+from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.placement import Sampling
 from appledock.core.store.keys import JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
@@ -512,7 +513,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
-    objectives = Objectives(
+    objectives = ServiceLevelObjectives(
         [
             Objective("deadline", "seal", times=1.5),
             Objective("deadline", "seal", times=1.0),
@@ -570,7 +571,7 @@
     service = Job(spec(id=mine[1], crates=1, cores=4.0, rank="production", shape="daemon"), 0.0, 3)
     e.replica.set_job(service)
     for _ in range(3):
-        e.membership.touch_sent = e.membership.view_sent = e.now
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
         e.handle([], e.now + 0.11, 0.0)
     assert e.capacity_index.reserved_tasks == {vm: {mine[1]: 1}}
     assert mine[0] not in e.job_writer.jobs_in_flight and mine[1] in e.job_writer.jobs_in_flight
@@ -586,12 +587,12 @@
     e.replica.set_job(one)
     e.replica.set_job(other)
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_RELAXED_S
-    e.reconcile_queue.pending_reasons["job-000002"] = "team limit"
+    e.reconcile_queue.pending_reasons["job-000002"] = PendingReason.TEAM_LIMIT
     e.client.limiter.writes.level = 0.0
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_EVERY_S
     e.client.limiter.writes.level = e.client.limiter.writes.rate
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_SPARE_S  # nobody lacks these writes
-    e.reconcile_queue.pending_reasons["job-000002"] = "no room"
+    e.reconcile_queue.pending_reasons["job-000002"] = PendingReason.NO_CAPACITY
     for _ in range(c.CROWDED + 1):
         e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_CROWDED_S
@@ -630,6 +631,6 @@
     worker = e.workers.table["vm-1"]
     for term, wanted in ((4, False), (5, True)):
         worker.commanded.repeatable_launches = dict.fromkeys(worker.tasks, term)
-        e.membership.want_term = False
+        e.view_requests.new_term = False
         assert e.workers.commands_for(worker, direct=False) == []  # nothing is forgotten
-        assert e.membership.want_term == wanted
+        assert e.view_requests.new_term == wanted
