--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -14,7 +14,7 @@
 from appledock.core.api.console_feed import ConsoleFeed
 from appledock.core.events import Admin, Reply, SetLogLevel
 from appledock.core.operator_settings import DECLARATIONS, InvalidSettingError, validate
-from appledock.core.quota.quota import NOTHING
+from appledock.core.quota.resources import NO_RESOURCES
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import SETTINGS
 from appledock.core.store.rate_limiter import Priority
@@ -194,7 +194,7 @@
         rows = []
         for name, team in sorted(self.engine.teams.items()):
             known = self.engine.replica.view is not None
-            held = self.engine.quota.held_in_all(name) if known else NOTHING
+            held = self.engine.quota_usage.held_by_team(name) if known else NO_RESOURCES
             record = self.engine.replica.team(name)
             rows.append(
                 {
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -90,7 +90,7 @@
         bounds = {row["name"]: row for row in engine.rebalancer.teams()}
         rows: dict[str, Row] = {}
         for name, team in sorted(engine.teams.items()):
-            held = engine.quota.held_in_all(name)
+            held = engine.quota_usage.held_by_team(name)
             bound = bounds.get(name)
             rows[f"team/{name}"] = TeamRow(
                 round(held.cpus, 2),
--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -18,7 +18,7 @@
 from appledock import wire
 from appledock.core.events import Cancel, Poll, Reply, Submit
 from appledock.core.machines.machine_capacity import type_fits
-from appledock.core.quota import quota
+from appledock.core.quota.resources import demand_of, limit_of
 from appledock.core.records.job import Job
 from appledock.core.store.keys import FINAL, JOBS
 from appledock.core.store.rate_limiter import Priority
@@ -236,7 +236,7 @@
         if team is None:
             return f"unknown team {spec.team}"
         tasks = 1 if spec.kind == wire.ARRAY else spec.tasks
-        if not quota.need(spec, tasks).fits(quota.limit(team)):
+        if not demand_of(spec, tasks).fits_in(limit_of(team)):
             return "more than the team's limit"
         record = wire.encode(self.e.codec.encode(Job(spec, self.e.wall)))
         if len(record) > c.DESCRIPTION_SHARE * self.e.client.max_value_bytes:
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -24,7 +24,8 @@
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
 from appledock.core.operator_settings import OperatorSettings
-from appledock.core.quota.quota import Quota
+from appledock.core.quota.allocation import QuotaAllocation
+from appledock.core.quota.usage import QuotaUsage
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
@@ -72,8 +73,11 @@
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
         self.moves = Moves(self)
-        self.quota = Quota(self)
+        self.quota_usage = QuotaUsage(self.runtime, self.replica)
         self.queue_order = QueueOrder(self)
+        self.quota_allocation = QuotaAllocation(
+            self.runtime, self.replica, self.quota_usage, self.queue_order
+        )
         self.settlement = Settlement(self)
         self.preemption = Preemption(self)
         self.job_writer = JobWriter(self)
@@ -97,7 +101,7 @@
             rebalancer=self.rebalancer,
             partitions=self.partitions,
             moves=self.moves,
-            quota=self.quota,
+            quota_allocation=self.quota_allocation,
             queue_order=self.queue_order,
             reconcile_queue=self.reconcile_queue,
             settlement=self.settlement,
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -19,7 +19,7 @@
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
 from appledock.core.operator_settings import OperatorSettings
-from appledock.core.quota.quota import Quota
+from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.moves import Moves
@@ -50,7 +50,7 @@
         rebalancer: Rebalancer,
         partitions: CapacityShares,
         moves: Moves,
-        quota: Quota,
+        quota_allocation: QuotaAllocation,
         queue_order: QueueOrder,
         reconcile_queue: ReconcileQueue,
         settlement: Settlement,
@@ -73,7 +73,7 @@
         self.rebalancer = rebalancer
         self.partitions = partitions
         self.moves = moves
-        self.quota = quota
+        self.quota_allocation = quota_allocation
         self.queue_order = queue_order
         self.reconcile_queue = reconcile_queue
         self.settlement = settlement
@@ -195,7 +195,7 @@
             assert view is not None
             self.workers.on_view(self._applied_view)
             self.membership.on_view()
-            self.quota.on_view()
+            self.quota_allocation.on_view()
             self.moves.on_view()
             self.capacity_index.touch_all()
             self._applied_view = view
@@ -210,7 +210,7 @@
             self.reconcile_queue.placement_due = True
         if replica.changed_jobs:
             for team in replica.changed_teams:
-                self.quota.forget(team)
+                self.quota_allocation.clear_caches_of(team)
             replica.changed_teams.clear()
             for job_id in sorted(replica.changed_jobs):
                 if job_id in replica.jobs:
@@ -226,7 +226,7 @@
             replica.changed_machines.clear()
             self.reconcile_queue.placement_due = True
         self.fleet.read_catalogue()
-        self.quota.allowed_cache.clear()  # depends on time, and on the watch
+        self.quota_allocation.clear_admissions()
         self.capacity_index.sweep()
         self.reconciler.tick()
         self.workers.flush_orders()
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -10,7 +10,7 @@
 from appledock.core.fleet.forecast import Forecast, left_by_estimate_s
 from appledock.core.fleet.model import Demand
 from appledock.core.machines.machine_capacity import MachineCapacity, type_fits
-from appledock.core.quota import quota
+from appledock.core.quota.resources import Resources, demand_of, limit_of
 from appledock.core.records.job import Job
 from appledock.core.workers import Worker
 
@@ -23,7 +23,7 @@
 
     Those of jobs that will be ready soon come after all that is queued.
     """
-    held: dict[str, quota.Amounts] = {}
+    held: dict[str, Resources] = {}
     result = []
     queued = _most_urgent_first(engine)
     for job in queued + Forecast(engine).upcoming():
@@ -36,13 +36,13 @@
             continue  # a job that fails everywhere is not worth machines
         used = held.get(job.spec.team)
         if used is None:
-            used = engine.quota.held_in_all(job.spec.team)
+            used = engine.quota_usage.held_by_team(job.spec.team)
         tasks = min(
             job.queued,
-            (quota.limit(limits) - used).most(quota.NOTHING).count(job.spec),
+            limit_of(limits).above(used).count_tasks(job.spec),
         )
         if tasks:
-            held[job.spec.team] = used + quota.need(job.spec, tasks)
+            held[job.spec.team] = used + demand_of(job.spec, tasks)
             result.append(Demand(job, tasks, job.id in engine.replica.queued))
     return result
 
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
@@ -12,6 +11,7 @@
 from appledock.core.jobs.reconcile_queue import PendingReason
 from appledock.core.machines.capacity_index import Entry
 from appledock.core.machines.machine_capacity import allowed_on
+from appledock.core.quota.allocation import NotPossible, PendingWrite, RecordChange
 from appledock.core.records.job import Job
 from appledock.core.store.keys import FINAL, JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall
@@ -42,8 +42,8 @@
     over: str | None
     team_record: Team | None
     reserved: list[Entry]
-    ended: Callable[[StoreOutcome], None]
-    """takes back what the quota counts for the write; called with its outcome"""
+    quota_write: PendingWrite
+    """what the quota counts for the write until its outcome is known"""
 
 
 class JobWriter:
@@ -89,11 +89,12 @@
         engine, team = self.engine, job.spec.team
         over = self.over(new)
         heir = engine.replica.job_owner(new)
-        possible, record = engine.quota.plan(job, new, heir)
-        if not possible:
+        change = engine.quota_allocation.plan(job, new, heir)
+        if isinstance(change, NotPossible):
             engine.reconcile_queue.deferred_jobs.add(job.id)
             engine.reconcile_queue.pending_reasons[job.id] = PendingReason.TEAM_RECORD_UNDER_WAY
             return False
+        record = change.record if isinstance(change, RecordChange) else None
         if record is not None and heir == engine.settings.name and engine.pacing.crowded():
             # A step that waits for its write meets the others' changes of the record, and
             # is then placed anew: the share is raised first, by itself. Never where the job
@@ -107,8 +108,8 @@
         self.busy.add(job.id)
         if reserved:
             engine.capacity_index.reserve(job.id, reserved)
-        ended = engine.quota.begin(job, new, team, record)
-        write = JobWrite(job, new, over, record, reserved or [], ended)
+        quota_write = engine.quota_allocation.begin_step(job, new, record)
+        write = JobWrite(job, new, over, record, reserved or [], quota_write)
         patience = c.STEP_PATIENCE_S if over or priority >= Priority.STEP else c.PATIENCE_S
         call = engine.client.submit(
             plan, priority, lambda outcome: self._on_outcome(write, outcome), patience
@@ -140,7 +141,7 @@
         self.busy.discard(job_id)
         self.calls.pop(job_id, None)
         engine.capacity_index.release(job_id)
-        write.ended(outcome)
+        write.quota_write.finish(outcome)
         engine.reconcile_queue.placement_due = True
         engine.reconcile_queue.jobs.add(job_id)
         if isinstance(outcome, Committed):
@@ -225,18 +226,16 @@
         return taken
 
     def _team_written(self, team: str, record: Team, revision: int) -> None:
-        self.engine.quota.sure[team] = revision
-        self.engine.replica.put(TEAMS + team, record.encode(), revision)
-        self.engine.quota.forget(team)
+        self.engine.quota_allocation.on_record_committed(team, record, revision)
 
     def release_shares(self) -> None:
         """Give up shares of teams' limits that more urgent jobs of others lack."""
-        quota = self.engine.quota
+        allocation = self.engine.quota_allocation
         for team in self.engine.replica.by_team:
-            surplus = quota.surplus(team)
-            if not surplus.some() or team in quota.writing:
+            releasable = allocation.releasable(team)
+            if not releasable.is_positive() or allocation.is_being_written(team):
                 continue
-            self._write_team(team, quota.lower(team, surplus), Priority.STEP)
+            self._write_team(team, allocation.plan_release(team, releasable), Priority.STEP)
 
     def _write_team(self, team: str, record: Team, priority: Priority) -> None:
         """Change the shares of a team's limit without a step."""
@@ -244,10 +243,10 @@
             self.engine.membership.conditions(), [Put(TEAMS + team, record.encode())]
         )
         plan.conditions[TEAMS + team] = record.version
-        ended = self.engine.quota.begin(None, None, team, record)
+        quota_write = self.engine.quota_allocation.begin_record_write(team, record)
 
         def on_outcome(outcome: StoreOutcome) -> None:
-            ended(outcome)
+            quota_write.finish(outcome)
             self.engine.reconcile_queue.placement_due = True
             match outcome:
                 case Committed():
--- a/appledock/core/quota/__init__.py
+++ b/appledock/core/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Quota of the teams and its allocation to the controllers."""
+"""Quota of the teams: what their jobs hold, and how their limits are allocated to controllers."""
--- /dev/null
+++ b/appledock/core/quota/usage.py
@@ -0,0 +1,104 @@
+"""Quota usage: what the teams' jobs hold, compared with guarantees and limits."""
+
+from __future__ import annotations
+
+from appledock.core.quota.resources import (
+    NO_RESOURCES,
+    Resources,
+    demand_of,
+    guarantee_of,
+    limit_of,
+    reservation_of,
+    total,
+)
+from appledock.core.quota.unanswered import UnansweredWrite, UnansweredWrites
+from appledock.core.records.job import Job
+from appledock.core.runtime import Runtime
+from appledock.core.store.replica import Replica
+
+
+class QuotaUsage:
+    """What each team's jobs hold, by the replica and by this controller's writes under way.
+
+    A write without an answer counts as executed and as not executed, whichever holds more.
+    """
+
+    def __init__(self, runtime: Runtime, replica: Replica) -> None:
+        self._runtime = runtime
+        self._replica = replica
+        self._unanswered = UnansweredWrites()
+        """by job: the most that it holds if its write is executed or if it is not"""
+        self._by_node: dict[str, dict[str, Resources]] = {}
+        self._totals: dict[str, Resources] = {}
+
+    # --- what is held -----------------------------------------------------
+    def held_by_job(self, job: Job) -> Resources:
+        """What the job holds at most."""
+        recorded = reservation_of(job)
+        bound = self._unanswered.bound(job.id, job.version)
+        return recorded if bound is None else recorded.maximum(bound)
+
+    def held_by_node(self, team: str) -> dict[str, Resources]:
+        """Controller -> what the team's jobs that it owns hold; the dict is cached."""
+        by_node = self._by_node.get(team)
+        if by_node is None:
+            by_node = {}
+            for job_id in sorted(self._replica.by_team.get(team, ())):
+                job = self._replica.jobs[job_id]
+                held = self.held_by_job(job)
+                if held.is_positive():
+                    owner = self._replica.job_owner(job)
+                    by_node[owner] = by_node.get(owner, NO_RESOURCES) + held
+            self._by_node[team] = by_node
+        return by_node
+
+    def held_by_team(self, team: str) -> Resources:
+        """What the team's jobs hold together."""
+        held = self._totals.get(team)
+        if held is None:
+            held = self._totals[team] = total(self.held_by_node(team).values())
+        return held
+
+    # --- guarantee and limit ----------------------------------------------
+    def is_within_guarantee(self, job: Job) -> bool:
+        """Would the team stay within its guarantee with the job's queued tasks started?"""
+        limits = self._runtime.teams.get(job.spec.team)
+        if limits is None:
+            return False
+        queued = demand_of(job.spec, job.queued)
+        return (self.held_by_team(job.spec.team) + queued).fits_in(guarantee_of(limits))
+
+    def is_limit_exhausted(self, team: str) -> bool:
+        """Does the team's limit keep a queued task of any controller's jobs from starting?"""
+        limits = self._runtime.teams.get(team)
+        if limits is None:
+            return False
+        held = self.held_by_team(team)
+        return any(
+            not (held + demand_of(self._replica.jobs[job_id].spec, 1)).fits_in(limit_of(limits))
+            for job_id in self._replica.by_team.get(team, set()) & self._replica.queued
+        )
+
+    # --- writes under way -------------------------------------------------
+    def begin_write(self, job: Job, new: Job) -> UnansweredWrite:
+        """A write from the job's record to the new one is sent.
+
+        The caller finishes it with the call's outcome, and clears the team's cache.
+        """
+        bound = self.held_by_job(job).maximum(reservation_of(new))
+        return self._unanswered.begin(job.id, job.version, bound)
+
+    def void_writes(self) -> None:
+        """Writes under way are void: they were conditional on an earlier view."""
+        self._unanswered.clear()
+
+    # --- caches -----------------------------------------------------------
+    def clear_cache(self) -> None:
+        """Owners, or jobs of any team, may have changed."""
+        self._by_node.clear()
+        self._totals.clear()
+
+    def clear_cache_of(self, team: str) -> None:
+        """The team's jobs, or its writes under way, have changed."""
+        self._by_node.pop(team, None)
+        self._totals.pop(team, None)
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -64,7 +64,7 @@
     def progress_every(self, job: Job) -> float:
         """Seconds between two lists of finished tasks of the job."""
         team = job.spec.team
-        if self.engine.quota.exhausted(team) or any(
+        if self.engine.quota_usage.is_limit_exhausted(team) or any(
             self.engine.reconcile_queue.pending_reasons.get(other) is PendingReason.TEAM_LIMIT
             for other in self.engine.replica.by_team.get(team, ())
         ):
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -21,7 +21,7 @@
     zone_cap,
     zone_open,
 )
-from appledock.core.quota import quota
+from appledock.core.quota.resources import NO_RESOURCES, Resources, demand_of, limit_of
 from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
@@ -29,8 +29,6 @@
 
 log = logging.getLogger(__name__)
 
-NOTHING = quota.NOTHING
-
 
 @dataclass(frozen=True, slots=True)
 class Victim:
@@ -60,22 +58,25 @@
 
 
 def choose(
-    spec: wire.JobSpec, room: MachineCapacity, victims: list[Victim], short: quota.Amounts = NOTHING
+    spec: wire.JobSpec,
+    room: MachineCapacity,
+    victims: list[Victim],
+    short: Resources = NO_RESOURCES,
 ) -> list[Victim] | None:
     """The cheapest victims, cheapest first, that make room for one task and free
     `short` of their team's limit; None if even all of them do not."""
     cpus, gpus, memory = room.cpus, room.gpus, room.memory_gb
     chosen: list[Victim] = []
-    freed = NOTHING
+    freed = NO_RESOURCES
     for victim in sorted(victims, key=lambda v: (v.lost, v.job.id, v.task)):
-        if _enough(spec, cpus, gpus, memory) and short.fits(freed):
+        if _enough(spec, cpus, gpus, memory) and short.fits_in(freed):
             break
         chosen.append(victim)
         cpus += victim.job.spec.cpus
         gpus += victim.job.spec.gpus
         memory += victim.job.spec.memory_gb
-        freed = quota.Amounts(freed.cpus + victim.job.spec.cpus, freed.gpus + victim.job.spec.gpus)
-    good = _enough(spec, cpus, gpus, memory) and short.fits(freed)
+        freed = Resources(freed.cpus + victim.job.spec.cpus, freed.gpus + victim.job.spec.gpus)
+    good = _enough(spec, cpus, gpus, memory) and short.fits_in(freed)
     return chosen if good and chosen else None
 
 
@@ -165,7 +166,7 @@
         spec = job.spec
         cap = zone_cap(spec)
         used = {zone for zone, number in zones.items() if number}
-        short = self._short(job) if within_team else NOTHING
+        short = self._short(job) if within_team else NO_RESOURCES
         result = []
         rooms = list(self.e.capacity_index.table.values())
         if len(rooms) > c.CLEAR_SAMPLE:
@@ -198,11 +199,11 @@
                 result.append(Option(cost, room, chosen))
         return sorted(result, key=lambda option: (option.cost, option.room.machine))
 
-    def _short(self, job: Job) -> quota.Amounts:
+    def _short(self, job: Job) -> Resources:
         """What the team's limit lacks for one more task of the job."""
         limits = self.e.teams[job.spec.team]
-        held = self.e.quota.held_in_all(job.spec.team)
-        return (held + quota.need(job.spec, 1) - quota.limit(limits)).most(NOTHING)
+        held = self.e.quota_usage.held_by_team(job.spec.team)
+        return (held + demand_of(job.spec, 1)).above(limit_of(limits))
 
     def make_room(
         self, job: Job, count: int, zones: dict[str, int], within_team: bool = False
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -40,7 +40,7 @@
             # Ageing: first within its rank, later before all: every job begins. One
             # whose tasks were all stopped again to make room has not begun.
             return (-1 if waited > c.OVERDUE_S else 0, -rank, -1, since)
-        inside = self.engine.quota.inside(job)
+        inside = self.engine.quota_usage.is_within_guarantee(job)
         ends = [since + limit for limit in self.engine.objectives.finished_in(job.spec)]
         if job.spec.deadline_s is not None:
             ends += [job.submitted + limit for limit in self.engine.objectives.deadlines(job.spec)]
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -322,7 +322,7 @@
 
     def _step_size(self, job: Job, rest: Job) -> int:
         """How many tasks the next step may have; 0: the team's limit allows none."""
-        most = self.e.quota.allowed(job, rest)
+        most = self.e.quota_allocation.admitted_tasks(job, rest)
         if job.spec.gang:
             return rest.queued if most >= rest.queued else 0
         return min(rest.queued, most, int(self.e.operator_settings["step_tasks"]))
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -10,7 +10,9 @@
 from appledock import wire
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.jobs.cancellation import CancellationEnforcer
-from appledock.core.quota import quota
+from appledock.core.quota import allocation, usage
+from appledock.core.quota.allocation import QuotaAllocation
+from appledock.core.quota.resources import NO_RESOURCES, Resources
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.client import StoreClient
@@ -19,11 +21,11 @@
 from appledock.core.workers import Worker, Workers
 
 Patch = pytest.MonkeyPatch
-VERDICT, COMMANDS, SUBMIT, SHARES = (
+VERDICT, COMMANDS, SUBMIT, ALLOCATED = (
     Workers.verdict,
     Workers.commands,
     StoreClient.submit,
-    quota.Quota.shares,
+    QuotaAllocation.allocated,
 )
 
 
@@ -73,20 +75,21 @@
 def old_shares_hold(patch: Patch) -> None:
     """Shares of a team's limit are kept from one view to the next."""
 
-    def shares(self: quota.Quota, name: str) -> quota.Shares:
-        team, view = self.e.replica.team(name), self.e.replica.view
+    def allocated(self: QuotaAllocation, team: str) -> dict[str, Resources]:
+        record, view = self._replica.team(team), self._replica.view
         assert view is not None
-        kept, team.term = team.term, view.term
+        kept, record.term = record.term, view.term
         try:
-            return SHARES(self, name)
+            return ALLOCATED(self, team)
         finally:
-            team.term = kept
+            record.term = kept
 
-    patch.setattr(quota.Quota, "shares", shares)
+    patch.setattr(QuotaAllocation, "allocated", allocated)
 
 
 def no_charges(patch: Patch) -> None:
-    patch.setattr(quota, "charge", lambda job: quota.NOTHING)
+    for module in (usage, allocation):
+        patch.setattr(module, "reservation_of", lambda job: NO_RESOURCES)
 
 
 def zones_unseen(patch: Patch) -> None:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -15,7 +15,8 @@
 from appledock.core.fleet.model import BootingMachine
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.messages import Heartbeat
-from appledock.core.quota import quota
+from appledock.core.quota.admission import QueuedDemand, admit_queue
+from appledock.core.quota.resources import Resources
 from appledock.core.records.job import Attempt, Job, decode
 from appledock.core.scheduling import placement, preemption
 from appledock.core.scheduling.objectives import Objectives
@@ -118,14 +119,17 @@
 ) -> None:
     """The walk decides a whole queue; the reference deals single cores in turn."""
     nodes = ["n0", "n1", "n2"]
-    shares = {n: quota.Amounts(u + f) for n, u, f in zip(nodes, used, unused, strict=True)}
-    held = {n: quota.Amounts(u) for n, u in zip(nodes, used, strict=True)}
-    most = quota.Amounts(sum(used) + sum(unused) + spare)
-    rows = [(f"job-{i}", nodes[n], quota.Amounts(wish)) for i, (n, wish) in enumerate(queue)]
-    allowed, release = quota.walk(most, shares, held, "n0", rows)
+    shares = {n: Resources(u + f) for n, u, f in zip(nodes, used, unused, strict=True)}
+    held = {n: Resources(u) for n, u in zip(nodes, used, strict=True)}
+    most = Resources(sum(used) + sum(unused) + spare)
+    rows = [
+        QueuedDemand(f"job-{i}", nodes[n], Resources(wish)) for i, (n, wish) in enumerate(queue)
+    ]
+    admission = admit_queue(most, shares, held, "n0", rows)
+    allowed, release = admission.admitted, admission.releasable
     pool, free, lent, plain = spare, dict(zip(nodes, unused, strict=True)), 0, {}
-    for job, owner, wish in rows:
-        for _ in range(int(wish.cpus)):
+    for job, owner, demand in rows:
+        for _ in range(int(demand.cpus)):
             if free[owner]:
                 free[owner] -= 1
             elif pool:
@@ -166,7 +170,7 @@
     chosen = preemption.choose(job, room("m", 0), victims)
     assert [v.task for v in chosen or ()] == [1, 2]
     assert preemption.choose(job, room("m", 0, memory=0.0), victims[:1]) is None
-    chosen = preemption.choose(job, room("m", 4), victims, quota.Amounts(3.0))
+    chosen = preemption.choose(job, room("m", 4), victims, Resources(3.0))
     assert len(chosen or ()) == 2
 
 
@@ -598,12 +602,12 @@
     running = Job(spec(id="job-000001", crates=full, owner="red", cores=1.0), 0.0, 1)
     running.attempts.append(Attempt("vm-1", 1, 1, 1, False, set(range(full - 1))))
     e.replica.set_job(running)
-    e.quota.forget_caches()
-    assert not e.quota.exhausted("red")  # one core is left, and one task waits
+    e.quota_allocation.clear_caches()
+    assert not e.quota_usage.is_limit_exhausted("red")  # one core is left, and one task waits
     waiting = Job(spec(id="job-000002", crates=1, owner="red", cores=2.0), 0.0, 2)
     e.replica.set_job(waiting)
-    e.quota.forget_caches()
-    assert e.quota.exhausted("red") and not e.reconcile_queue.pending_reasons
+    e.quota_allocation.clear_caches()
+    assert e.quota_usage.is_limit_exhausted("red") and not e.reconcile_queue.pending_reasons
     e.client.limiter.writes.level = e.client.limiter.writes.rate
     assert e.pacing.progress_every(running) == c.PROGRESS_SPARE_S
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -8,11 +8,10 @@
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.membership.membership import Membership
-from appledock.core.quota import quota
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
 from appledock.core.workers import Workers
-from tests.guards import absence_settles, no_job_version, silence_settles
+from tests.guards import absence_settles, no_charges, no_job_version, silence_settles
 from tests.standins.faults import play
 from tests.standins.world import World
 
@@ -89,7 +88,7 @@
 
 
 def test_steps_that_do_not_charge_the_team(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(quota, "charge", lambda job: quota.NOTHING)
+    no_charges(monkeypatch)
     assert "quota" in kinds(range(10))
 
 
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -8,7 +8,7 @@
 from appledock.core import events as ev
 from appledock.core.fleet import Fleet
 from appledock.core.machines.machine_capacity import MachineCapacity
-from appledock.core.quota import quota
+from appledock.core.quota.resources import Resources
 from appledock.core.store_calls import Transaction
 from tests.standins.world import World
 from tests.test_launches import NOW, leading
@@ -23,7 +23,7 @@
     job = spec(**{"crates": 7, "cores": 0.0, "memory_gb": 0.0, field: size})
     kind = wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a"], gpus=1.0)
     room = MachineCapacity("m", kind, "a", False, 1, 4, 1, 16)
-    assert quota.Amounts(5.0, 1.0).count(job) == 7
+    assert Resources(5.0, 1.0).count_tasks(job) == 7
     assert room.count(job) == 100_000
 
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -125,7 +125,7 @@
     ],
 )
 def test_what_can_never_run(change: dict[str, object], never: bool) -> None:
-    assert bool(engine().requests.verdict(spec(**change))) is never
+    assert bool(engine().user_requests.verdict(spec(**change))) is never
 
 
 def test_types_that_no_zone_offers_are_no_machines() -> None:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -15,8 +15,13 @@
 
 from appledock import constants as c
 from appledock.core.controller import Controller
-from appledock.core.quota import quota
-from appledock.core.quota.quota import Amounts, Quota
+from appledock.core.quota.allocation import (
+    NoRecordChange,
+    NotPossible,
+    QuotaAllocation,
+    RecordChange,
+)
+from appledock.core.quota.resources import Resources
 from appledock.core.records.job import Attempt, Job, decode
 from appledock.core.store.keys import JOBS, MEMBERS, TEAMS, VIEW
 from appledock.core.store.rate_limiter import Priority
@@ -87,14 +92,14 @@
         e.replica.advance(upto)
         if e.replica.view_changed:
             e.replica.view_changed = False
-            e.quota.on_view()
-        e.quota.forget_caches()
+            e.quota_allocation.on_view()
+        e.quota_allocation.clear_caches()
 
     def read(self, name: str, key: str) -> None:
         """One key is read by itself, ahead of the watch."""
         if key in self.rows:
             self.engines[name].replica.put(key, *self.rows[key])
-            self.engines[name].quota.forget_caches()
+            self.engines[name].quota_allocation.clear_caches()
 
     def step(self, name: str) -> None:
         """Settle and place tasks of a job of ours, perhaps handing it on."""
@@ -114,7 +119,7 @@
         for attempt in new.attempts:
             attempt.tasks = {t for t in attempt.tasks if rng.random() < 0.9}
         new.attempts = [a for a in new.attempts if a.tasks]
-        count = min(e.quota.allowed(job, new), rng.randint(0, 12))
+        count = min(e.quota_allocation.admitted_tasks(job, new), rng.randint(0, 12))
         if count > 0:
             new.steps += 1
             new.attempts.append(
@@ -123,21 +128,23 @@
         if rng.random() < 0.25:
             new.handoff = (rng.choice(sorted(view.members)), "i")
         heir = e.replica.job_owner(new)
-        good, record = e.quota.plan(job, new, heir)
+        change = e.quota_allocation.plan(job, new, heir)
+        record = change.record if isinstance(change, RecordChange) else None
         stays = heir == name or self.alone_when_handed_on
-        if good and record is not None and stays and rng.random() < 0.4:
+        if record is not None and stays and rng.random() < 0.4:
             # The share is raised first, and the step is made anew.
             self._send(name, None, None, record)
-        elif good:
+        elif not isinstance(change, NotPossible):
             self._send(name, job, new, record)
 
     def release(self, name: str) -> None:
         e = self.engines[name]
         view = e.replica.view
         if view is not None and name in view.members and e.replica.synced:
-            surplus = e.quota.surplus("red")
-            if surplus.some() and "red" not in e.quota.writing:
-                self._send(name, None, None, e.quota.lower("red", surplus))
+            releasable = e.quota_allocation.releasable("red")
+            if releasable.is_positive() and not e.quota_allocation.is_being_written("red"):
+                record = e.quota_allocation.plan_release("red", releasable)
+                self._send(name, None, None, record)
 
     def _send(self, name: str, job: Job | None, new: Job | None, record: Team | None) -> None:
         e = self.engines[name]
@@ -151,18 +158,22 @@
         if record is not None:
             plan.conditions[TEAMS + "red"] = record.version
             values[TEAMS + "red"] = record.encode()
-        ended = e.quota.begin(job, new, "red", record)
+        if job is not None and new is not None:
+            quota_write = e.quota_allocation.begin_step(job, new, record)
+        else:
+            assert record is not None
+            quota_write = e.quota_allocation.begin_record_write("red", record)
 
         def done(outcome: StoreOutcome) -> None:
             if job is not None:
                 self.busy.discard((name, job.id))
-            ended(outcome)
+            quota_write.finish(outcome)
             if isinstance(outcome, Committed):
                 for key, value in values.items():
                     e.replica.put(key, value, self.revision)
                 if record is not None:
-                    e.quota.sure["red"] = self.revision
-                e.quota.forget_caches()
+                    e.quota_allocation.on_record_committed("red", record, self.revision)
+                e.quota_allocation.clear_caches()
             else:
                 for key in values:
                     self.read(name, key)
@@ -230,26 +241,31 @@
 
 
 def _earlier_view(patch: Patch) -> None:
-    def shares(self: Quota, name: str) -> quota.Shares:
-        self.e.replica.team(name).term = self.e.membership.term
-        return {n: Amounts(*s) for n, s in self.e.replica.team(name).shares.items()}
+    def allocated(self: QuotaAllocation, team: str) -> dict[str, Resources]:
+        record = self._replica.team(team)
+        record.term = self.term
+        return {node: Resources(*part) for node, part in record.shares.items()}
 
-    patch.setattr(Quota, "shares", shares)
+    patch.setattr(QuotaAllocation, "allocated", allocated)
 
 
 def _inside_the_limit_is_enough(patch: Patch) -> None:
-    patch.setattr(Quota, "plan", lambda self, job, new, heir: (True, None))
+    patch.setattr(QuotaAllocation, "plan", lambda self, job, new, heir: NoRecordChange())
     patch.setattr(
-        Quota,
-        "allowed",
-        lambda self, job, new: (Amounts(LIMIT) - self.held_in_all("red")).count(job.spec),
+        QuotaAllocation,
+        "admitted_tasks",
+        lambda self, job, new: (Resources(LIMIT) - self._usage.held_by_team("red")).count_tasks(
+            job.spec
+        ),
     )
 
 
 def _handed_over_without_charge(patch: Patch) -> None:
-    plan = Quota.plan
+    plan = QuotaAllocation.plan
     patch.setattr(
-        Quota, "plan", lambda self, job, new, heir: plan(self, job, new, self.e.settings.name)
+        QuotaAllocation,
+        "plan",
+        lambda self, job, new, heir: plan(self, job, new, self._runtime.node),
     )
 
 
@@ -285,7 +301,7 @@
         jobs.append(job)
     e.replica.put(TEAMS + "red", {"term": 5, "shares": {"n0": [4, 0], "n1": [20, 0]}}, 4)
     e.replica.advance(9)
-    e.quota.forget_caches()
+    e.quota_allocation.clear_caches()
     return e, jobs[0], jobs[1]
 
 
@@ -298,35 +314,36 @@
 def test_a_write_without_an_answer_keeps_its_part_of_the_share() -> None:
     """It may be applied late; the room it took must not be given to another job."""
     e, first, second = sharing()
-    assert e.quota.plan(first, grown(first, 2), "n0") == (True, None)
-    e.quota.begin(first, grown(first, 2), "red", None)("unknown")
-    assert e.quota.allowed(second, second.copy()) == 0
-    assert e.quota.plan(second, grown(second, 1), "n0") == (False, None)
+    assert e.quota_allocation.plan(first, grown(first, 2), "n0") == NoRecordChange()
+    e.quota_allocation.begin_step(first, grown(first, 2), None).finish(UnknownOutcome())
+    assert e.quota_allocation.admitted_tasks(second, second.copy()) == 0
+    assert e.quota_allocation.plan(second, grown(second, 1), "n0") == NotPossible()
     # Once its record has moved on, the write is void.
     again = first.copy()
     again.version = 7
     e.replica.set_job(again)
-    e.quota.forget_caches()
-    assert e.quota.plan(second, grown(second, 2), "n0") == (True, None)
+    e.quota_allocation.clear_caches()
+    assert e.quota_allocation.plan(second, grown(second, 2), "n0") == NoRecordChange()
 
 
 def test_a_lowered_share_counts_before_its_write_is_answered() -> None:
     e, first, _ = sharing()
-    e.quota.begin(None, None, "red", Team(4, 5, {"n0": (1.0, 0.0), "n1": (20.0, 0.0)}))("unknown")
-    good, record = e.quota.plan(first, grown(first, 1), "n0")
-    assert good and record is not None  # it must be raised again, by a write of its own
+    lowered = Team(4, 5, {"n0": (1.0, 0.0), "n1": (20.0, 0.0)})
+    e.quota_allocation.begin_record_write("red", lowered).finish(UnknownOutcome())
+    change = e.quota_allocation.plan(first, grown(first, 1), "n0")
+    assert isinstance(change, RecordChange)  # it must be raised again, by a write of its own
 
 
 def test_a_share_read_ahead_of_the_watch_allows_nothing() -> None:
     """It may have grown with a job handed to us that the watch has yet to show."""
     e, first, _ = sharing()
     e.replica.put(TEAMS + "red", {"term": 5, "shares": {"n0": [24, 0]}}, 12)
-    e.quota.forget_caches()
-    assert e.quota.allowed(first, first.copy()) == 0
-    assert e.quota.plan(first, grown(first, 4), "n0") == (False, None)
+    e.quota_allocation.clear_caches()
+    assert e.quota_allocation.admitted_tasks(first, first.copy()) == 0
+    assert e.quota_allocation.plan(first, grown(first, 4), "n0") == NotPossible()
     e.replica.advance(12)
-    e.quota.forget_caches()
-    assert e.quota.plan(first, grown(first, 4), "n0") == (True, None)
+    e.quota_allocation.clear_caches()
+    assert e.quota_allocation.plan(first, grown(first, 4), "n0") == NoRecordChange()
 
 
 def test_a_new_view_shares_out_what_is_held_and_no_more() -> None:
@@ -335,9 +352,11 @@
     held.version = 8
     e.replica.set_job(held)
     e.replica.put(VIEW, {"term": 6, "members": {"n0": "x.1", "n2": "z"}, "leader": "n0"}, 9)
-    e.quota.on_view()
-    good, record = e.quota.plan(second, grown(second, 2), "n0")
-    assert good and record is not None and record.term == 6 and record.version == 4
+    e.quota_allocation.on_view()
+    change = e.quota_allocation.plan(second, grown(second, 2), "n0")
+    assert isinstance(change, RecordChange)
+    record = change.record
+    assert record.term == 6 and record.version == 4
     assert record.shares.keys() <= {"n0", "n2"}
     assert 10.0 <= record.shares["n0"][0] <= 24.0
 
@@ -347,18 +366,20 @@
     team's record before its second step there, and arrays took the machines meanwhile."""
     e, first, _ = sharing()
     e.replica.put(VIEW, {"term": 6, "members": {"n0": "x.1", "n1": "y"}, "leader": "n0"}, 9)
-    e.quota.on_view()
-    _, record = e.quota.plan(first, grown(first, 1), "n0")
-    assert record is not None and record.shares["n1"][0] >= 4.0
+    e.quota_allocation.on_view()
+    change = e.quota_allocation.plan(first, grown(first, 1), "n0")
+    assert isinstance(change, RecordChange)
+    record = change.record
+    assert record.shares["n1"][0] >= 4.0
     assert sum(share[0] for share in record.shares.values()) <= 24.0
 
 
 def test_a_job_handed_over_takes_its_charge_along() -> None:
     e, first, _ = sharing()
     new = grown(first, 2)
-    good, record = e.quota.plan(first, new, "n1")
-    assert good and record is not None
-    assert record.shares == {"n1": (24.0, 0.0)}  # of 4 and 20
+    change = e.quota_allocation.plan(first, new, "n1")
+    assert isinstance(change, RecordChange)
+    assert change.record.shares == {"n1": (24.0, 0.0)}  # of 4 and 20
 
 
 def crowded_owner() -> tuple[Controller, Job]:
@@ -372,7 +393,7 @@
     e.replica.set_job(job)
     e.replica.put(TEAMS + "red", {"term": 5, "shares": {"n0": [2, 0], "n1": [4, 0]}}, 2)
     e.replica.advance(2)
-    e.quota.forget_caches()
+    e.quota_allocation.clear_caches()
     for _ in range(c.CROWDED + 1):
         e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
     return e, job
--- /dev/null
+++ b/tests/unit/quota/test_allocation.py
@@ -0,0 +1,91 @@
+"""Quota allocation, built from a runtime, a replica and a first-come queue order."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from appledock.core.quota.allocation import (
+    NoRecordChange,
+    NotPossible,
+    QuotaAllocation,
+    RecordChange,
+)
+from appledock.core.quota.usage import QuotaUsage
+from appledock.core.records.job import Attempt, Job
+from appledock.core.runtime import Runtime
+from appledock.core.store.keys import TEAMS, VIEW
+from appledock.core.store.replica import Replica
+from appledock.core.store_calls import Committed
+from tests.standins.deployment import settings
+from tests.test_requests import spec
+
+
+class FirstCome:
+    """Queue order by time of submission."""
+
+    def urgency(self, job: Job) -> tuple[float, ...]:
+        return (job.submitted,)
+
+
+@pytest.fixture
+def replica() -> Replica:
+    """The team's limit of 24 CPUs is allocated to two controllers, 6 CPUs are to nobody."""
+    replica = Replica()
+    replica.put(VIEW, {"term": 1, "members": {"n0": "a", "n1": "b"}, "leader": "n0"}, 1)
+    replica.put(TEAMS + "red", {"term": 1, "shares": {"n0": [6, 0], "n1": [12, 0]}}, 2)
+    replica.advance(2)
+    return replica
+
+
+@pytest.fixture
+def allocation(replica: Replica) -> QuotaAllocation:
+    runtime = Runtime(settings("n0", ["n0", "n1"]), "a", random.Random(1))
+    return QuotaAllocation(runtime, replica, QuotaUsage(runtime, replica), FirstCome())
+
+
+def add_job(replica: Replica, number: int, tasks: int) -> Job:
+    """A queued job of n0 whose tasks need one CPU."""
+    job = Job(spec(id=f"job-{number}", crates=tasks), float(number), version=2, handoff=("n0", "a"))
+    replica.set_job(job)
+    return job
+
+
+def started(job: Job, tasks: int) -> Job:
+    new = job.copy()
+    new.attempts.append(Attempt("vm-1", 1, 1, 1, False, set(range(tasks))))
+    return new
+
+
+def test_a_step_inside_the_allocation_changes_no_record(
+    replica: Replica, allocation: QuotaAllocation
+) -> None:
+    job = add_job(replica, 1, 20)
+    assert allocation.plan(job, started(job, 6), "n0") == NoRecordChange()
+
+
+def test_a_step_beyond_it_raises_the_allocation_from_what_nobody_has(
+    replica: Replica, allocation: QuotaAllocation
+) -> None:
+    job = add_job(replica, 1, 20)
+    assert allocation.admitted_tasks(job, job) == 12
+    change = allocation.plan(job, started(job, 9), "n0")
+    assert isinstance(change, RecordChange)
+    assert change.record.version == 2
+    assert 9.0 <= change.record.shares["n0"][0] <= 12.0
+    assert change.record.shares["n1"] == (12.0, 0.0)
+    assert allocation.plan(job, started(job, 13), "n0") == NotPossible()
+
+
+def test_only_one_write_of_a_teams_record_is_under_way_at_a_time(
+    replica: Replica, allocation: QuotaAllocation
+) -> None:
+    job = add_job(replica, 1, 20)
+    change = allocation.plan(job, started(job, 9), "n0")
+    assert isinstance(change, RecordChange)
+    write = allocation.begin_record_write("red", change.record)
+    assert allocation.plan(job, started(job, 9), "n0") == NotPossible()
+    write.finish(Committed(3))
+    allocation.on_record_committed("red", change.record, 3)
+    assert allocation.plan(job, started(job, 9), "n0") == NoRecordChange()
