--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -43,7 +43,7 @@
 class JobOrder(Protocol):
     """The order in which queued jobs are served."""
 
-    def urgency(self, job: Job) -> tuple[float, ...]:
+    def sort_key(self, job: Job) -> tuple[float, ...]:
         """Sort key: the most urgent job has the smallest one."""
 
 
@@ -175,7 +175,7 @@
         jobs.sort(
             key=lambda job: (
                 job.failures >= constants.FAILING,
-                self._job_order.urgency(job),
+                self._job_order.sort_key(job),
                 job.id,
             )
         )
--- a/tests/unit/quota/test_allocation.py
+++ b/tests/unit/quota/test_allocation.py
@@ -25,7 +25,7 @@
 class FirstCome:
     """Queue order by time of submission."""
 
-    def urgency(self, job: Job) -> tuple[float, ...]:
+    def sort_key(self, job: Job) -> tuple[float, ...]:
         return (job.submitted,)
 
 
