--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -169,7 +169,8 @@
         """The team's queued jobs of all controllers, the most urgent first."""
         replica = self._replica
         jobs = [
-            replica.jobs[job_id] for job_id in replica.by_team.get(team, set()) & replica.queued
+            replica.jobs[job_id]
+            for job_id in replica.jobs_by_team.get(team, set()) & replica.queued_jobs
         ]
         # Guards against a job that fails everywhere and keeps the limit from the others.
         jobs.sort(
--- a/appledock/core/quota/usage.py
+++ b/appledock/core/quota/usage.py
@@ -43,7 +43,7 @@
         by_node = self._by_node.get(team)
         if by_node is None:
             by_node = {}
-            for job_id in sorted(self._replica.by_team.get(team, ())):
+            for job_id in sorted(self._replica.jobs_by_team.get(team, ())):
                 job = self._replica.jobs[job_id]
                 held = self.held_by_job(job)
                 if held.is_positive():
@@ -76,7 +76,7 @@
         held = self.held_by_team(team)
         return any(
             not (held + demand_of(self._replica.jobs[job_id].spec, 1)).fits_in(limit_of(limits))
-            for job_id in self._replica.by_team.get(team, set()) & self._replica.queued
+            for job_id in self._replica.jobs_by_team.get(team, set()) & self._replica.queued_jobs
         )
 
     # --- writes under way -------------------------------------------------
--- a/appledock/core/workers/table.py
+++ b/appledock/core/workers/table.py
@@ -68,5 +68,5 @@
             for machine in sorted(self.deleted_machines, key=self.deleted_machines.__getitem__)[
                 : c.GONE_MAX // 2
             ]:
-                if machine not in self.engine.replica.by_machine:
+                if machine not in self.engine.replica.attempts_by_machine:
                     del self.deleted_machines[machine]
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -105,12 +105,12 @@
         """Settle and place tasks of a job of ours, perhaps handing it on."""
         e, rng = self.engines[name], self.rng
         view = e.replica.view
-        if view is None or name not in view.members or not e.replica.synced:
+        if view is None or name not in view.members or not e.replica.has_reached_view():
             return
         mine = [
             job
             for job in e.replica.jobs.values()
-            if e.owns_job(job) and (name, job.id) not in self.busy
+            if e.replica.owns_job(e.settings.name, job) and (name, job.id) not in self.busy
         ]
         if not mine:
             return
@@ -140,7 +140,7 @@
     def release(self, name: str) -> None:
         e = self.engines[name]
         view = e.replica.view
-        if view is not None and name in view.members and e.replica.synced:
+        if view is not None and name in view.members and e.replica.has_reached_view():
             releasable = e.quota_allocation.releasable("red")
             if releasable.is_positive() and not e.quota_allocation.is_being_written("red"):
                 record = e.quota_allocation.plan_release("red", releasable)
