--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -168,7 +168,7 @@
                 and engine.replica.owns_job(engine.settings.name, job)
                 and not engine.replica.is_cancelled(job.id)
                 and not engine.moves.rests(job.id)
-                and engine.job_writer.ready(job)
+                and engine.job_writer.can_write(job)
             ):
                 assert node is not None
                 engine.reconciler.hand_off(job, node)
@@ -240,7 +240,7 @@
         longest = 0.0
         for attempt in attempts:
             for task in attempt.tasks:
-                key = (f"{spec.id}/{task}", attempt.number)
+                key = (f"{spec.id}/{task}", attempt.attempt_number)
                 ran = self.engine.now - worker.status.running_since.get(key, self.engine.now)
                 longest = max(longest, spec.estimate_s - ran, c.TASK_LEAVES_S)
         return longest
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -44,7 +44,7 @@
         """
         _, end = self.engine.replica.dependencies.pressing(job)
         waits = self.engine.objectives.has_wait_limit(job.spec)
-        has_deadline = end < job.submitted + c.NO_DEADLINE_S
+        has_deadline = end < job.submitted_at + c.NO_DEADLINE_S
         return waits or (has_deadline and self.engine.wall < end)
 
     def _due(self, job: Job) -> bool:
@@ -67,7 +67,7 @@
         job = self.engine.replica.jobs.get(job_id)
         if job is None or job.spec.service or job_id in self.engine.replica.dependencies.waiting:
             return math.inf
-        left = job.spec.estimate_s if job.queued > 0 else 0.0
+        left = job.spec.estimate_s if job.queued_task_count > 0 else 0.0
         for attempt in job.attempts:
             for task in attempt.tasks:
                 left = max(left, self._task_left(job, attempt, task))
@@ -75,7 +75,7 @@
 
     def _task_left(self, job: Job, attempt: Attempt, task: int) -> float:
         worker = self.engine.workers.table.get(attempt.machine)
-        key = (f"{job.id}/{task}", attempt.number)
+        key = (f"{job.id}/{task}", attempt.attempt_number)
         if worker is None:
             return job.spec.estimate_s
         entry = worker.tasks.get(key)
--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -175,13 +175,13 @@
         # Guards against a job that fails everywhere and keeps the limit from the others.
         jobs.sort(
             key=lambda job: (
-                job.failures >= constants.FAILING,
+                job.consecutive_failures >= constants.FAILING,
                 self._job_order.sort_key(job),
                 job.id,
             )
         )
         return [
-            QueuedDemand(job.id, replica.job_owner(job), demand_of(job.spec, job.queued))
+            QueuedDemand(job.id, replica.job_owner(job), demand_of(job.spec, job.queued_task_count))
             for job in jobs
         ]
 
--- a/appledock/core/quota/resources.py
+++ b/appledock/core/quota/resources.py
@@ -89,4 +89,4 @@
 
 def reservation_of(job: Job) -> Resources:
     """What the job's record reserves: the demand of its unsettled attempts."""
-    return demand_of(job.spec, job.open_tasks)
+    return demand_of(job.spec, job.open_task_count)
--- a/appledock/core/quota/usage.py
+++ b/appledock/core/quota/usage.py
@@ -65,7 +65,7 @@
         limits = self._runtime.teams.get(job.spec.team)
         if limits is None:
             return False
-        queued = demand_of(job.spec, job.queued)
+        queued = demand_of(job.spec, job.queued_task_count)
         return (self.held_by_team(job.spec.team) + queued).fits_in(guarantee_of(limits))
 
     def is_limit_exhausted(self, team: str) -> bool:
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -239,22 +239,22 @@
             job = engine.replica.jobs[job_id]
             free = (
                 self.planner.movable(job.spec)
-                and job.queued == 0
+                and job.queued_task_count == 0
                 and not engine.replica.is_cancelled(job_id)
                 and not engine.moves.rests(job_id)
                 and engine.moves.hears(engine.replica.job_owner(job))
             )
             for attempt in attempts:
-                if attempt.stopping or attempt.session != worker.agent_epoch:
+                if attempt.stopping or attempt.agent_epoch != worker.agent_epoch:
                     continue
                 for task in attempt.tasks:
-                    key = (f"{job_id}/{task}", attempt.number)
+                    key = (f"{job_id}/{task}", attempt.attempt_number)
                     shown = worker.tasks.get(key)
                     running = shown is not None and shown.state == wire.RUNNING
                     ran = engine.now - worker.status.running_since.get(key, engine.now)
                     lost = _lost_core_s(job.spec, ran)
                     result.append(
-                        RunningTask(job.spec, task, attempt.number, lost, free and running)
+                        RunningTask(job.spec, task, attempt.attempt_number, lost, free and running)
                     )
         return result
 
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -108,7 +108,9 @@
             if (
                 left
                 and job is not None
-                and (job.queued > 0 or job_id in self.e.reconcile_queue.capacity_freed_at)
+                and (
+                    job.queued_task_count > 0 or job_id in self.e.reconcile_queue.capacity_freed_at
+                )
             ):
                 self.claims[job_id] = left
             else:
@@ -148,10 +150,10 @@
             ):
                 continue
             for attempt in attempts:
-                if attempt.stopping or attempt.session != room.agent_epoch:
+                if attempt.stopping or attempt.agent_epoch != room.agent_epoch:
                     continue
                 for task in attempt.tasks:
-                    key = (f"{other_id}/{task}", attempt.number)
+                    key = (f"{other_id}/{task}", attempt.attempt_number)
                     shown = worker.tasks.get(key)
                     if shown is not None and shown.state == wire.EXITED:
                         continue  # over, and only not recorded yet
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -55,7 +55,7 @@
         job = Job(self.specs[name], 100.0)
         return min(
             [
-                job.deadline(),
+                job.deadline_at(),
                 *(self.end(other) - self.specs[other].estimate_s for other in self.behind(name)),
             ]
         )
@@ -73,13 +73,15 @@
         assert needs.left(name) == [
             need for need in dict.fromkeys(model.needs(name)) if model.ended.get(need) != wire.DONE
         ]
-    assert not needs.unknown
+    assert not needs.unknown_outcomes
     # Nothing is kept of chains that are over.
-    assert set(needs.needs) == {name for name in model.open() if model.needs(name)}
+    assert set(needs.prerequisites) == {name for name in model.open() if model.needs(name)}
     assert set(needs.dependents) == {need for name in model.open() for need in model.needs(name)}
-    assert needs.doomed <= set(needs.needs) and needs.waiting <= set(needs.needs)
-    assert set(needs.open) <= set(needs.needs) | set(needs.dependents)
-    assert set(needs.outcome) <= set(needs.dependents)
+    assert needs.cancelled_by_dependency <= set(needs.prerequisites) and needs.waiting_jobs <= set(
+        needs.prerequisites
+    )
+    assert set(needs.open_jobs) <= set(needs.prerequisites) | set(needs.dependents)
+    assert set(needs.outcomes) <= set(needs.dependents)
 
 
 def started_anew(model: Model) -> Replica:
--- a/tests/unit/quota/test_allocation.py
+++ b/tests/unit/quota/test_allocation.py
@@ -47,7 +47,9 @@
 
 def add_job(replica: Replica, number: int, tasks: int) -> Job:
     """A queued job of n0 whose tasks need one CPU."""
-    job = Job(spec(id=f"job-{number}", crates=tasks), float(number), version=2, handoff=("n0", "a"))
+    job = Job(
+        spec(id=f"job-{number}", crates=tasks), float(number), version=2, handoff_target=("n0", "a")
+    )
     replica.set_job(job)
     return job
 
