--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -52,7 +52,10 @@
         Ours, or those of another controller: steps of arrays would only keep room and writes
         from them.
         """
-        if not self.is_service_rate_limited() and not self.engine.heartbeats.others_pressed():
+        if (
+            not self.is_service_rate_limited()
+            and not self.engine.heartbeats.is_any_peer_under_pressure()
+        ):
             self.deferred_since = math.inf
             return False
         self.deferred_since = min(self.deferred_since, self.engine.now)
