--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -122,14 +122,14 @@
             "failures": job.consecutive_failures,
             "waits_for": self._waits_for(job),
             "needs": job.spec.needs or [],
-            "needs_left": engine.replica.dependencies.left(job.id),
+            "needs_left": engine.replica.dependencies.unfinished_prerequisites(job.id),
             "needed_by": sorted(engine.replica.dependencies.dependents.get(job.id, ())),
             "unsettled": [self._attempt(job, attempt) for attempt in job.attempts],
         }
 
     def _waits_for(self, job: Job) -> str | None:
         needs = self.engine.replica.dependencies
-        if job.id in needs.doomed:
+        if job.id in needs.cancelled_by_dependency:
             return "its end: a job that it needs is cancelled"
         if job.id in needs.waiting_jobs:
             unread = any(
--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -130,9 +130,9 @@
         taken back here. The proof's revision is later than any such cancellation.
         """
         replica = self.e.replica
-        if replica.is_cancelled(asked.job) or asked.job not in replica.dependencies.waiting:
+        if replica.is_cancelled(asked.job) or asked.job not in replica.dependencies.waiting_jobs:
             self._tell(asked, False)
-        elif replica.revision < revision or replica.dependencies.undecided(asked.job):
+        elif replica.revision < revision or replica.dependencies.has_unknown_outcome(asked.job):
             self.lagging.append((asked, revision))
         else:
             self._tell(asked, False)
@@ -140,7 +140,7 @@
     def _read_outcomes(self) -> None:
         """How needed jobs ended that are not in the picture: after a start, or if they
         ended long ago. A few at a time."""
-        unknown = self.e.replica.dependencies.unknown
+        unknown = self.e.replica.dependencies.unknown_outcomes
         if not unknown or not self.e.reader.loaded:
             return
         for need in sorted(unknown):
@@ -152,7 +152,7 @@
 
             def ended(need: str = need) -> None:
                 self.reading.discard(need)
-                if need in self.e.replica.dependencies.unknown:
+                if need in self.e.replica.dependencies.unknown_outcomes:
                     self.read_at[need] = self.e.now + c.RETRY_MAX_S
                 else:
                     self.read_at.pop(need, None)
@@ -383,7 +383,7 @@
         )
 
     def _tell_proven(self, asked: Asked, absent: bool, revision: int) -> None:
-        if asked.job in self.e.replica.dependencies.waiting:
+        if asked.job in self.e.replica.dependencies.waiting_jobs:
             self._tell_current(asked, revision)
         else:
             self._tell(asked, absent)
@@ -392,7 +392,7 @@
         """The cached version was old: read both keys, then answer."""
 
         def read() -> None:
-            if asked.job in self.e.replica.dependencies.waiting:
+            if asked.job in self.e.replica.dependencies.waiting_jobs:
                 self._poll(asked)  # the proof tells how far the picture must reach
             else:
                 self._tell(asked, True)
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -216,8 +216,8 @@
                 if job_id in replica.jobs:
                     self.fleet.note(replica.jobs[job_id])
                     if (
-                        job_id in replica.dependencies.needs
-                        and job_id not in replica.dependencies.waiting
+                        job_id in replica.dependencies.prerequisites
+                        and job_id not in replica.dependencies.waiting_jobs
                     ):
                         self.queue_order.ready_at.setdefault(job_id, self.runtime.wall)
                 self.reconcile_queue.jobs.add(job_id)
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -30,7 +30,8 @@
         replica = self.engine.replica
         jobs = [
             replica.jobs[job_id]
-            for job_id in replica.dependencies.waiting - replica.dependencies.doomed
+            for job_id in replica.dependencies.waiting_jobs
+            - replica.dependencies.cancelled_by_dependency
             if job_id in replica.jobs and job_id not in replica.cancelled_jobs
         ]
         found = [job for job in jobs if self._worthwhile(job) and self._due(job)]
@@ -42,7 +43,7 @@
         A machine that waits costs money, so there must be a deadline behind the job that
         can still be met, or an objective for its wait.
         """
-        _, end = self.engine.replica.dependencies.pressing(job)
+        _, end = self.engine.replica.dependencies.inherited_priority(job)
         waits = self.engine.objectives.has_wait_limit(job.spec)
         has_deadline = end < job.submitted_at + c.NO_DEADLINE_S
         return waits or (has_deadline and self.engine.wall < end)
@@ -60,12 +61,19 @@
 
         Infinite if that cannot be told, or if one of them waits itself.
         """
-        return max(map(self._over_in, self.engine.replica.dependencies.left(job.id)), default=0.0)
+        return max(
+            map(self._over_in, self.engine.replica.dependencies.unfinished_prerequisites(job.id)),
+            default=0.0,
+        )
 
     def _over_in(self, job_id: str) -> float:
         """Seconds until an open job is over, by its owner's estimate."""
         job = self.engine.replica.jobs.get(job_id)
-        if job is None or job.spec.service or job_id in self.engine.replica.dependencies.waiting:
+        if (
+            job is None
+            or job.spec.service
+            or job_id in self.engine.replica.dependencies.waiting_jobs
+        ):
             return math.inf
         left = job.spec.estimate_s if job.queued_task_count > 0 else 0.0
         for attempt in job.attempts:
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -74,7 +74,7 @@
 
     def final_state(self, job: Job) -> str | None:
         """Say how the job has ended, if it has."""
-        if job.cancelled or job.id in self.engine.replica.dependencies.doomed:
+        if job.cancelled or job.id in self.engine.replica.dependencies.cancelled_by_dependency:
             return wire.CANCELLED if not job.attempts else None
         if not job.spec.service and len(job.completed_tasks) == job.spec.tasks:
             return wire.DONE
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -33,7 +33,7 @@
 
         A job that others need has the highest rank of them, and their ends less what they take.
         """
-        rank, end = self.engine.replica.dependencies.pressing(job)
+        rank, end = self.engine.replica.dependencies.inherited_priority(job)
         since = self.waiting_since(job)
         waited = self.engine.wall - since
         if (
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -235,7 +235,7 @@
                 for j in replica.queued_jobs.union(
                     j
                     for j in self.queue.capacity_freed_at
-                    if j in replica.jobs and j not in replica.dependencies.waiting
+                    if j in replica.jobs and j not in replica.dependencies.waiting_jobs
                 )
             )
             if self.e.replica.owns_job(self.e.settings.name, job)
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -16,8 +16,8 @@
 
 from appledock import constants as c
 from appledock.core.records.capacity import CAPACITY, CapacityRecords
-from appledock.core.records.dependencies import Dependencies
-from appledock.core.records.job import Attempt, Job
+from appledock.core.records.dependencies import DependencyGraph
+from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.records.versioned import Versioned
 from appledock.core.store.keys import CATALOGUE, FINAL, FORMAT, JOBS, MEMBERS, SETTINGS, TEAMS, VIEW
 
@@ -119,7 +119,7 @@
         self.record_format = Versioned(1)
         """format of stored records that all members write"""
         self.capacity = CapacityRecords()
-        self.dependencies = Dependencies()
+        self.dependencies = DependencyGraph()
         self.queued_jobs: set[str] = set()
         """open jobs with tasks that wait for a step, and for no other job"""
         self.marks: dict[str, int] = {}
@@ -264,12 +264,12 @@
         self.final_states[job] = state
         if len(self.final_states) > c.FINAL_CACHE:
             self.final_states.popitem(last=False)
-        self.dependencies.final(job, state)
+        self.dependencies.on_job_ended(job, state)
         self._follow_needs()
 
     def _follow_needs(self) -> None:
         """Jobs that became ready, or are cancelled with one that they need."""
-        changed, self.dependencies.changed = self.dependencies.changed, set()
+        changed, self.dependencies.changed_jobs = self.dependencies.changed_jobs, set()
         for job_id in changed:
             job = self.jobs.get(job_id)
             if job is not None:
@@ -278,14 +278,14 @@
                 self.changed_teams.add(job.spec.team)
 
     def _queue(self, job: Job) -> None:
-        if job.queued_task_count > 0 and job.id not in self.dependencies.waiting:
+        if job.queued_task_count > 0 and job.id not in self.dependencies.waiting_jobs:
             self.queued_jobs.add(job.id)
         else:
             self.queued_jobs.discard(job.id)
 
     def is_cancelled(self, job_id: str) -> bool:
         """Is the open job cancelled, by its user or with one that it needs?"""
-        return job_id in self.cancelled_jobs or job_id in self.dependencies.doomed
+        return job_id in self.cancelled_jobs or job_id in self.dependencies.cancelled_by_dependency
 
     def set_job(self, job: Job) -> None:
         """A record that this controller has just committed."""
@@ -298,7 +298,7 @@
         job.seal()
         self._index(old, job)
         self.jobs_by_team.setdefault(job.spec.team, set()).add(job.id)
-        self.dependencies.job(job, self.jobs, self.final_states)
+        self.dependencies.on_job_recorded(job, self.jobs, self.final_states)
         self._queue(job)
         if job.cancelled:
             self.cancelled_jobs.add(job.id)
@@ -331,7 +331,7 @@
             self._index(job, None)
             self.queued_jobs.discard(job_id)
             self.cancelled_jobs.discard(job_id)
-            self.dependencies.dropped(job_id)
+            self.dependencies.on_record_deleted(job_id)
             self.changed_teams.add(job.spec.team)
             team = self.jobs_by_team.get(job.spec.team)
             if team is not None:
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -407,7 +407,9 @@
     """It is read; until then the job behind it is neither placed nor answered for."""
     e = ready_engine()
     e.replica.set_job(Job(spec(id="job-2", tethers=["job-1"]), 0.0, 3))
-    assert "job-2" not in e.replica.queued_jobs and e.replica.dependencies.undecided("job-2")
+    assert "job-2" not in e.replica.queued_jobs and e.replica.dependencies.has_unknown_outcome(
+        "job-2"
+    )
     effects = e.handle([ev.Tick()], 100.1, 0.0)
     read = next(x for x in calls(effects, GetKey) if x.request.key.startswith(JOBS))
     effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(9))], 100.2, 0.0)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -91,12 +91,12 @@
         job = Job(model.specs[name], 100.0, version, cancelled=name in model.cancelled)
         replica.set_job(job)
     needed = {need for name in model.open() for need in model.needs(name)}
-    assert replica.dependencies.unknown == {need for need in needed if need in model.ended}
+    assert replica.dependencies.unknown_outcomes == {need for need in needed if need in model.ended}
     for name in model.open():
-        assert replica.dependencies.undecided(name) == any(
+        assert replica.dependencies.has_unknown_outcome(name) == any(
             need in model.ended for need in above(model, name, set())
         )
-    for need in sorted(replica.dependencies.unknown):
+    for need in sorted(replica.dependencies.unknown_outcomes):
         replica.put(FINAL + need, {"state": model.ended[need]}, 1000)
     return replica
 
@@ -155,7 +155,9 @@
         elif what == "anew":
             replica = started_anew(model)
             revision = 1000 + revision
-        for need in sorted(replica.dependencies.unknown):  # ended before this controller started
+        for need in sorted(
+            replica.dependencies.unknown_outcomes
+        ):  # ended before this controller started
             replica.put(FINAL + need, {"state": model.ended[need]}, revision)
         compare(model, replica)
 
@@ -166,8 +168,8 @@
         needs = [f"job-{number - 1}"] if number else None
         replica.set_job(Job(spec(id=f"job-{number}", tethers=needs), 100.0, number + 1))
     last = replica.jobs["job-2999"]
-    assert replica.dependencies.pressing(replica.jobs["job-0"])[0] == last.spec.rank
+    assert replica.dependencies.inherited_priority(replica.jobs["job-0"])[0] == last.spec.rank
     first = replica.jobs["job-0"].copy()
     first.cancelled, first.version = True, 5000
     replica.set_job(first)
-    assert len(replica.dependencies.doomed) == 2999
+    assert len(replica.dependencies.cancelled_by_dependency) == 2999
