--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -52,7 +52,7 @@
         for machine, since in self._returning.items():
             if engine.now - since >= self.shares.settings.give_back_s:
                 for job_id, tasks in self._savers(machine).items():
-                    engine.reconciler.ask_to_stop(engine.replica.jobs[job_id], machine, tasks)
+                    engine.stop_requests.send_to_owner(engine.replica.jobs[job_id], machine, tasks)
 
     def _savers(self, machine: str) -> dict[str, set[int]]:
         """Job -> its tasks on the machine that save, and that nobody has told to stop."""
@@ -183,4 +183,4 @@
                     continue
                 for job_id, tasks in self._savers(machine).items():
                     if engine.replica.owns_job(engine.settings.name, engine.replica.jobs[job_id]):
-                        engine.reconciler.stop(job_id, machine, tasks)
+                        engine.stop_requests.add(job_id, machine, tasks)
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -19,6 +19,7 @@
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
+from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.heartbeats import Heartbeats
@@ -83,6 +84,9 @@
         self.settlement = Settlement(self)
         self.preemption = Preemption(self)
         self.job_writer = JobWriter(self)
+        self.stop_requests = StopRequests(
+            self.runtime, self.replica, self.job_writer, self.reconcile_queue
+        )
         self.handoff = HandOff(self.runtime, self.replica)
         self.pacing = Pacing(
             self.runtime,
@@ -114,6 +118,7 @@
             queue_order=self.queue_order,
             reconcile_queue=self.reconcile_queue,
             settlement=self.settlement,
+            stop_requests=self.stop_requests,
             reconciler=self.reconciler,
             cancellation=self.cancellation,
             fleet=self.fleet,
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -15,6 +15,7 @@
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
+from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
@@ -54,6 +55,7 @@
         queue_order: QueueOrder,
         reconcile_queue: ReconcileQueue,
         settlement: Settlement,
+        stop_requests: StopRequests,
         reconciler: Reconciler,
         cancellation: CancellationEnforcer,
         fleet: Fleet,
@@ -77,6 +79,7 @@
         self.queue_order = queue_order
         self.reconcile_queue = reconcile_queue
         self.settlement = settlement
+        self.stop_requests = stop_requests
         self.reconciler = reconciler
         self.cancellation = cancellation
         self.fleet = fleet
@@ -158,7 +161,7 @@
             case messages.MachinesRented() | messages.MachineCordoned():
                 self.fleet.on_peer(message)
             case messages.StopTasks():
-                self.reconciler.stop(message.job, message.machine, set(message.tasks))
+                self.stop_requests.add(message.job, message.machine, set(message.tasks))
             case messages.JobCancelled():
                 self.cancellation.on_peer(message)
             case messages.MoveRequested() | messages.MoveHeld() | messages.MoveEnded():
--- a/appledock/core/fleet/cordons.py
+++ b/appledock/core/fleet/cordons.py
@@ -108,7 +108,7 @@
                 continue
             tasks = _running_tasks(attempts)
             if tasks and engine.replica.owns_job(engine.settings.name, job):
-                engine.reconciler.stop(job_id, name, tasks)
+                engine.stop_requests.add(job_id, name, tasks)
 
 
 def _running_tasks(attempts: list[Attempt]) -> set[int]:
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -222,7 +222,7 @@
         spec = engine.replica.jobs[order.job].spec
         self.active[order.job] = self._under_way(order)
         engine.capacity_index.reserve_for_move(order.destination, spec)
-        engine.reconciler.stop(order.job, order.source, {order.task})
+        engine.stop_requests.add(order.job, order.source, {order.task})
 
     def _refused_by_job(self, order: MoveOrder) -> Outcome | None:
         engine = self.engine
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -279,4 +279,4 @@
             self._stop(victim, machine)
 
     def _stop(self, victim: Victim, machine: str) -> None:
-        self.e.reconciler.ask_to_stop(victim.job, machine, {victim.task})
+        self.e.stop_requests.send_to_owner(victim.job, machine, {victim.task})
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -7,11 +7,9 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import PeerSend
 from appledock.core.jobs.reconcile_queue import PendingReason
 from appledock.core.machines.capacity_index import StepReservation
 from appledock.core.machines.machine_capacity import MachineCapacity, is_allowed_on
-from appledock.core.messages import StopTasks
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
 from appledock.core.scheduling.placement import PlacedTasks, Sampling
@@ -30,8 +28,7 @@
         self.e = engine
         self.next_later = 0.0
         self.lost_since: dict[str, float] = {}
-        self.stops: dict[str, dict[str, set[int]]] = {}
-        """job -> machine -> tasks that are to be stopped there"""
+        self.stop_requests = engine.stop_requests
         self.queue = engine.reconcile_queue
         self.settlement = engine.settlement
         self.preemption = engine.preemption
@@ -83,8 +80,7 @@
                 self._settle(job)
             else:
                 self.handoff.forget(job_id)
-                # Kept, a wish would stop whatever runs there once the job is ours again.
-                self.stops.pop(job_id, None)
+                self.stop_requests.forget(job_id)
         if self.e.now >= self.next_queue and self.queue.placement_due:
             self.next_queue = self.e.now + c.QUEUE_EVERY_S
             self.queue.placement_due = False
@@ -92,7 +88,7 @@
 
     def _clear(self, job_id: str) -> None:
         self.lost_since.pop(job_id, None)
-        self.stops.pop(job_id, None)
+        self.stop_requests.forget(job_id)
         self.queue.forget(job_id)
         self.settlement.forget(job_id)
         self.handoff.forget(job_id)
@@ -126,50 +122,6 @@
             for task in attempt.tasks
         )
 
-    # --- stopping ---------------------------------------------------------
-    def stop(self, job_id: str, machine: str, tasks: set[int]) -> None:
-        """Stop tasks of a job on a machine: committed first, then halted.
-
-        Wishes wait while the job has a write under way; dropping them would
-        leave machines half cleared.
-        """
-        self.stops.setdefault(job_id, {}).setdefault(machine, set()).update(tasks)
-        self.writer.withdraw(job_id)
-        self.queue.jobs.add(job_id)
-
-    def ask_to_stop(self, job: Job, machine: str, tasks: set[int]) -> None:
-        """Stop tasks of anybody's job: its owner does it."""
-        if self.e.replica.owns_job(self.e.settings.name, job):
-            self.stop(job.id, machine, tasks)
-        else:
-            owner = self.e.replica.job_owner(job)
-            self.e.emit(PeerSend(StopTasks(job.id, machine, sorted(tasks)), owner))
-
-    def _apply_stops(self, job: Job) -> bool:
-        """Mark what is to be stopped in this copy of the record."""
-        changed = False
-        for machine, tasks in self.stops.pop(job.id, {}).items():
-            for attempt in list(job.attempts):
-                hit = attempt.tasks & tasks
-                if attempt.machine != machine or attempt.stopping or not hit:
-                    continue
-                changed = True
-                if hit == attempt.tasks:
-                    attempt.stopping = True
-                else:
-                    attempt.tasks -= hit
-                    job.attempts.append(
-                        Attempt(
-                            machine,
-                            attempt.agent_epoch,
-                            attempt.attempt_number,
-                            attempt.term,
-                            True,
-                            hit,
-                        )
-                    )
-        return changed
-
     # --- settling ---------------------------------------------------------
     def _settle(self, job: Job) -> None:
         if not self.writer.can_write(job):
@@ -180,9 +132,9 @@
             return
         new = self.settlement.without_settled_attempts(job)
         over = self.writer.final_state(new or job)
-        if job.id in self.stops and not over:
+        if self.stop_requests.has_any(job.id) and not over:
             stopped = self.settlement.copy_without_settled_attempts(job)
-            if self._apply_stops(stopped):
+            if self.stop_requests.mark_stopping(stopped):
                 self.writer.commit(job, stopped, Priority.URGENT)
                 return
         if new is None or new.queued_task_count <= job.queued_task_count:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -385,9 +385,9 @@
     job = Job(spec(crates=4), 0, 5)
     job.attempts.append(Attempt("vm-1", 1, 1, 1, False, {0, 1, 2}))
     e.job_writer.jobs_in_flight.add(job.id)
-    e.reconciler.stop(job.id, "vm-1", {0})
-    e.reconciler.stop(job.id, "vm-1", {2})
-    assert e.reconciler._apply_stops(job)
+    e.stop_requests.add(job.id, "vm-1", {0})
+    e.stop_requests.add(job.id, "vm-1", {2})
+    assert e.stop_requests.mark_stopping(job)
     assert sorted((a.stopping, sorted(a.tasks)) for a in job.attempts) == [
         (False, [1]),
         (True, [0, 2]),
@@ -405,7 +405,7 @@
         wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, True, notice_s=9.0)
     )
     e.fleet.cordons.drain(())
-    assert e.reconciler.stops == {"job-1": {"vm-1": {0}}}
+    assert e.stop_requests.pending == {"job-1": {"vm-1": {0}}}
 
 
 def test_machines_that_died_idle_are_given_back_too() -> None:
@@ -580,7 +580,7 @@
     assert e.capacity_index.reserved_tasks == {vm: {mine[1]: 1}}
     assert mine[0] not in e.job_writer.jobs_in_flight and mine[1] in e.job_writer.jobs_in_flight
     # A stop takes the waiting write of its own job back too, but not an urgent one.
-    e.reconciler.stop(mine[1], vm, {0})
+    e.stop_requests.add(mine[1], vm, {0})
     assert mine[1] in e.job_writer.jobs_in_flight
 
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -384,7 +384,7 @@
     engine.capacity_index.reserve_step("job-000099", others)
     assert engine.moves._refused_by_job(order) is Outcome.NO_ROOM
     engine.moves.on_peer(MoveHeld(order))
-    assert not engine.moves.active and not engine.reconciler.stops
+    assert not engine.moves.active and not engine.stop_requests.pending
 
 
 def _fields(order: MoveOrder) -> dict[str, Any]:
--- a/tests/test_old_words.py
+++ b/tests/test_old_words.py
@@ -56,7 +56,7 @@
     e.handle([ev.PeerMessage(stop)], NOW, 0.0)
     job.handoff_target = ("n0", "x.1")
     e.handle([ev.PeerMessage(stop)], NOW, 0.0)
-    assert [bool(e.reconciler.stops), bool(e.job_writer.queued_calls)] == [
+    assert [bool(e.stop_requests.pending), bool(e.job_writer.queued_calls)] == [
         False,
         True,
     ]  # that one is written
