--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -187,7 +187,9 @@
     e.workers.deleted_machines.update(dict.fromkeys(names, 0.0))
     e.workers.gossip.on_peer_connected("n1")
     e.workers.gossip._send_alive(list(e.workers.table), "n1")
-    sizes = [len(wire.encode(x.message)) for x in e.effects if isinstance(x, ev.PeerSend)]
+    sizes = [
+        len(wire.encode(x.message)) for x in e.runtime.take_effects() if isinstance(x, ev.PeerSend)
+    ]
     assert max(sizes) < c.PEER_FRAME_MAX / 2
 
 
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -442,7 +442,7 @@
     standard = Job(spec(id="job-5", rank="standard"), 0.0, 3)
     assert [victim.job.id for victim in e.preemption.preemptible_tasks(standard, room)] == ["job-1"]
     e.replica.set_job(Job(spec(id="job-2", rank="urgent", tethers=["job-1"]), 0.0, 4))
-    assert e.rank(e.replica.jobs["job-1"]) == wire.RANKS["urgent"]
+    assert e.replica.dependencies.inherited_rank(e.replica.jobs["job-1"]) == wire.RANKS["urgent"]
     assert e.preemption.preemptible_tasks(standard, room) == []
     # Nor does its inherited rank stop others: that of `standard` is lower than urgent.
     e.replica.set_job(
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -153,7 +153,7 @@
     e, fresh = owner_of_nothing(), owner_of_nothing()
     e.workers.ingest_heartbeat(report("vm-1", 50))
     e.workers.on_peer_connected("n1")
-    for effect in e.effects:
+    for effect in e.runtime.take_effects():
         assert isinstance(effect, ev.PeerSend)
         fresh.handle([ev.PeerMessage(json.loads(wire.encode(effect.message)))], fresh.now, 0.0)
     assert not fresh.workers.ingest_heartbeat(report("vm-1", 49))
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -214,7 +214,7 @@
             if where == number
         ]
         for task in row.tasks:
-            row.reserve(task.spec, 1)
+            row.take(task.spec, 1)
         row.smoothed = self.smoothed.get(number, row.load).followed(row.load, self.lag)
         return row
 
@@ -434,7 +434,7 @@
     rows = fleet.rows()
     for number, tasks in by_machine.items():
         for task in tasks:
-            rows[number].reserve(task.spec, 1)
+            rows[number].take(task.spec, 1)
 
     def read(row: MachineLoad) -> list[RunningTask]:
         nonlocal reads
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -347,7 +347,7 @@
     gaps = [later - earlier for earlier, later in zip(tries, tries[1:], strict=False)]
     assert gaps == sorted(gaps) and gaps[-1] > 3 * gaps[0]
     assert min(bounds) < max(bounds)
-    assert e.refusals["too large or malformed"] == len(tries)
+    assert e.client.refusals["too large or malformed"] == len(tries)
     assert e.reconcile_queue.pending_reasons[name] == "record refused by the state service"
 
 
