--- a/appledock/core/api/health.py
+++ b/appledock/core/api/health.py
@@ -32,7 +32,7 @@
         """
         return (
             self._reader.loaded
-            and self._membership.joined
+            and self._membership.is_joined()
             and bool(self._machine_types)
             and not self._heartbeats.is_isolated()
         )
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from appledock import wire
+from appledock import constants, wire
 from appledock.capacity.settings import Capacity
 from appledock.core import events as ev
 from appledock.core.api.admin import AdminApi
@@ -21,8 +21,10 @@
 from appledock.core.jobs.settlement import Settlement
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex
-from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.format_upgrade import NEWEST_FORMAT
+from appledock.core.membership.heartbeats import Heartbeats, LocalStatus
 from appledock.core.membership.membership import Membership
+from appledock.core.membership.protocol import MembershipProtocol
 from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.quota import Quota
@@ -67,9 +69,22 @@
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
         self.reader = StateReader(self)
         self.view_requests = ViewChangeRequests()
-        self.membership = Membership(self)
-        self.heartbeats = Heartbeats(self)
+        self.membership = Membership(self.runtime, self.replica)
+        self.heartbeats = Heartbeats(
+            self.runtime, self.client, self.replica, self.membership, self._local_status
+        )
         self.workers = Workers(self)
+        self.membership_protocol = MembershipProtocol(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            membership=self.membership,
+            heartbeats=self.heartbeats,
+            requests=self.view_requests,
+            is_deleted=lambda machine: machine in self.workers.deleted_machines,
+            newest_format=NEWEST_FORMAT if capacity is None else constants.CAPACITY_FORMAT,
+        )
         self.capacity_index = CapacityIndex(self)
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
@@ -99,7 +114,7 @@
             client=self.client,
             replica=self.replica,
             reader=self.reader,
-            membership=self.membership,
+            membership_protocol=self.membership_protocol,
             heartbeats=self.heartbeats,
             workers=self.workers,
             capacity_index=self.capacity_index,
@@ -123,6 +138,13 @@
         """Work through a batch; `now` is the steady clock, `wall` the time of day (s)."""
         return self.engine.handle(batch, now, wall)
 
+    def _local_status(self) -> LocalStatus:
+        return LocalStatus(
+            reporting_fraction=self.workers.reporting_fraction(),
+            owner_timeouts=self.workers.owner_timeout_counts(),
+            is_service_rate_limited=self.pacing.is_service_rate_limited(),
+        )
+
     # --- for the parts that are still given the controller -----------------
     @property
     def settings(self) -> Settings:
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -17,7 +17,7 @@
 from appledock.core.jobs.settlement import Settlement
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.heartbeats import Heartbeats
-from appledock.core.membership.membership import Membership
+from appledock.core.membership.protocol import MembershipProtocol
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.quota import Quota
 from appledock.core.rebalancing.rebalancer import Rebalancer
@@ -43,7 +43,7 @@
         client: StoreClient,
         replica: Replica,
         reader: StateReader,
-        membership: Membership,
+        membership_protocol: MembershipProtocol,
         heartbeats: Heartbeats,
         workers: Workers,
         capacity_index: CapacityIndex,
@@ -66,7 +66,7 @@
         self.client = client
         self.replica = replica
         self.reader = reader
-        self.membership = membership
+        self.membership_protocol = membership_protocol
         self.heartbeats = heartbeats
         self.workers = workers
         self.capacity_index = capacity_index
@@ -171,7 +171,7 @@
     def _tick(self) -> None:
         self.reader.tick()
         for tick in (
-            self.membership.tick,
+            self.membership_protocol.tick,
             self.heartbeats.tick,
             self.workers.tick,
             self.cancellation.tick,
@@ -194,7 +194,7 @@
             view = replica.view
             assert view is not None
             self.workers.on_view(self._applied_view)
-            self.membership.on_view()
+            self.membership_protocol.on_view()
             self.quota.on_view()
             self.moves.on_view()
             self.capacity_index.mark_all_changed()
--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -1,146 +1,183 @@
-"""Heartbeats between the controllers: who reaches the state service, and whom we reach.
+"""Heartbeats between the controllers: which of them are served by the store, and reachable.
 
-An outage of the state service cannot be told apart from a refusal that only we
-meet, unless the others say how they fare. Nothing here grants or ends a right:
-heartbeats decide who should be asked, never who may act.
+An outage of the key-value store cannot be told from a refusal that only this controller meets,
+unless the others say how they fare. This is a failure detector and no more: it decides who is
+asked, and who asks for a change of the view; rights come from view and lease alone.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
-from appledock import constants as c
+from appledock import constants
 from appledock.core.events import PeerSend
+from appledock.core.membership.membership import Membership
 from appledock.core.messages import Heartbeat
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
+from appledock.core.store.replica import Replica
 
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
+
+@dataclass(frozen=True, slots=True)
+class LocalStatus:
+    """What other parts of this controller contribute to its heartbeats."""
+
+    reporting_fraction: float
+    """part of its workers that lately reported to it"""
+    owner_timeouts: dict[str, int]
+    """owner -> workers that came here after waiting for that owner's answer in vain"""
+    is_service_rate_limited: bool
+    """do services wait here for writes to the store?"""
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedHeartbeat:
-    """The last heartbeat of a peer."""
+    """The last heartbeat of a peer; moments by the local clock."""
 
-    at: float
+    received_at: float
     served_at: float
-    """when the peer last reached the state service, by our clock"""
+    """when the store last served the peer"""
     heartbeat: Heartbeat
 
 
 class Heartbeats:
-    """What the controllers tell each other about themselves."""
-
-    def __init__(self, engine: Controller) -> None:
-        self.engine = engine
+    """Sends this controller's heartbeats, and judges the peers by theirs."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        client: StoreClient,
+        replica: Replica,
+        membership: Membership,
+        local_status: Callable[[], LocalStatus],
+    ) -> None:
+        self._runtime = runtime
+        self._client = client
+        self._replica = replica
+        self._membership = membership
+        self._local_status = local_status
+        self._peers = [peer.name for peer in runtime.settings.peers]
         self.last_heartbeats: dict[str, ReceivedHeartbeat] = {}
-        self.next_at = 0.0
-        self.served_or_outage_at = 0.0
-        """when we were last served, or knew that nobody is"""
+        """peer -> its last heartbeat"""
+        self._next_heartbeat_at = 0.0
+        self._not_isolated_at = 0.0
+        """when the store last served this controller, or was known to serve nobody"""
 
+    # --- sending and receiving --------------------------------------------
     def tick(self) -> None:
-        """Tell the peers how we fare, if it is time to."""
-        if not self._shut_out_now():
-            self.served_or_outage_at = self.engine.now
-        if self.engine.now >= self.next_at:
-            self.next_at = self.engine.now + c.HEARTBEAT_EVERY_S
-            self._send()
-            if self.last_heartbeats:
-                self.engine.client.limiter.on_peer_write_rate(
-                    sum(heard.heartbeat.writes for heard in self._reached()),
-                    self.engine.settings.cluster.state.write_rps * c.BUDGET_SHARE,
-                )
+        """Send a heartbeat if one is due, and tell the rate limiter what the peers write."""
+        now = self._runtime.now
+        if not self._is_served_less_than_peers():
+            self._not_isolated_at = now
+        if now < self._next_heartbeat_at:
+            return
+        self._next_heartbeat_at = now + constants.HEARTBEAT_EVERY_S
+        self._send()
+        if self.last_heartbeats:
+            self._client.limiter.on_peer_write_rate(
+                sum(received.heartbeat.writes for received in self._from_reachable_peers()),
+                self._runtime.settings.cluster.state.write_rps * constants.BUDGET_SHARE,
+            )
 
     def _send(self) -> None:
-        engine = self.engine
-        since = engine.now - engine.membership.store_answered_at
+        served_s = self._runtime.now - self._membership.store_answered_at
+        status = self._local_status()
         heartbeat = Heartbeat(
-            node=engine.settings.name,
-            served_s=round(min(since, c.AGE_MAX_S), 3),
-            writes=round(engine.client.limiter.recent_write_rate, 2),
-            reporting=round(engine.workers.reporting_fraction(), 3),
-            unanswered=engine.workers.owner_timeout_counts(),
-            pressed=engine.pacing.is_service_rate_limited(),
+            node=self._runtime.node,
+            served_s=round(min(served_s, constants.AGE_MAX_S), 3),
+            writes=round(self._client.limiter.recent_write_rate, 2),
+            reporting=round(status.reporting_fraction, 3),
+            unanswered=status.owner_timeouts,
+            pressed=status.is_service_rate_limited,
         )
-        engine.emit(PeerSend(heartbeat))
+        self._runtime.emit(PeerSend(heartbeat))
 
     def on_peer(self, message: Heartbeat) -> None:
-        """Note how a peer fares."""
-        now = self.engine.now
+        """A peer's heartbeat has arrived."""
+        now = self._runtime.now
         self.last_heartbeats[message.node] = ReceivedHeartbeat(now, now - message.served_s, message)
 
+    # --- a single controller ----------------------------------------------
     def is_reachable(self, node: str) -> bool:
-        """Do messages of this controller arrive here?"""
-        if node == self.engine.settings.name:
+        """Did the last heartbeat of the node arrive within `HEARTBEAT_LOST_S`?"""
+        if node == self._runtime.node:
             return True
-        heard = self.last_heartbeats.get(node)
-        return heard is not None and self.engine.now - heard.at < c.HEARTBEAT_LOST_S
-
-    def _reached(self) -> Iterator[ReceivedHeartbeat]:
-        """The last heartbeats of the peers whose messages arrive here."""
-        return (heard for peer, heard in self.last_heartbeats.items() if self.is_reachable(peer))
+        received = self.last_heartbeats.get(node)
+        return (
+            received is not None
+            and self._runtime.now - received.received_at < constants.HEARTBEAT_LOST_S
+        )
 
     def is_served(self, node: str) -> bool:
-        """Does it, as far as it says, reach the state service?"""
-        if node == self.engine.settings.name:
-            return self.engine.membership.can_act()
+        """Is the node reachable, and lately served by the store, as far as it says?"""
+        if node == self._runtime.node:
+            return self._membership.can_act()
         return self.is_reachable(node) and (
-            self.engine.now - self.last_heartbeats[node].served_at < c.HEARTBEAT_SERVED_S
+            self._runtime.now - self.last_heartbeats[node].served_at < constants.HEARTBEAT_SERVED_S
         )
 
     def receives_worker_reports(self, node: str) -> bool:
-        """Does it, as far as it says, hear most of its workers?"""
-        heard = self.last_heartbeats.get(node)
-        share = heard.heartbeat.reporting if heard is not None else 1.0
-        return self.is_reachable(node) and share >= c.REPORTING_SHARE
-
-    def unanswered_workers_at_peers(self, owner: str) -> int:
-        """Workers that waited for the owner in vain and then came to a peer of ours."""
-        return sum(heard.heartbeat.unanswered.get(owner, 0) for heard in self._reached())
+        """Is the node reachable, and do most of its workers reach it, as far as it says?"""
+        received = self.last_heartbeats.get(node)
+        fraction = received.heartbeat.reporting if received is not None else 1.0
+        return self.is_reachable(node) and fraction >= constants.REPORTING_SHARE
+
+    # --- all peers --------------------------------------------------------
+    def _from_reachable_peers(self) -> Iterator[ReceivedHeartbeat]:
+        return (
+            received for peer, received in self.last_heartbeats.items() if self.is_reachable(peer)
+        )
 
     def is_any_peer_under_pressure(self) -> bool:
-        """Do services of another controller wait for the writes that we all share?"""
-        return any(heard.heartbeat.pressed for heard in self._reached())
+        """Do services of another controller wait for the writes that all share?"""
+        return any(received.heartbeat.pressed for received in self._from_reachable_peers())
+
+    def unanswered_workers_at_peers(self, owner: str) -> int:
+        """Workers that came to a reachable peer after waiting for the owner in vain."""
+        return sum(
+            received.heartbeat.unanswered.get(owner, 0) for received in self._from_reachable_peers()
+        )
 
     def peer_contacted_by_workers_of(self, owner: str) -> str | None:
-        """The peer to which most of those workers came."""
+        """The reachable peer to which most of those workers came; None if none did."""
         counts = {
-            heard.heartbeat.node: heard.heartbeat.unanswered.get(owner, 0)
-            for heard in self._reached()
+            received.heartbeat.node: received.heartbeat.unanswered.get(owner, 0)
+            for received in self._from_reachable_peers()
         }
         peer = max(sorted(counts), key=counts.__getitem__, default=None)
         return peer if peer is not None and counts[peer] else None
 
-    def _shut_out_now(self) -> bool:
-        served = self.engine.membership.store_answered_at
-        peers = [peer.name for peer in self.engine.settings.peers]
-        if not peers or self.engine.now - served < c.SHUT_OUT_S:
+    # --- failures ---------------------------------------------------------
+    def _is_served_less_than_peers(self) -> bool:
+        """Was the store's last answer to this controller well before its last one to a peer?
+
+        In an outage, the peers were last served at about the same time. True as well if no peer
+        is reachable.
+        """
+        served_at = self._membership.store_answered_at
+        if not self._peers or self._runtime.now - served_at < constants.SHUT_OUT_S:
             return False
-        reached = [peer for peer in peers if self.is_reachable(peer)]
-        # In an outage, the others were last served at about the same time.
-        return not reached or any(
-            self.last_heartbeats[peer].served_at - served > c.SERVED_LATER_S for peer in reached
+        reachable = [peer for peer in self._peers if self.is_reachable(peer)]
+        return not reachable or any(
+            self.last_heartbeats[peer].served_at - served_at > constants.SERVED_LATER_S
+            for peer in reachable
         )
 
     def is_isolated(self) -> bool:
-        """Are we the only ones that the state service does not serve?
+        """Is this controller the only one that the store does not serve, for some time now?
 
-        True as well if we reach nobody: then the others probably go on without us.
+        True as well if it reaches no peer: then the others probably go on without it.
         """
-        return self.engine.now - self.served_or_outage_at > c.SHUT_OUT_FOR_S
+        return self._runtime.now - self._not_isolated_at > constants.SHUT_OUT_FOR_S
 
     def has_leader_failed(self) -> bool:
-        """Does the leader, and not the network between us all, fail?
+        """Does the leader, and not the network between all controllers, fail?
 
-        It says that it is not served, or it alone is not heard.
+        It says itself that the store does not serve it, or it alone is unreachable.
         """
-        view = self.engine.replica.view
+        view = self._replica.view
         if view is None or self.is_served(view.leader):
             return False
-        others = [
-            peer.name
-            for peer in self.engine.settings.peers
-            if peer.name != view.leader and peer.name in view.members
-        ]
+        others = [peer for peer in self._peers if peer != view.leader and peer in view.members]
         return self.is_reachable(view.leader) or any(self.is_served(peer) for peer in others)
--- /dev/null
+++ b/appledock/core/membership/lease_renewal.py
@@ -0,0 +1,97 @@
+"""Keeps the lease alive and the view confirmed while this controller is joined."""
+
+from __future__ import annotations
+
+from appledock import constants
+from appledock.core.membership.membership import Membership
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
+from appledock.core.store.keys import VIEW
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import Replica
+from appledock.core.store_calls import (
+    Acknowledged,
+    GetKey,
+    Missing,
+    RenewLease,
+    Row,
+    StoreOutcome,
+)
+
+
+class LeaseRenewal:
+    """Renews the lease and reads the view; at most one call of each kind is in flight."""
+
+    def __init__(
+        self, runtime: Runtime, client: StoreClient, replica: Replica, membership: Membership
+    ) -> None:
+        self._runtime = runtime
+        self._client = client
+        self._replica = replica
+        self._membership = membership
+        self._next_renewal_at = 0.0
+        self._is_renewing = False
+        self._is_confirming = False
+
+    def tick(self) -> None:
+        """Renew the lease and confirm the view, if it is time to."""
+        if self._runtime.now >= self._next_renewal_at and not self._is_renewing:
+            self._renew()
+            self.confirm()
+
+    def on_joined(self) -> None:
+        """The lease is new: its first renewal is due in half the usual interval."""
+        self._next_renewal_at = self._runtime.now + constants.TOUCH_EVERY_S / 2
+
+    def _renew(self) -> None:
+        """Renew the lease, which counts from now on if that succeeds, not from the answer."""
+        self._is_renewing = True
+        sent_at = self._runtime.now
+        lease = self._membership.lease
+
+        def on_outcome(outcome: StoreOutcome) -> None:
+            self._is_renewing = False
+            if lease != self._membership.lease:
+                return  # of an earlier incarnation
+            match outcome:
+                case Acknowledged():
+                    self._membership.on_lease_renewed(sent_at)
+                    self._next_renewal_at = max(
+                        self._runtime.now, sent_at + constants.TOUCH_EVERY_S
+                    )
+                case Missing():
+                    self._membership.on_lost("lease expired")
+                case _:
+                    self._next_renewal_at = self._runtime.now + constants.TOUCH_RETRY_S * (
+                        0.75 + self._runtime.rng.random() / 2
+                    )
+
+        assert lease is not None  # joined, so there is one
+        self._client.submit(RenewLease(lease), Priority.LEASE, on_outcome)
+
+    def confirm(self) -> None:
+        """Read the view: a linearizable read proves that none newer existed when it was sent.
+
+        Counts for authority only if it returns the very view that this controller goes by, and
+        that view names its present incarnation.
+        """
+        if self._is_confirming or not self._membership.is_joined():
+            return
+        self._is_confirming = True
+        sent_at = self._runtime.now
+        incarnation = self._membership.incarnation
+
+        def on_outcome(outcome: StoreOutcome) -> None:
+            self._is_confirming = False
+            membership = self._membership
+            if not isinstance(outcome, Row) or incarnation != membership.incarnation:
+                return
+            self._replica.put(VIEW, outcome.value, outcome.version)
+            if membership.view is None or outcome.version != membership.view.version:
+                return
+            if membership.is_member():
+                membership.on_view_confirmed(sent_at)
+            else:
+                membership.on_lost("excluded from the view")
+
+        self._client.submit(GetKey(VIEW), Priority.LEASE, on_outcome)
--- /dev/null
+++ b/appledock/core/membership/protocol.py
@@ -0,0 +1,106 @@
+"""The membership protocol: joins, renews the lease, and changes the view as time passes."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from appledock.core.membership.format_upgrade import RecordFormatUpgrade
+from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.joining import Joining
+from appledock.core.membership.lease_renewal import LeaseRenewal
+from appledock.core.membership.membership import Membership, MembershipState
+from appledock.core.membership.next_view import next_view
+from appledock.core.membership.view_changes import ViewChanger
+from appledock.core.membership.view_requests import ViewChangeRequests
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
+from appledock.core.store.reader import StateReader
+from appledock.core.store.replica import Replica, View
+
+
+class MembershipProtocol:
+    """Drives joining, renewal, view changes and the upgrade of the record format.
+
+    What they keep true about this controller is asked of `Membership`.
+    """
+
+    def __init__(  # noqa: PLR0913 -- it builds the parts of the protocol
+        self,
+        *,
+        runtime: Runtime,
+        client: StoreClient,
+        replica: Replica,
+        reader: StateReader,
+        membership: Membership,
+        heartbeats: Heartbeats,
+        requests: ViewChangeRequests,
+        is_deleted: Callable[[str], bool],
+        newest_format: int,
+    ) -> None:
+        """`is_deleted` says of a machine whether it was deleted."""
+        self._client = client
+        self._reader = reader
+        self._membership = membership
+        self._requests = requests
+        self._is_deleted = is_deleted
+        self.renewal = LeaseRenewal(runtime, client, replica, membership)
+        self.joining = Joining(
+            runtime=runtime,
+            client=client,
+            replica=replica,
+            reader=reader,
+            membership=membership,
+            next_view=self.next_view,
+            on_joined=self.renewal.on_joined,
+            newest_format=newest_format,
+        )
+        self.view_changer = ViewChanger(
+            runtime=runtime,
+            client=client,
+            replica=replica,
+            reader=reader,
+            membership=membership,
+            heartbeats=heartbeats,
+            requests=requests,
+            next_view=self.next_view,
+        )
+        self.format_upgrade = RecordFormatUpgrade(
+            runtime, client, replica, reader, membership, newest_format
+        )
+
+    def tick(self) -> None:
+        """Do what is due; nothing before the replica has been loaded."""
+        if not self._reader.loaded:
+            return
+        match self._membership.state:
+            case MembershipState.NOT_JOINED:
+                if self.joining.is_due():
+                    self.joining.start()
+            case MembershipState.JOINING:
+                pass
+            case MembershipState.JOINED:
+                self.renewal.tick()
+                self.view_changer.tick()
+                self.format_upgrade.tick()
+
+    def on_view(self) -> None:
+        """A newer view is known."""
+        self.view_changer.on_view()
+        if self._membership.is_joined() and not self._membership.is_member():
+            # The member key may still exist; only a linearizable read decides.
+            self.confirm_view()
+
+    def confirm_view(self) -> None:
+        """Read the view, so that authority counts from now if it is still the newest one."""
+        self.renewal.confirm()
+
+    def next_view(self, members: dict[str, str]) -> View:
+        """The view that follows the known one, with these members (node -> incarnation)."""
+        return next_view(
+            self._membership.view,
+            self._membership.node,
+            members,
+            self._requests,
+            self._is_deleted,
+            self._client.max_value_bytes,
+        )
--- /dev/null
+++ b/appledock/core/membership/view_changes.py
@@ -0,0 +1,138 @@
+"""Changes the view when its members or its owners have to change."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from appledock import constants
+from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.membership import Membership
+from appledock.core.membership.view_requests import ViewChangeRequests
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
+from appledock.core.store.keys import VIEW
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.reader import StateReader
+from appledock.core.store.replica import Replica, View
+from appledock.core.store_calls import Committed, Conflict, Put, StoreOutcome, Transaction
+
+log = logging.getLogger(__name__)
+
+
+class ViewChanger:
+    """Writes a new view by one compare-and-swap; whoever's is committed first wins.
+
+    Members follow the member keys, which the store deletes when their leases expire. Besides,
+    it carries out the pending requests: at once those to detach a member, at most once in
+    `TERM_BUMP_EVERY_S` the others.
+    """
+
+    def __init__(  # noqa: PLR0913 -- it connects the store, the lease and the failure detector
+        self,
+        *,
+        runtime: Runtime,
+        client: StoreClient,
+        replica: Replica,
+        reader: StateReader,
+        membership: Membership,
+        heartbeats: Heartbeats,
+        requests: ViewChangeRequests,
+        next_view: Callable[[dict[str, str]], View],
+    ) -> None:
+        """`next_view` computes the view with the members (node -> incarnation) given to it."""
+        self._runtime = runtime
+        self._client = client
+        self._replica = replica
+        self._reader = reader
+        self._membership = membership
+        self._heartbeats = heartbeats
+        self._requests = requests
+        self._next_view = next_view
+        self._change_at = 0.0
+        """when the change that is needed is written; 0: none is needed"""
+        self._is_changing = False
+        self._leader_alive_at = 0.0
+        """when the leader was last seen to work"""
+        self._view_known_at = constants.LONG_AGO
+        """when the newest view became known"""
+
+    def on_view(self) -> None:
+        """A newer view is known: what it does not bring is requested again."""
+        self._view_known_at = self._leader_alive_at = self._runtime.now
+        self._requests.clear()
+
+    def tick(self) -> None:
+        """Write a new view if one is needed, and this controller's turn has come."""
+        view, now = self._membership.view, self._runtime.now
+        if (
+            view is None
+            or self._is_changing
+            or not self._membership.is_member()
+            or not self._replica.has_reached_view()
+            or self._membership.node not in self._replica.members
+        ):
+            return
+        members = {node: member.incarnation for node, member in self._replica.members.items()}
+        self._check_leader(view)
+        if not self._is_change_needed(view, members):
+            self._change_at = 0.0
+            return
+        if not self._change_at:
+            self._change_at = now + self._delay_s(view)
+        if now >= self._change_at:
+            self._change(members)
+
+    def _check_leader(self, view: View) -> None:
+        """Ask for the leadership once the leader has failed for `LEADER_LOST_S`."""
+        now = self._runtime.now
+        if view.leader == self._membership.node or not self._heartbeats.has_leader_failed():
+            self._leader_alive_at = now
+        self._requests.take_leadership = now - self._leader_alive_at > constants.LEADER_LOST_S
+
+    def _is_change_needed(self, view: View, members: dict[str, str]) -> bool:
+        requests = self._requests
+        if members != view.members or requests.members_to_detach:
+            return True
+        is_requested = bool(
+            requests.new_term
+            or requests.overrides
+            or requests.take_leadership
+            or requests.attach_self
+        )
+        return (
+            is_requested and self._runtime.now >= self._view_known_at + constants.TERM_BUMP_EVERY_S
+        )
+
+    def _delay_s(self, view: View) -> float:
+        """None for the leader; a random one for the others, which would conflict otherwise."""
+        if view.leader == self._membership.node:
+            return 0.0
+        return constants.VIEW_JITTER_S * (0.3 + self._runtime.rng.random())
+
+    def _change(self, members: dict[str, str]) -> None:
+        self._is_changing = True
+        view = self._next_view(members)
+        sent_at = self._runtime.now
+        transaction = Transaction(self._membership.fencing_conditions(), [Put(VIEW, view.encode())])
+
+        def on_outcome(outcome: StoreOutcome) -> None:
+            self._is_changing = False
+            self._change_at = 0.0
+            match outcome:
+                case Committed():
+                    # Committed against the version before: none newer existed when it was sent.
+                    self._membership.on_view_confirmed(sent_at)
+                    self._replica.put(VIEW, view.encode(), outcome.revision)
+                    log.info(
+                        "view changed: term=%d leader=%s members=%s",
+                        view.term,
+                        view.leader,
+                        sorted(view.members),
+                    )
+                case Conflict():
+                    self._reader.read_keys(outcome.failed)
+                case _:
+                    self._change_at = self._runtime.now + constants.TOUCH_RETRY_S
+
+        self._client.submit(transaction, Priority.VIEW, on_outcome)
--- a/appledock/core/store/reader.py
+++ b/appledock/core/store/reader.py
@@ -107,7 +107,7 @@
         self.loading, self.loaded = False, True
         self.next_watch = self.engine.now
         log.info("loaded %d records at revision %d", len(rows), revision)
-        self.engine.membership.tick()
+        self.engine.membership_protocol.tick()
 
     def _watch(self) -> None:
         """Wait for changes after the revision that is known."""
--- a/appledock/core/workers/answers.py
+++ b/appledock/core/workers/answers.py
@@ -61,7 +61,7 @@
         worker.reachability.misdirected = NOT_MISDIRECTED
         if report.token > member.term:
             # A newer view exists; answering would be dropped anyway.
-            member.confirm()
+            self.engine.membership_protocol.confirm_view()
             self._refuse(request_id, "newer view")
             return
         if report.session <= worker.lease.expired_epoch or not self.engine.workers.ingest_heartbeat(
--- a/appledock/core/workers/liveness.py
+++ b/appledock/core/workers/liveness.py
@@ -50,7 +50,7 @@
         # The view must be proven to have been ours until then: a
         # newer owner may have renewed the lease.
         if member.view_confirmed_at < ends_at:
-            member.confirm()
+            self.engine.membership_protocol.confirm_view()
             return
         log.info("%s: session %d has lapsed", worker.id, session)
         self.workers.mark_expired(worker.id, session)
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -16,6 +16,7 @@
 from appledock.core.controller import Controller
 from appledock.core.fleet.demand import queued_demand
 from appledock.core.fleet.machines import Machines
+from appledock.core.membership.membership import MembershipState
 from appledock.core.records.job import Job
 from appledock.core.store.keys import VIEW
 from appledock.net.http import Answer, Server
@@ -142,7 +143,7 @@
     e.replica.put(VIEW, {"term": 5, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
     e.replica.view_changed = False
-    e.membership.joined, e.membership.incarnation = True, "x.1"
+    e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
     e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
         e.membership.store_answered_at
     ) = e.now
@@ -198,15 +199,15 @@
     e.client.max_value_bytes = 14_000
     wanted = {f"vm-{number:06d}": "n0" for number in range(250)}
     e.view_requests.overrides = dict(wanted)
-    view = e.membership._next_view({"n0": "x.1"})
+    view = e.membership_protocol.next_view({"n0": "x.1"})
     assert set(view.overrides) == set(wanted)
     e.replica.put(VIEW, view.encode(), 2)
     gone = sorted(wanted)[:100]
     e.workers.mark_deleted(gone)
     e.view_requests.overrides = {}
-    assert set(e.membership._next_view({"n0": "x.1"}).overrides) == set(wanted) - set(gone)
+    assert set(e.membership_protocol.next_view({"n0": "x.1"}).overrides) == set(wanted) - set(gone)
     e.client.max_value_bytes = 3000
-    view = e.membership._next_view({"n0": "x.1"})
+    view = e.membership_protocol.next_view({"n0": "x.1"})
     assert len(view.overrides) > 30 and len(wire.encode(view.encode())) <= 3000
 
 
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -16,6 +16,7 @@
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.controller import Controller
 from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.membership import MembershipState
 from appledock.core.messages import Heartbeat
 from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling.reconciler import Reconciler
@@ -136,7 +137,7 @@
         VIEW, {"term": 5, "members": {"n0": "x.1", "n1": "y", "n2": "z"}, "leader": "n0"}, 1
     )
     e.replica.view_changed = False
-    e.membership.joined, e.membership.incarnation = True, "x.1"
+    e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
     e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
         e.membership.store_answered_at
     ) = e.now
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -48,4 +48,4 @@
                     replies.append(ev.StoreReply(call.call_id, Acknowledged()))
             effects = e.handle(replies, now, 0.0) if replies else []
     assert (conflicts, refused) == (1, 1)
-    assert e.membership.joined
+    assert e.membership.is_joined()
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -84,7 +84,7 @@
 def test_a_fenced_controller_that_still_writes_and_answers(monkeypatch: Patch) -> None:
     monkeypatch.setattr(Membership, "fencing_conditions", lambda self: {})
     assert "ran_twice" not in isolated_for_long()
-    monkeypatch.setattr(Membership, "has_authority", lambda self: self.joined)
+    monkeypatch.setattr(Membership, "has_authority", lambda self: self.is_joined())
     assert "ran_twice" in isolated_for_long()
 
 
--- a/tests/test_launches.py
+++ b/tests/test_launches.py
@@ -7,6 +7,7 @@
 from appledock import wire
 from appledock.core import events as ev
 from appledock.core.controller import Controller
+from appledock.core.membership.membership import MembershipState
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import MEMBERS, VIEW
 from tests.test_requests import engine, spec
@@ -22,7 +23,7 @@
     e.replica.put(VIEW, {"term": 1, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
     e.replica.advance(9)
     member = e.membership
-    member.joined, member.incarnation, member.lease = True, "x.1", 1
+    member.state, member.incarnation, member.lease = MembershipState.JOINED, "x.1", 1
     member.lease_renewed_at = member.view_confirmed_at = now
     e.handle([], now, 0.0)
     return e
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -6,10 +6,9 @@
 from collections.abc import Callable
 from typing import Any
 
-import msgspec
 import pytest
 
-from appledock.core.membership.membership import Membership
+from appledock.core.membership.format_upgrade import RecordFormatUpgrade
 from appledock.core.records.dependencies import DependencyGraph
 from appledock.core.store.keys import FORMAT
 from tests.standins.chains import pipeline, spec
@@ -284,16 +283,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Recorded once all that are there know it: one that is away comes back old."""
-    check = Membership._check_format
+    check = RecordFormatUpgrade.tick
 
-    def hasty(self: Membership) -> None:
-        whole, there = self.engine.settings, len(self.engine.replica.members)
-        cluster = msgspec.structs.replace(whole.cluster, size=there)
-        self.engine.settings = msgspec.structs.replace(whole, cluster=cluster)
+    def hasty(self: RecordFormatUpgrade) -> None:
+        self._cluster_size = len(self._replica.members)
         check(self)
-        self.engine.settings = whole
 
-    monkeypatch.setattr(Membership, "_check_format", hasty)
+    monkeypatch.setattr(RecordFormatUpgrade, "tick", hasty)
     assert any(
         "ran_twice" in play(seed, back_with_the_old_version).judge.kinds() for seed in (3, 4, 7)
     )
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -17,7 +17,7 @@
 from appledock.capacity.apportion import apportion
 from appledock.core.capacity.drains import Drains
 from appledock.core.capacity.partitions import CapacityShares
-from appledock.core.membership.membership import Membership
+from appledock.core.membership.format_upgrade import RecordFormatUpgrade
 from appledock.core.records.capacity import CAPACITY
 from tests.standins.sharing import MACHINES, Shared, shares
 from tests.standins.spreading import outcomes
@@ -599,13 +599,13 @@
 
 def unaware(seed: int, patch: Patch) -> Shared:
     """One controller does not hear for seconds that the format was raised; load comes then."""
-    check = Membership._check_format
+    check = RecordFormatUpgrade.tick
 
-    def later(self: Membership) -> None:
-        if self.engine.now > 12.0:
+    def later(self: RecordFormatUpgrade) -> None:
+        if self._runtime.now > 12.0:
             check(self)
 
-    patch.setattr(Membership, "_check_format", later)
+    patch.setattr(RecordFormatUpgrade, "tick", later)
     world = Shared(seed, shares())
     world.clock.at(11.5, lambda: world.state.silent.update(n1=22.0))
     world.clock.run(13.5)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.membership import membership
+from appledock.core.membership.format_upgrade import NEWEST_FORMAT
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import FORMAT, JOBS, MEMBERS, VIEW
 from appledock.core.store.replica import Replica, View
@@ -260,7 +260,7 @@
     e.client.max_value_bytes = 1700
     members = dict(e.replica.view.members)
     e.view_requests.overrides = {f"vm-{number:06d}": "n0" for number in range(90)}
-    view = e.membership._next_view(members)
+    view = e.membership_protocol.next_view(members)
     assert 20 < len(view.overrides) < 90
     assert len(wire.encode(view.encode())) <= 1700
 
@@ -356,4 +356,4 @@
     world.clock.run(5.0)
     assert {
         row[0]["format"] for key, row in world.state.rows.items() if key.startswith(MEMBERS)
-    } == {membership.NEWEST_FORMAT}
+    } == {NEWEST_FORMAT}
