--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -75,7 +75,7 @@
         A job that others depend on has the highest rank of them, and as its limit the
         earliest of their deadlines less the time that they take themselves.
         """
-        rank, inherited_deadline_at = self._replica.dependencies.pressing(job)
+        rank, inherited_deadline_at = self._replica.dependencies.inherited_priority(job)
         since = self.waiting_since(job)
         waited_s = self._runtime.wall - since
         if self._is_ageing(job, waited_s):
