--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -7,7 +7,7 @@
 
 from appledock import constants
 from appledock.core.jobs.reconcile_queue import PendingReason, ReconcileQueue
-from appledock.core.quota.quota import Quota
+from appledock.core.quota.usage import QuotaUsage
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.store.rate_limiter import Priority, StoreRateLimiter
@@ -26,7 +26,7 @@
         runtime: Runtime,
         limiter: StoreRateLimiter,
         replica: Replica,
-        quota: Quota,
+        quota: QuotaUsage,
         reconcile_queue: ReconcileQueue,
         is_peer_rate_limited: Callable[[], bool],
     ) -> None:
@@ -96,7 +96,7 @@
     def _is_team_limited(self, team: str) -> bool:
         """Is the team's limit, and not capacity, what a queued task of it waits for?"""
         reasons = self._reconcile_queue.pending_reasons
-        return self._quota.exhausted(team) or any(
+        return self._quota.is_limit_exhausted(team) or any(
             reasons.get(job_id) is PendingReason.TEAM_LIMIT
             for job_id in self._replica.jobs_by_team.get(team, ())
         )
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -40,7 +40,7 @@
 class QuotaUsage(Protocol):
     """What the queue order asks of quota."""
 
-    def inside(self, job: Job) -> bool:
+    def is_within_guarantee(self, job: Job) -> bool:
         """Is the job, with all that its team's others hold, within the guarantee?"""
 
 
@@ -104,7 +104,7 @@
         )
 
     def _guarantee_class(self, job: Job) -> GuaranteeClass:
-        if self._quota.inside(job):
+        if self._quota.is_within_guarantee(job):
             return GuaranteeClass.WITHIN_GUARANTEE
         return GuaranteeClass.BEYOND_GUARANTEE
 
