--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -14,7 +14,7 @@
 from appledock.core.api.console_feed import ConsoleFeed
 from appledock.core.events import Admin, Reply, SetLogLevel
 from appledock.core.operator_settings import DECLARATIONS, InvalidSettingError, validate
-from appledock.core.quota.quota import NOTHING
+from appledock.core.quota.resources import NO_RESOURCES
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import SETTINGS
 from appledock.core.store.rate_limiter import Priority
@@ -81,21 +81,21 @@
         return {
             "node": engine.settings.name,
             "healthy": engine.health.is_healthy(),
-            "authority": engine.membership.authority(),
+            "authority": engine.membership.has_authority(),
             "leader": view.leader if view else None,
             "term": view.term if view else 0,
             "members": view.members if view else {},
             "overrides": view.overrides if view else {},
             "detached": sorted(view.detached) if view else [],
-            "format": engine.replica.format[1],
+            "format": engine.replica.record_format.value,
             "formats": {
                 node: member.format for node, member in sorted(engine.replica.members.items())
             },
             "revision": engine.replica.revision,
             "jobs": len(engine.replica.jobs),
-            "queued_tasks": sum(job.queued for job in engine.replica.jobs.values()),
+            "queued_tasks": sum(job.queued_task_count for job in engine.replica.jobs.values()),
             "machines": sum(w.report is not None for w in engine.workers.table.values()),
-            "booting": len(engine.fleet.booting()) if engine.membership.leader() else None,
+            "booting": len(engine.fleet.booting()) if engine.membership.is_leader() else None,
             "calls_waiting": budget.size(),
             "users_waiting": len(engine.user_requests.open),
             "machine_types": sorted(engine.machine_types),
@@ -114,25 +114,27 @@
             "team": job.spec.team,
             "priority": job.spec.priority,
             "tasks": job.spec.tasks,
-            "done": len(job.done),
-            "open": job.open_tasks,
-            "queued": job.queued,
-            "cancelled": engine.replica.withdrawn(job.id),
+            "done": len(job.completed_tasks),
+            "open": job.open_task_count,
+            "queued": job.queued_task_count,
+            "cancelled": engine.replica.is_cancelled(job.id),
             "owner": engine.replica.job_owner(job) if engine.replica.view else None,
-            "failures": job.failures,
+            "failures": job.consecutive_failures,
             "waits_for": self._waits_for(job),
             "needs": job.spec.needs or [],
-            "needs_left": engine.replica.needs.left(job.id),
-            "needed_by": sorted(engine.replica.needs.dependents.get(job.id, ())),
+            "needs_left": engine.replica.dependencies.unfinished_prerequisites(job.id),
+            "needed_by": sorted(engine.replica.dependencies.dependents.get(job.id, ())),
             "unsettled": [self._attempt(job, attempt) for attempt in job.attempts],
         }
 
     def _waits_for(self, job: Job) -> str | None:
-        needs = self.engine.replica.needs
-        if job.id in needs.doomed:
+        needs = self.engine.replica.dependencies
+        if job.id in needs.cancelled_by_dependency:
             return "its end: a job that it needs is cancelled"
-        if job.id in needs.waiting:
-            unread = any(need in needs.unknown for need in needs.left(job.id))
+        if job.id in needs.waiting_jobs:
+            unread = any(
+                need in needs.unknown_outcomes for need in needs.unfinished_prerequisites(job.id)
+            )
             return "jobs that it needs" + (", some not read yet" if unread else "")
         return self.engine.reconcile_queue.pending_reasons.get(job.id)
 
@@ -141,18 +143,19 @@
         worker = self.engine.workers.table.get(attempt.machine)
         if worker is None or worker.report is None:
             reason = "machine not heard of"
-        elif worker.report.session != attempt.session:
+        elif worker.report.session != attempt.agent_epoch:
             reason = "session change not recorded yet"
         elif any(
-            (f"{job.id}/{task}", attempt.number) not in worker.tasks for task in attempt.tasks
+            (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks
+            for task in attempt.tasks
         ):
             reason = "launch not seen"
         else:
             reason = "stopping" if attempt.stopping or job.cancelled else "running"
         return {
             "machine": attempt.machine,
-            "session": attempt.session,
-            "attempt": attempt.number,
+            "session": attempt.agent_epoch,
+            "attempt": attempt.attempt_number,
             "term": attempt.term,
             "tasks": sorted(attempt.tasks),
             "state": reason,
@@ -163,8 +166,8 @@
         engine = self.engine
         rows = []
         if engine.replica.view:
-            engine.capacity_index.refresh()
-        free = engine.capacity_index.table
+            engine.capacity_index.recompute()
+        free = engine.capacity_index.machines
         for name in sorted(engine.workers.table):
             worker = engine.workers.table[name]
             report = worker.report
@@ -180,9 +183,9 @@
                     "owner": engine.replica.owner_of(name) if engine.replica.view else None,
                     "session": report.session,
                     "token": report.token,
-                    "silent_s": round(engine.now - worker.heard_at, 1),
+                    "silent_s": round(engine.now - worker.reachability.last_heartbeat_at, 1),
                     "notice_s": report.notice_s,
-                    "cordoned": worker.cordoned or None,
+                    "cordoned": worker.placement.cordon_reason or None,
                     "tasks": sum(t.state != "exited" for t in report.tasks),
                     "free_cpus": round(room.cpus, 3) if room else None,
                 }
@@ -194,7 +197,7 @@
         rows = []
         for name, team in sorted(self.engine.teams.items()):
             known = self.engine.replica.view is not None
-            held = self.engine.quota.held_in_all(name) if known else NOTHING
+            held = self.engine.quota_usage.held_by_team(name) if known else NO_RESOURCES
             record = self.engine.replica.team(name)
             rows.append(
                 {
@@ -216,7 +219,7 @@
     def settings(self) -> dict[str, Any]:
         """Values, defaults, ranges and reasons of the settings."""
         return {
-            "version": self.engine.replica.settings[0],
+            "version": self.engine.replica.stored_settings.version,
             "settings": {
                 name: {
                     "value": self.engine.operator_settings[name],
@@ -249,12 +252,12 @@
         if not isinstance(body, dict) or not isinstance(body.get("settings"), dict):
             self._answer(cmd, {"error": "settings: an object is needed"}, 400)
             return
-        version, stored = self.engine.replica.settings
-        asked = body.get("version", version)
+        stored = self.engine.replica.stored_settings
+        asked = body.get("version", stored.version)
         if isinstance(asked, bool) or not isinstance(asked, int):
             self._answer(cmd, {"error": "version: an integer is needed"}, 400)
             return
-        new = dict(stored)
+        new = dict(stored.value)
         try:
             for name, value in body["settings"].items():
                 if value is None and name in DECLARATIONS:
@@ -269,7 +272,7 @@
             match outcome:
                 case Committed():
                     self.engine.replica.put(SETTINGS, new, outcome.revision)
-                    self.engine.operator_settings.apply(self.engine.replica.settings[1])
+                    self.engine.operator_settings.apply(self.engine.replica.stored_settings.value)
                     self.engine.reconcile_queue.placement_due = True
                     self._answer(cmd, self.settings())
                 case Conflict():
@@ -290,11 +293,11 @@
         if worker is None or worker.report is None:
             self._answer(cmd, {"error": f"no such machine: {name}"}, 404)
             return
-        if not self.engine.membership.acting():
+        if not self.engine.membership.can_act():
             self._answer(cmd, {"error": "this controller has no authority now"}, 503)
             return
         self.engine.fleet.operate(name, action)
-        self._answer(cmd, {"id": name, "cordoned": worker.cordoned or None})
+        self._answer(cmd, {"id": name, "cordoned": worker.placement.cordon_reason or None})
 
     def _log_level(self, cmd: Admin) -> None:
         level = cmd.body.get("level") if isinstance(cmd.body, dict) else None
--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -17,8 +17,8 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.events import Cancel, Poll, Reply, Submit
-from appledock.core.machines.machine_capacity import type_fits
-from appledock.core.quota import quota
+from appledock.core.machines.machine_capacity import can_run_on_type
+from appledock.core.quota.resources import demand_of, limit_of
 from appledock.core.records.job import Job
 from appledock.core.store.keys import FINAL, JOBS
 from appledock.core.store.rate_limiter import Priority
@@ -83,17 +83,17 @@
 
     def state(self, job_id: str) -> wire.JobState | None:
         """The job as this controller knows it."""
-        final = self.e.replica.finals.get(job_id)
+        final = self.e.replica.final_states.get(job_id)
         if final is not None:
             return wire.JobState(job_id, final)
         job = self.e.replica.jobs.get(job_id)
         if job is None:
             return None
-        if self.e.replica.withdrawn(job_id):
-            return wire.JobState(job_id, wire.CANCELLED, len(job.done), 0)
+        if self.e.replica.is_cancelled(job_id):
+            return wire.JobState(job_id, wire.CANCELLED, len(job.completed_tasks), 0)
         running = self.e.running(job)
         return wire.JobState(
-            job_id, wire.RUNNING if running else wire.PENDING, len(job.done), running
+            job_id, wire.RUNNING if running else wire.PENDING, len(job.completed_tasks), running
         )
 
     def _admit(self, request_id: int) -> bool:
@@ -130,9 +130,9 @@
         taken back here. The proof's revision is later than any such cancellation.
         """
         replica = self.e.replica
-        if replica.withdrawn(asked.job) or asked.job not in replica.needs.waiting:
+        if replica.is_cancelled(asked.job) or asked.job not in replica.dependencies.waiting_jobs:
             self._tell(asked, False)
-        elif replica.revision < revision or replica.needs.undecided(asked.job):
+        elif replica.revision < revision or replica.dependencies.has_unknown_outcome(asked.job):
             self.lagging.append((asked, revision))
         else:
             self._tell(asked, False)
@@ -140,7 +140,7 @@
     def _read_outcomes(self) -> None:
         """How needed jobs ended that are not in the picture: after a start, or if they
         ended long ago. A few at a time."""
-        unknown = self.e.replica.needs.unknown
+        unknown = self.e.replica.dependencies.unknown_outcomes
         if not unknown or not self.e.reader.loaded:
             return
         for need in sorted(unknown):
@@ -152,7 +152,7 @@
 
             def ended(need: str = need) -> None:
                 self.reading.discard(need)
-                if need in self.e.replica.needs.unknown:
+                if need in self.e.replica.dependencies.unknown_outcomes:
                     self.read_at[need] = self.e.now + c.RETRY_MAX_S
                 else:
                     self.read_at.pop(need, None)
@@ -165,7 +165,7 @@
             return
         spec = cmd.spec
         asked = Asked(cmd.request_id, spec.id, self.open[cmd.request_id], spec)
-        if spec.id in self.e.replica.finals or spec.id in self.e.replica.jobs:
+        if spec.id in self.e.replica.final_states or spec.id in self.e.replica.jobs:
             self._poll(asked)
             return
         refusal = self.verdict(spec)
@@ -185,7 +185,7 @@
         That never changes, so the creation itself need not be conditional on it."""
         spec = asked.spec
         assert spec is not None
-        if spec.needs and self.e.replica.format[1] < 2:
+        if spec.needs and self.e.replica.record_format.value < 2:
             self.refuse(asked.request_id, "not every controller knows jobs that need others yet")
             return
         while unread and self._accepted(unread[0]):
@@ -228,7 +228,7 @@
         self.e.reader.read_keys([JOBS + job_id], read_final, failed)
 
     def _accepted(self, job_id: str) -> bool:
-        return job_id in self.e.replica.jobs or job_id in self.e.replica.finals
+        return job_id in self.e.replica.jobs or job_id in self.e.replica.final_states
 
     def verdict(self, spec: wire.JobSpec) -> str | None:
         """Why the job can never run; empty if that cannot be told yet."""
@@ -236,7 +236,7 @@
         if team is None:
             return f"unknown team {spec.team}"
         tasks = 1 if spec.kind == wire.ARRAY else spec.tasks
-        if not quota.need(spec, tasks).fits(quota.limit(team)):
+        if not demand_of(spec, tasks).fits_in(limit_of(team)):
             return "more than the team's limit"
         record = wire.encode(self.e.codec.encode(Job(spec, self.e.wall)))
         if len(record) > c.DESCRIPTION_SHARE * self.e.client.max_value_bytes:
@@ -244,19 +244,19 @@
             return "description too long"
         if not self.e.machine_types:
             return ""
-        if not any(type_fits(spec, kind) for kind in self.e.machine_types.values()):
+        if not any(can_run_on_type(spec, kind) for kind in self.e.machine_types.values()):
             return "fits no allowed machine type"
         return None
 
     def _first_owner(self, job: Job) -> tuple[str, str] | None:
         """Who owns a new job, if not who is derived: recorded with the job, it costs no write."""
         member, view = self.e.membership, self.e.replica.view
-        if not member.acting() or view is None:
+        if not member.can_act() or view is None:
             return None
         preferred = self.e.partitions.preferred(job)
         if preferred is not None:
             return (preferred, view.members[preferred])
-        if not self.e.heartbeats.works(view.owner_of(job.id)):
+        if not self.e.heartbeats.is_served(view.owner_of(job.id)):
             # Its owner would not see it before its lease is over: it is ours.
             return (member.node, member.incarnation)
         return None
@@ -265,7 +265,7 @@
         spec = asked.spec
         assert spec is not None
         job = Job(spec, self.e.wall)
-        job.handoff = self._first_owner(job)
+        job.handoff_target = self._first_owner(job)
         plan = Transaction(
             {JOBS + spec.id: 0, FINAL + spec.id: 0}, [Put(JOBS + spec.id, self.e.codec.encode(job))]
         )
@@ -292,7 +292,7 @@
                     201,
                     wire.JobState(
                         spec.id,
-                        (wire.CANCELLED if self.e.replica.withdrawn(spec.id) else wire.PENDING),
+                        (wire.CANCELLED if self.e.replica.is_cancelled(spec.id) else wire.PENDING),
                     ),
                 )
             elif isinstance(outcome, Conflict):
@@ -312,7 +312,7 @@
     def _poll(self, asked: Asked) -> None:
         """What is final is told at once, in an outage too: a committed cancellation
         is never taken back, nor does its job end in another way."""
-        if asked.job in self.e.replica.finals or self.e.replica.withdrawn(asked.job):
+        if asked.job in self.e.replica.final_states or self.e.replica.is_cancelled(asked.job):
             self._tell(asked, False)
         else:
             self.polls.append(asked)
@@ -343,7 +343,7 @@
         for asked in self.polls:
             if asked.request_id not in self.open:
                 continue
-            if asked.job in self.e.replica.finals:
+            if asked.job in self.e.replica.final_states:
                 self._tell(asked, False)
                 continue
             if len(conditions) + 2 > most:
@@ -383,7 +383,7 @@
         )
 
     def _tell_proven(self, asked: Asked, absent: bool, revision: int) -> None:
-        if asked.job in self.e.replica.needs.waiting:
+        if asked.job in self.e.replica.dependencies.waiting_jobs:
             self._tell_current(asked, revision)
         else:
             self._tell(asked, absent)
@@ -392,7 +392,7 @@
         """The cached version was old: read both keys, then answer."""
 
         def read() -> None:
-            if asked.job in self.e.replica.needs.waiting:
+            if asked.job in self.e.replica.dependencies.waiting_jobs:
                 self._poll(asked)  # the proof tells how far the picture must reach
             else:
                 self._tell(asked, True)
@@ -405,7 +405,7 @@
     def cancel(self, cmd: Cancel) -> None:
         if self._admit(cmd.request_id):
             asked = Asked(cmd.request_id, cmd.job, self.open[cmd.request_id])
-            if cmd.job in self.e.replica.finals or cmd.job in self.e.replica.jobs:
+            if cmd.job in self.e.replica.final_states or cmd.job in self.e.replica.jobs:
                 self._cancel(asked)
             else:
                 self._read_job(
@@ -419,7 +419,7 @@
         makes every later start fail."""
         if asked.request_id not in self.open:
             return
-        final = self.e.replica.finals.get(asked.job)
+        final = self.e.replica.final_states.get(asked.job)
         job = self.e.replica.jobs.get(asked.job)
         if final is not None:
             self.answer(asked.request_id, 200, wire.JobState(asked.job, final))
@@ -447,7 +447,7 @@
                 else:
                     new.version = revision
                     self.e.replica.set_job(new)
-                self.e.cancellation.told(None if over else new, job.id, revision)
+                self.e.cancellation.broadcast(None if over else new, job.id, revision)
                 self.answer(asked.request_id, 200, wire.JobState(job.id, wire.CANCELLED))
             elif isinstance(outcome, Conflict):
                 self._read_job(
@@ -458,7 +458,7 @@
             else:
                 self.refuse(asked.request_id, "state service does not answer")
 
-        if self.e.replica.withdrawn(job.id):
+        if self.e.replica.is_cancelled(job.id):
             # Cancelled already, by us or a request before, and for ever.
             self._tell(asked, False)
             return
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -52,12 +52,12 @@
         for machine, since in self._returning.items():
             if engine.now - since >= self.shares.settings.give_back_s:
                 for job_id, tasks in self._savers(machine).items():
-                    engine.reconciler.ask_to_stop(engine.replica.jobs[job_id], machine, tasks)
+                    engine.stop_requests.send_to_owner(engine.replica.jobs[job_id], machine, tasks)
 
     def _savers(self, machine: str) -> dict[str, set[int]]:
         """Job -> its tasks on the machine that save, and that nobody has told to stop."""
         result = {}
-        for job_id, attempts in self.engine.replica.by_machine.get(machine, {}).items():
+        for job_id, attempts in self.engine.replica.attempts_by_machine.get(machine, {}).items():
             spec = self.engine.replica.jobs[job_id].spec
             tasks = {task for x in attempts if not x.stopping for task in x.tasks}
             if tasks and spec.checkpoint_s > 0 and not spec.gang:
@@ -83,13 +83,13 @@
             if (machine := self._kept_for(partition, holders)) is not None
         }
         for machine in set(before.values()) ^ set(self.kept.values()):
-            self.engine.capacity_index.touch(machine)
+            self.engine.capacity_index.mark_changed(machine)
 
     def _replicas_on(self, machine: str) -> bool:
         replica = self.engine.replica
         return any(
-            replica.jobs[job].spec.service and not replica.withdrawn(job)
-            for job in replica.by_machine.get(machine, {})
+            replica.jobs[job].spec.service and not replica.is_cancelled(job)
+            for job in replica.attempts_by_machine.get(machine, {})
         )
 
     def _kept_for(self, partition: str, holders: dict[str, Holding]) -> str | None:
@@ -104,20 +104,21 @@
         known = self.kept.get(partition)
         if known in own:
             return known
-        by_machine = self.engine.replica.by_machine
+        by_machine = self.engine.replica.attempts_by_machine
         return min(own, key=lambda m: (len(by_machine.get(m, {})), m), default=None)
 
     def _may_gain_room(self, machine: str) -> bool:
         """Is anything free on it, or will be when arrays end?"""
         replica = self.engine.replica
-        return machine in self.engine.capacity_index.open or any(
-            not replica.jobs[job].spec.service for job in replica.by_machine.get(machine, {})
+        return machine in self.engine.capacity_index.with_free_capacity or any(
+            not replica.jobs[job].spec.service
+            for job in replica.attempts_by_machine.get(machine, {})
         )
 
     def _move_replicas(self, most: int) -> None:
         """Move replicas off machines that are being handed over, to the holder's other ones."""
         engine = self.engine
-        engine.capacity_index.refresh()
+        engine.capacity_index.recompute()
         for bucket in engine.replica.capacity.buckets.values():
             for machine, holding in bucket.holdings.items():
                 if not holding.leaving:
@@ -132,13 +133,13 @@
         engine = self.engine
         worker = engine.workers.table.get(machine)
         result: list[Proposal] = []
-        for job_id, attempts in engine.replica.by_machine.get(machine, {}).items():
+        for job_id, attempts in engine.replica.attempts_by_machine.get(machine, {}).items():
             job = engine.replica.jobs[job_id]
             if (
                 worker is None
                 or not self.shares.moves_off(job.spec, machine)
-                or engine.replica.withdrawn(job_id)
-                or job.queued
+                or engine.replica.is_cancelled(job_id)
+                or job.queued_task_count
                 or engine.moves.rests(job_id)
                 or not engine.moves.hears(engine.replica.job_owner(job))
             ):
@@ -148,7 +149,9 @@
             if attempt is not None and destination is not None:
                 name, load = destination
                 task = min(attempt.tasks)
-                result.append(Proposal(job_id, task, attempt.number, machine, name, 0.0, load))
+                result.append(
+                    Proposal(job_id, task, attempt.attempt_number, machine, name, 0.0, load)
+                )
         return result
 
     def _destination(self, spec: wire.JobSpec) -> tuple[str, float] | None:
@@ -156,18 +159,18 @@
         best = max(
             (
                 room
-                for room in self.engine.capacity_index.open.values()
-                if room.gate is not None
+                for room in self.engine.capacity_index.with_free_capacity.values()
+                if room.admission is not None
                 and room.load is not None
                 and room.fits(spec)
-                and self.engine.capacity_index.may_hold(room, spec)
+                and self.engine.capacity_index.can_reserve_for_move(room, spec)
             ),
-            key=lambda room: (room.cpus, room.machine),
+            key=lambda room: (room.cpus, room.name),
             default=None,
         )
         if best is None or best.load is None:
             return None
-        return best.machine, best.load.total
+        return best.name, best.load.total
 
     def _stop_savers(self) -> None:
         """Past the deadline that a change names, tasks that save go on elsewhere."""
@@ -179,5 +182,5 @@
                 if not holding.leaving:
                     continue
                 for job_id, tasks in self._savers(machine).items():
-                    if engine.owns_job(engine.replica.jobs[job_id]):
-                        engine.reconciler.stop(job_id, machine, tasks)
+                    if engine.replica.owns_job(engine.settings.name, engine.replica.jobs[job_id]):
+                        engine.stop_requests.add(job_id, machine, tasks)
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -28,7 +28,7 @@
 from appledock.capacity.settings import Capacity, Shares
 from appledock.core.capacity.drains import Drains
 from appledock.core.capacity.ownership import Holders
-from appledock.core.machines.capacity_index import Entry
+from appledock.core.machines.capacity_index import StepReservation
 from appledock.core.records.capacity import HOLDINGS
 from appledock.core.records.job import Attempt, Job
 from appledock.core.workers import Worker
@@ -90,9 +90,9 @@
         replica = self.engine.replica
         return (
             self.enabled
-            and replica.format[1] >= c.CAPACITY_FORMAT
+            and replica.record_format.value >= c.CAPACITY_FORMAT
             and replica.view is not None
-            and replica.view.version > replica.format[0]
+            and replica.view.version > replica.record_format.version
         )
 
     def pool_of(self, worker: Worker) -> str | None:
@@ -114,14 +114,14 @@
             gate = self._gates[key] = Gate(self, *key)
         return gate
 
-    def conditions(self, reserved: Iterable[Entry]) -> dict[str, int]:
+    def conditions(self, reserved: Iterable[StepReservation]) -> dict[str, int]:
         """What a step that uses these machines is conditional on: who holds them."""
         if not self.in_force():
             return {}
         result = {}
         for machine, _, _ in reserved:
-            room = self.engine.capacity_index.table.get(machine)
-            if room is not None and room.gate is not None:
+            room = self.engine.capacity_index.machines.get(machine)
+            if room is not None and room.admission is not None:
                 number = bucket_of(machine)
                 result[f"{HOLDINGS}{number}"] = self.engine.replica.capacity.bucket(number).version
         return result
@@ -147,7 +147,7 @@
         incarnation, since = self.seen.get(node, ("", self.engine.now))
         steady = self.engine.now - since >= c.PREFERRED_STEADY_S
         known = view.members.get(node) == incarnation
-        return node if known and steady and self.engine.heartbeats.reached(node) else None
+        return node if known and steady and self.engine.heartbeats.is_reachable(node) else None
 
     def _hand_over(self) -> None:
         """Hand a job of ours to its partition's controller; one after the other.
@@ -155,20 +155,23 @@
         Guards against a burst of writes when a controller is back.
         """
         engine = self.engine
-        if engine.now - self.handed < c.PREFERRED_HAND_EVERY_S or engine.pacing.crowded():
+        if (
+            engine.now - self.handed < c.PREFERRED_HAND_EVERY_S
+            or engine.pacing.is_step_rate_limited()
+        ):
             return
         self.handed = engine.now
         for job in engine.replica.jobs.values():
             node = self.preferred(job)
             if (
                 node not in (None, engine.settings.name)
-                and engine.owns_job(job)
-                and not engine.replica.withdrawn(job.id)
+                and engine.replica.owns_job(engine.settings.name, job)
+                and not engine.replica.is_cancelled(job.id)
                 and not engine.moves.rests(job.id)
-                and engine.job_writer.ready(job)
+                and engine.job_writer.can_write(job)
             ):
                 assert node is not None
-                engine.reconciler.hand_over(job, node)
+                engine.reconciler.hand_off(job, node)
                 return
 
     def places_everywhere(self, job: Job) -> bool:
@@ -182,7 +185,7 @@
     def tick(self) -> None:
         """Look at who holds what, if it is time to."""
         engine, settings = self.engine, self.settings
-        if settings is None or not engine.membership.acting():
+        if settings is None or not engine.membership.can_act():
             return
         self._note_members()
         self._hand_over()
@@ -190,12 +193,15 @@
             return
         self.next_pass = engine.now + settings.assign_every_s
         if not self.in_force():
-            if engine.replica.format[1] >= c.CAPACITY_FORMAT and engine.membership.leader():
+            if (
+                engine.replica.record_format.value >= c.CAPACITY_FORMAT
+                and engine.membership.is_leader()
+            ):
                 # Steps of before are void under a view that comes after the format.
-                engine.membership.want_term = True
+                engine.view_requests.new_term = True
             return
         self.drains.tick()
-        if engine.membership.leader():
+        if engine.membership.is_leader():
             self.holders.tick()
             self.drains.lead(settings.moves_in_flight)
 
@@ -214,10 +220,10 @@
         engine = self.engine
         result = []
         for name, worker in sorted(engine.workers.table.items()):
-            if self.pool_of(worker) == pool and name not in engine.workers.gone:
+            if self.pool_of(worker) == pool and name not in engine.workers.deleted_machines:
                 tasks: Counter[str] = Counter()
                 cost = 0.0
-                for job_id, attempts in engine.replica.by_machine.get(name, {}).items():
+                for job_id, attempts in engine.replica.attempts_by_machine.get(name, {}).items():
                     spec = engine.replica.jobs[job_id].spec
                     count = sum(len(attempt.tasks) for attempt in attempts)
                     tasks[self.partition_of(spec) or ""] += count
@@ -234,8 +240,8 @@
         longest = 0.0
         for attempt in attempts:
             for task in attempt.tasks:
-                key = (f"{spec.id}/{task}", attempt.number)
-                ran = self.engine.now - worker.since.get(key, self.engine.now)
+                key = (f"{spec.id}/{task}", attempt.attempt_number)
+                ran = self.engine.now - worker.status.running_since.get(key, self.engine.now)
                 longest = max(longest, spec.estimate_s - ran, c.TASK_LEAVES_S)
         return longest
 
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from appledock import wire
+from appledock import constants, wire
 from appledock.capacity.settings import Capacity
 from appledock.core import events as ev
 from appledock.core.api.admin import AdminApi
@@ -19,18 +19,23 @@
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
+from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex
-from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.format_upgrade import NEWEST_FORMAT
+from appledock.core.membership.heartbeats import Heartbeats, LocalStatus
 from appledock.core.membership.membership import Membership
+from appledock.core.membership.protocol import MembershipProtocol
+from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.operator_settings import OperatorSettings
-from appledock.core.quota.quota import Quota
+from appledock.core.quota.allocation import QuotaAllocation
+from appledock.core.quota.usage import QuotaUsage
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
 from appledock.core.scheduling.moves import Moves
-from appledock.core.scheduling.objectives import Objectives
+from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.pacing import Pacing
 from appledock.core.scheduling.preemption import Preemption
 from appledock.core.scheduling.queue_order import QueueOrder
@@ -60,25 +65,52 @@
         self.machine_types: dict[str, wire.MachineType] = {}
         """name -> machine type that the cloud offers; one object for all parts"""
         self.reconcile_queue = ReconcileQueue()
-        self.objectives = Objectives(settings.cluster.objectives)
+        self.objectives = ServiceLevelObjectives(settings.cluster.objectives)
         self.client = StoreClient(self.runtime)
         self.replica = Replica()
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
         self.reader = StateReader(self)
-        self.membership = Membership(self)
-        self.heartbeats = Heartbeats(self)
+        self.view_requests = ViewChangeRequests()
+        self.membership = Membership(self.runtime, self.replica)
+        self.heartbeats = Heartbeats(
+            self.runtime, self.client, self.replica, self.membership, self._local_status
+        )
         self.workers = Workers(self)
+        self.membership_protocol = MembershipProtocol(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            membership=self.membership,
+            heartbeats=self.heartbeats,
+            requests=self.view_requests,
+            is_deleted=lambda machine: machine in self.workers.deleted_machines,
+            newest_format=NEWEST_FORMAT if capacity is None else constants.CAPACITY_FORMAT,
+        )
         self.capacity_index = CapacityIndex(self)
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
         self.moves = Moves(self)
-        self.quota = Quota(self)
-        self.queue_order = QueueOrder(self)
+        self.quota_usage = QuotaUsage(self.runtime, self.replica)
+        self.queue_order = QueueOrder(self.runtime, self.replica, self.quota_usage, self.objectives)
+        self.quota_allocation = QuotaAllocation(
+            self.runtime, self.replica, self.quota_usage, self.queue_order
+        )
         self.settlement = Settlement(self)
         self.preemption = Preemption(self)
         self.job_writer = JobWriter(self)
-        self.handoff = HandOff(self)
-        self.pacing = Pacing(self)
+        self.stop_requests = StopRequests(
+            self.runtime, self.replica, self.job_writer, self.reconcile_queue
+        )
+        self.handoff = HandOff(self.runtime, self.replica)
+        self.pacing = Pacing(
+            self.runtime,
+            self.client.limiter,
+            self.replica,
+            self.quota_usage,
+            self.reconcile_queue,
+            self.heartbeats.is_any_peer_under_pressure,
+        )
         self.reconciler = Reconciler(self)
         self.cancellation = CancellationEnforcer(self)
         self.fleet = Fleet(self)
@@ -90,17 +122,18 @@
             client=self.client,
             replica=self.replica,
             reader=self.reader,
-            membership=self.membership,
+            membership_protocol=self.membership_protocol,
             heartbeats=self.heartbeats,
             workers=self.workers,
             capacity_index=self.capacity_index,
             rebalancer=self.rebalancer,
             partitions=self.partitions,
             moves=self.moves,
-            quota=self.quota,
+            quota_allocation=self.quota_allocation,
             queue_order=self.queue_order,
             reconcile_queue=self.reconcile_queue,
             settlement=self.settlement,
+            stop_requests=self.stop_requests,
             reconciler=self.reconciler,
             cancellation=self.cancellation,
             fleet=self.fleet,
@@ -114,6 +147,13 @@
         """Work through a batch; `now` is the steady clock, `wall` the time of day (s)."""
         return self.engine.handle(batch, now, wall)
 
+    def _local_status(self) -> LocalStatus:
+        return LocalStatus(
+            reporting_fraction=self.workers.reporting_fraction(),
+            owner_timeouts=self.workers.owner_timeout_counts(),
+            is_service_rate_limited=self.pacing.is_service_rate_limited(),
+        )
+
     # --- for the parts that are still given the controller -----------------
     @property
     def settings(self) -> Settings:
@@ -166,10 +206,6 @@
         """Emit a call whose answer goes to `done`."""
         self.runtime.call(make, done)
 
-    def owns_job(self, job: Job) -> bool:
-        """Is the job ours to move on, by the newest view known?"""
-        return self.replica.view is not None and self.replica.job_owner(job) == self.settings.name
-
     def running(self, job: Job) -> int:
         """Tasks that reports show as running, for display."""
         count = 0
@@ -177,7 +213,7 @@
             worker = self.workers.table.get(attempt.machine)
             if worker is not None:
                 for task in attempt.tasks:
-                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.number))
+                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.attempt_number))
                     count += entry is not None and entry.state == wire.RUNNING
         return count
 
@@ -194,10 +230,11 @@
         return (
             report is not None
             and report.type in self.machine_types
-            and not worker.cordoned
-            and worker.id not in self.workers.gone
-            and report.session > worker.lapsed
+            and not worker.placement.cordon_reason
+            and worker.id not in self.workers.deleted_machines
+            and report.session > worker.lease.expired_epoch
             and report.notice_s is None
-            and worker.proven
-            and self.now - worker.well_at <= 2.5 * self.settings.cluster.workers.report_s
+            and worker.has_shown_current_token
+            and self.now - worker.reachability.last_healthy_at
+            <= 2.5 * self.settings.cluster.workers.report_s
         )
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -15,11 +15,12 @@
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
+from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.heartbeats import Heartbeats
-from appledock.core.membership.membership import Membership
+from appledock.core.membership.protocol import MembershipProtocol
 from appledock.core.operator_settings import OperatorSettings
-from appledock.core.quota.quota import Quota
+from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.moves import Moves
@@ -43,17 +44,18 @@
         client: StoreClient,
         replica: Replica,
         reader: StateReader,
-        membership: Membership,
+        membership_protocol: MembershipProtocol,
         heartbeats: Heartbeats,
         workers: Workers,
         capacity_index: CapacityIndex,
         rebalancer: Rebalancer,
         partitions: CapacityShares,
         moves: Moves,
-        quota: Quota,
+        quota_allocation: QuotaAllocation,
         queue_order: QueueOrder,
         reconcile_queue: ReconcileQueue,
         settlement: Settlement,
+        stop_requests: StopRequests,
         reconciler: Reconciler,
         cancellation: CancellationEnforcer,
         fleet: Fleet,
@@ -66,17 +68,18 @@
         self.client = client
         self.replica = replica
         self.reader = reader
-        self.membership = membership
+        self.membership_protocol = membership_protocol
         self.heartbeats = heartbeats
         self.workers = workers
         self.capacity_index = capacity_index
         self.rebalancer = rebalancer
         self.partitions = partitions
         self.moves = moves
-        self.quota = quota
+        self.quota_allocation = quota_allocation
         self.queue_order = queue_order
         self.reconcile_queue = reconcile_queue
         self.settlement = settlement
+        self.stop_requests = stop_requests
         self.reconciler = reconciler
         self.cancellation = cancellation
         self.fleet = fleet
@@ -93,7 +96,7 @@
         """Work through a batch; `now` is the steady clock, `wall` the time of day."""
         self.runtime.now, self.runtime.wall = now, wall
         if not self._started:
-            self.workers.start_bound = now + self.runtime.lease_ttl_s
+            self.workers.initial_renewable_until = now + self.runtime.lease_ttl_s
             self._started = True
         for command in batch:
             try:
@@ -117,7 +120,7 @@
     def _one(self, cmd: ev.Cmd) -> None:
         match cmd:
             case ev.Reported():
-                self.workers.on_report(cmd.request_id, cmd.report)
+                self.workers.on_heartbeat(cmd.request_id, cmd.report)
             case ev.StoreReply() | ev.CloudReply() | ev.WorkerReply():
                 self.runtime.resolve(cmd)
             case ev.PeerMessage():
@@ -158,7 +161,7 @@
             case messages.MachinesRented() | messages.MachineCordoned():
                 self.fleet.on_peer(message)
             case messages.StopTasks():
-                self.reconciler.stop(message.job, message.machine, set(message.tasks))
+                self.stop_requests.add(message.job, message.machine, set(message.tasks))
             case messages.JobCancelled():
                 self.cancellation.on_peer(message)
             case messages.MoveRequested() | messages.MoveHeld() | messages.MoveEnded():
@@ -171,7 +174,7 @@
     def _tick(self) -> None:
         self.reader.tick()
         for tick in (
-            self.membership.tick,
+            self.membership_protocol.tick,
             self.heartbeats.tick,
             self.workers.tick,
             self.cancellation.tick,
@@ -194,39 +197,42 @@
             view = replica.view
             assert view is not None
             self.workers.on_view(self._applied_view)
-            self.membership.on_view()
-            self.quota.on_view()
+            self.membership_protocol.on_view()
+            self.quota_allocation.on_view()
             self.moves.on_view()
-            self.capacity_index.touch_all()
+            self.capacity_index.mark_all_changed()
             self._applied_view = view
             self.reconcile_queue.placement_due = True
         if replica.capacity.changed:
-            self.capacity_index.dirty |= replica.capacity.changed
+            self.capacity_index.mark_each_changed(replica.capacity.changed)
             replica.capacity.changed.clear()
             self.reconcile_queue.placement_due = True
         if replica.settings_changed:
             replica.settings_changed = False
-            self.operator_settings.apply(replica.settings[1])
+            self.operator_settings.apply(replica.stored_settings.value)
             self.reconcile_queue.placement_due = True
         if replica.changed_jobs:
             for team in replica.changed_teams:
-                self.quota.forget(team)
+                self.quota_allocation.clear_caches_of(team)
             replica.changed_teams.clear()
             for job_id in sorted(replica.changed_jobs):
                 if job_id in replica.jobs:
                     self.fleet.note(replica.jobs[job_id])
-                    if job_id in replica.needs.needs and job_id not in replica.needs.waiting:
+                    if (
+                        job_id in replica.dependencies.prerequisites
+                        and job_id not in replica.dependencies.waiting_jobs
+                    ):
                         self.queue_order.ready_at.setdefault(job_id, self.runtime.wall)
                 self.reconcile_queue.jobs.add(job_id)
             replica.changed_jobs.clear()
             for machine in replica.changed_machines:
-                self.settlement.machine_changed(machine)
-            self.workers.orders_due |= replica.changed_machines
-            self.capacity_index.dirty |= replica.changed_machines
+                self.settlement.on_machine_changed(machine)
+            self.workers.commands_due |= replica.changed_machines
+            self.capacity_index.mark_each_changed(replica.changed_machines)
             replica.changed_machines.clear()
             self.reconcile_queue.placement_due = True
         self.fleet.read_catalogue()
-        self.quota.allowed_cache.clear()  # depends on time, and on the watch
-        self.capacity_index.sweep()
+        self.quota_allocation.clear_admissions()
+        self.capacity_index.recheck_availability()
         self.reconciler.tick()
-        self.workers.flush_orders()
+        self.workers.push_commands()
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -9,8 +9,8 @@
 from appledock import wire
 from appledock.core.fleet.forecast import Forecast, left_by_estimate_s
 from appledock.core.fleet.model import Demand
-from appledock.core.machines.machine_capacity import MachineCapacity, type_fits
-from appledock.core.quota import quota
+from appledock.core.machines.machine_capacity import MachineCapacity, can_run_on_type
+from appledock.core.quota.resources import Resources, demand_of, limit_of
 from appledock.core.records.job import Job
 from appledock.core.workers import Worker
 
@@ -23,43 +23,44 @@
 
     Those of jobs that will be ready soon come after all that is queued.
     """
-    held: dict[str, quota.Amounts] = {}
+    held: dict[str, Resources] = {}
     result = []
     queued = _most_urgent_first(engine)
     for job in queued + Forecast(engine).upcoming():
         limits = engine.teams.get(job.spec.team)
         if limits is None or not any(
-            type_fits(job.spec, machine_type) for machine_type in engine.machine_types.values()
+            can_run_on_type(job.spec, machine_type)
+            for machine_type in engine.machine_types.values()
         ):
             continue
-        if job.failures >= c.RENT_FAILURES:
+        if job.consecutive_failures >= c.RENT_FAILURES:
             continue  # a job that fails everywhere is not worth machines
         used = held.get(job.spec.team)
         if used is None:
-            used = engine.quota.held_in_all(job.spec.team)
+            used = engine.quota_usage.held_by_team(job.spec.team)
         tasks = min(
-            job.queued,
-            (quota.limit(limits) - used).most(quota.NOTHING).count(job.spec),
+            job.queued_task_count,
+            limit_of(limits).above(used).count_tasks(job.spec),
         )
         if tasks:
-            held[job.spec.team] = used + quota.need(job.spec, tasks)
-            result.append(Demand(job, tasks, job.id in engine.replica.queued))
+            held[job.spec.team] = used + demand_of(job.spec, tasks)
+            result.append(Demand(job, tasks, job.id in engine.replica.queued_jobs))
     return result
 
 
 def _most_urgent_first(engine: Controller) -> list[Job]:
     return sorted(
-        (engine.replica.jobs[job_id] for job_id in engine.replica.queued),
-        key=lambda job: (engine.queue_order.urgency(job), job.id),
+        (engine.replica.jobs[job_id] for job_id in engine.replica.queued_jobs),
+        key=lambda job: (engine.queue_order.sort_key(job), job.id),
     )
 
 
 def soon_free(engine: Controller) -> Iterator[MachineCapacity]:
     """What arrays at work give back while a machine would boot and fetch."""
-    for name, room in engine.capacity_index.table.items():
+    for name, room in engine.capacity_index.machines.items():
         worker = engine.workers.table[name]
         freed = MachineCapacity("", room.type, room.zone, room.spot, 0, 0.0, 0.0, 0.0)
-        for job_id, attempts in engine.replica.by_machine.get(name, {}).items():
+        for job_id, attempts in engine.replica.attempts_by_machine.get(name, {}).items():
             spec = engine.replica.jobs[job_id].spec
             if spec.service or spec.estimate_s <= 0:
                 continue
@@ -67,7 +68,7 @@
             for attempt in attempts:
                 for task in attempt.tasks:
                     left_s = _expected_left_s(
-                        engine.now, spec, worker, (f"{job_id}/{task}", attempt.number)
+                        engine.now, spec, worker, (f"{job_id}/{task}", attempt.attempt_number)
                     )
                     if left_s is not None and left_s < horizon_s:
                         freed.reserve(spec, -1)
@@ -79,7 +80,7 @@
     now: float, spec: wire.JobSpec, worker: Worker, key: tuple[str, int]
 ) -> float | None:
     """How long the task may still run, by its estimate; None: it does not run yet."""
-    since = worker.since.get(key)
+    since = worker.status.running_since.get(key)
     return None if since is None else left_by_estimate_s(spec, now - since)
 
 
--- a/appledock/core/fleet/headroom.py
+++ b/appledock/core/fleet/headroom.py
@@ -8,7 +8,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.fleet.demand import boot_and_fetch_s
-from appledock.core.machines.machine_capacity import type_fits
+from appledock.core.machines.machine_capacity import can_run_on_type
 from appledock.core.records.job import Job
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
     def note(self, job: Job) -> None:
         """A record changed: perhaps a service has arrived."""
         if job.spec.service and job.id not in self.arrivals:
-            age_s = max(0.0, self.engine.wall - job.submitted)
+            age_s = max(0.0, self.engine.wall - job.submitted_at)
             self.arrivals[job.id] = Arrival(self.engine.now - age_s, job.spec)
 
     def wanted(self) -> Wanted:
@@ -101,7 +101,7 @@
         images: dict[str, float] = {}
         cpus = 0.0
         for _, spec in self.arrivals.values():
-            types = [t for t in self.engine.machine_types.values() if type_fits(spec, t)]
+            types = [t for t in self.engine.machine_types.values() if can_run_on_type(spec, t)]
             if not types:
                 continue
             wait_s = min(boot_and_fetch_s(spec, machine_type) for machine_type in types)
@@ -116,14 +116,14 @@
         makes way for it.
         """
         machines = {}
-        jobs, by_machine = self.engine.replica.jobs, self.engine.replica.by_machine
-        for room in self.engine.capacity_index.table.values():
+        jobs, by_machine = self.engine.replica.jobs, self.engine.replica.attempts_by_machine
+        for room in self.engine.capacity_index.machines.values():
             if room.spot or not room.images & images.keys():
                 continue
             cpus = max(0.0, room.cpus)
-            for job_id, attempts in by_machine.get(room.machine, {}).items():
+            for job_id, attempts in by_machine.get(room.name, {}).items():
                 spec = jobs[job_id].spec
                 if spec.rank < wire.RANKS["production"] and not spec.gang:
                     cpus += sum(spec.cpus * len(attempt.tasks) for attempt in attempts)
-            machines[room.machine] = WarmMachine(cpus, frozenset(room.images))
+            machines[room.name] = WarmMachine(cpus, frozenset(room.images))
         return WarmMachines(machines, images)
--- a/appledock/core/fleet/machines.py
+++ b/appledock/core/fleet/machines.py
@@ -115,7 +115,7 @@
             if (
                 name in workers.table
                 or now - rental.at > lost_s
-                or (name in workers.gone and name in self.listed)
+                or (name in workers.deleted_machines and name in self.listed)
             ):
                 del self.rentals[name]
 
@@ -148,7 +148,7 @@
 
     def announce_gone(self, names: list[str]) -> None:
         """Tell the peers that the machines no longer exist."""
-        self.engine.workers.set_gone(names)
+        self.engine.workers.mark_deleted(names)
         for name in names:
             self.rented_at.pop(name, None)
         self.engine.emit(PeerSend(MachinesGone(names)))
@@ -172,16 +172,16 @@
         """Is the first report of the machine still to come?"""
         worker = self.engine.workers.table.get(name)
         heard = worker is not None and worker.report is not None
-        return not heard and name not in self.engine.workers.gone
+        return not heard and name not in self.engine.workers.deleted_machines
 
     def empty(self, name: str) -> bool:
         """No open attempt is recorded there, and no task shows in its report."""
-        if name in self.engine.replica.by_machine:
+        if name in self.engine.replica.attempts_by_machine:
             return False
         worker = self.engine.workers.table.get(name)
         if worker is None or worker.report is None:
             return True
-        return name not in self.engine.capacity_index.reserved_on and all(
+        return name not in self.engine.capacity_index.reserved_tasks and all(
             task.state == wire.EXITED for task in worker.report.tasks
         )
 
@@ -194,7 +194,7 @@
         machine_type = self.engine.machine_types.get(machine.kind.type)
         if machine.age_s <= late_after_s(machine_type) or led_since is None:
             return False
-        if name in self.engine.replica.by_machine:
+        if name in self.engine.replica.attempts_by_machine:
             # Somebody heard of it, or there would be no step: the list is late, and a
             # leader that has just got its lead back may go by one that is minutes old.
             return False
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -49,7 +49,7 @@
         now = self.engine.now
         if not self.engine.reader.loaded:
             return
-        if self.engine.membership.acting() and now >= self.next_drain:
+        if self.engine.membership.can_act() and now >= self.next_drain:
             self.next_drain = now + c.FLEET_EVERY_S
             self.cordons.drain(self._returning_as_leader())
         leader = self._follow_leadership()
@@ -63,14 +63,14 @@
         self.rental.retry()
         if now >= self.next_plan and self.engine.machine_types:
             self.next_plan = now + c.FLEET_EVERY_S
-            self.engine.capacity_index.refresh()
+            self.engine.capacity_index.recompute()
             demand = self._demand()
             self._plan(demand)
             self._return(demand)
 
     def _follow_leadership(self) -> bool:
         """Do we lead? When that begins, what is known of the machines may be old."""
-        if not self.engine.membership.leader():
+        if not self.engine.membership.is_leader():
             self.led_since = None
             return False
         if self.led_since is None:
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -30,7 +30,7 @@
     WorkerReply,
 )
 from appledock.core.messages import JobCancelled
-from appledock.core.records.job import Attempt, Job, split_task
+from appledock.core.records.job import Attempt, Job, split_task_name
 from appledock.core.store.keys import FINAL, JOBS
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
         self.next_delete = 0.0
 
     # --- gossip -----------------------------------------------------------
-    def told(self, job: Job | None, job_id: str, revision: int) -> None:
+    def broadcast(self, job: Job | None, job_id: str, revision: int) -> None:
         """A cancellation was committed by us: the peers hear of it with the user."""
         self.engine.emit(PeerSend(self._message(job_id, job, revision)))
 
@@ -78,7 +78,7 @@
 
     def on_peer_connected(self, name: str) -> None:
         """A link opened: the peer may have missed what was said."""
-        for job_id in sorted(self.engine.replica.cancelled):
+        for job_id in sorted(self.engine.replica.cancelled_jobs):
             job = self.engine.replica.jobs[job_id]
             self.engine.emit(PeerSend(self._message(job_id, job, job.version), name))
 
@@ -97,16 +97,16 @@
     # --- halts ------------------------------------------------------------
     def _cancelled(self, job_id: str) -> bool:
         return (
-            job_id in self.engine.replica.cancelled
-            or self.engine.replica.finals.get(job_id) == wire.CANCELLED
+            job_id in self.engine.replica.cancelled_jobs
+            or self.engine.replica.final_states.get(job_id) == wire.CANCELLED
         )
 
-    def seen(self, report: wire.Report) -> None:
+    def halt_cancelled_tasks(self, report: wire.Report) -> None:
         """A report that we may not answer: what must not go on is halted all the same."""
         tasks = [
             task
             for task in report.tasks
-            if task.state != wire.EXITED and self._cancelled(split_task(task.task)[0])
+            if task.state != wire.EXITED and self._cancelled(split_task_name(task.task)[0])
         ]
         if tasks:
             self._halt(report, tasks)
@@ -154,7 +154,7 @@
         """
         worker = self.engine.workers.table.get(report.worker)
         if worker is not None and worker.report is not None:
-            self.engine.workers.learn(report)
+            self.engine.workers.ingest_heartbeat(report)
 
     # --- timers -----------------------------------------------------------
     def tick(self) -> None:
@@ -163,12 +163,12 @@
         if now < self.next_look:
             return
         self.next_look = now + c.SILENCE_EVERY_S
-        if not replica.cancelled and not self.known:
+        if not replica.cancelled_jobs and not self.known:
             return
         self._forget_old()
         to_halt: dict[str, list[wire.TaskReport]] = {}
         to_delete: set[str] = set()
-        for job_id in sorted(replica.cancelled):
+        for job_id in sorted(replica.cancelled_jobs):
             job = replica.jobs[job_id]
             known = self._noted(job)
             late = self._late(known)
@@ -189,7 +189,7 @@
 
     def _forget_old(self) -> None:
         now = self.engine.now
-        for job_id in [j for j in self.known if j not in self.engine.replica.cancelled]:
+        for job_id in [j for j in self.known if j not in self.engine.replica.cancelled_jobs]:
             del self.known[job_id]
         self.halted = {key: at for key, at in self.halted.items() if now - at < c.HALT_AGAIN_S}
         self.deleting = {
@@ -211,17 +211,19 @@
             return True
         owner = self.engine.replica.owner_of(worker.id)
         if owner == self.engine.settings.name:
-            return not self.engine.membership.acting()
+            return not self.engine.membership.can_act()
         return (
-            not self.engine.heartbeats.works(owner)
+            not self.engine.heartbeats.is_served(owner)
             or self.engine.now - known.since > c.HALT_FOR_OTHERS_S
         )
 
     @staticmethod
     def _still_there(worker: Worker, job_id: str, attempt: Attempt) -> list[wire.TaskReport]:
-        if worker.session != attempt.session:
+        if worker.agent_epoch != attempt.agent_epoch:
             return []
-        entries = [worker.tasks.get((f"{job_id}/{task}", attempt.number)) for task in attempt.tasks]
+        entries = [
+            worker.tasks.get((f"{job_id}/{task}", attempt.attempt_number)) for task in attempt.tasks
+        ]
         return [entry for entry in entries if entry is not None and entry.state != wire.EXITED]
 
     # --- the last resort --------------------------------------------------
@@ -244,17 +246,20 @@
         term makes void.
         """
         workers = self.engine.workers
-        if attempt.machine in workers.gone or worker is None:
+        if attempt.machine in workers.deleted_machines or worker is None:
             return False
         lease_s = self.engine.settings.cluster.workers.lease_s
-        lapsed = self.engine.now - max(worker.bound, worker.heard_at) > (
-            lease_s * (1 + c.CLOCK_DRIFT) + c.LAPSE_MARGIN_S
-        )
+        lapsed = self.engine.now - max(
+            worker.lease.renewable_until, worker.reachability.last_heartbeat_at
+        ) > (lease_s * (1 + c.CLOCK_DRIFT) + c.LAPSE_MARGIN_S)
         if lapsed or all(workers.verdict(job, attempt, task) is not None for task in attempt.tasks):
             return False
-        if worker.session != attempt.session:
+        if worker.agent_epoch != attempt.agent_epoch:
             return False
-        near = self.engine.now - worker.heard_at < 2 * self.engine.settings.cluster.workers.report_s
+        near = (
+            self.engine.now - worker.reachability.last_heartbeat_at
+            < 2 * self.engine.settings.cluster.workers.report_s
+        )
         return not near or bool(self._still_there(worker, job.id, attempt))
 
     def _delete(self, names: list[str]) -> None:
@@ -290,7 +295,7 @@
     def _hears_most_workers(self) -> bool:
         near = 2 * self.engine.settings.cluster.workers.report_s
         heard = [
-            self.engine.now - worker.heard_at < near
+            self.engine.now - worker.reachability.last_heartbeat_at < near
             for worker in self.engine.workers.table.values()
             if worker.report
         ]
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -20,12 +20,12 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.events import PeerSend
-from appledock.core.machines.capacity_index import Entry
-from appledock.core.machines.machine_capacity import MachineCapacity, allowed_on
+from appledock.core.machines.capacity_index import StepReservation
+from appledock.core.machines.machine_capacity import is_allowed_on
 from appledock.core.messages import MoveEnded, MoveHeld, MoveMessage, MoveOrder, MoveRequested
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
-from appledock.core.scheduling.placement import Sampling
+from appledock.core.scheduling.placement import PlacedTasks, Sampling
 from appledock.rebalancing.settings import Moves as MoveRules
 
 if TYPE_CHECKING:
@@ -113,7 +113,7 @@
 
     def hears(self, node: str) -> bool:
         """Would the controller hear of a move, and would we hear what came of it?"""
-        return node == self.engine.settings.name or self.engine.heartbeats.reached(node)
+        return node == self.engine.settings.name or self.engine.heartbeats.is_reachable(node)
 
     # --- planner ----------------------------------------------------------
     def request(self, proposal: Proposal) -> None:
@@ -172,7 +172,7 @@
             return
         job = engine.replica.jobs[order.job]
         self.holds[order.job] = self._under_way(order)
-        engine.capacity_index.hold(order.destination, job.spec)
+        engine.capacity_index.reserve_for_move(order.destination, job.spec)
         self._send(engine.replica.job_owner(job), MoveHeld(order))
 
     def _refused_here(self, order: MoveOrder) -> Outcome | None:
@@ -182,17 +182,19 @@
         refusal = self._refused_anywhere(order)
         if refusal is not None:
             return refusal
-        if not engine.workers.owned(order.destination):
+        if not engine.workers.owns(order.destination):
             return Outcome.NOT_OURS
-        if order.job in self.holds or engine.capacity_index.held.get(order.destination):
+        if order.job in self.holds or engine.capacity_index.move_reservations.get(
+            order.destination
+        ):
             # One at a time: several planners may choose the same empty machine.
             return Outcome.BUSY
-        engine.capacity_index.refresh()
-        room = engine.capacity_index.table.get(order.destination)
+        engine.capacity_index.recompute()
+        room = engine.capacity_index.machines.get(order.destination)
         if room is None:
             return Outcome.LOST
         spec = engine.replica.jobs[order.job].spec
-        if not allowed_on(spec, room):
+        if not is_allowed_on(spec, room):
             return Outcome.NOT_ALLOWED
         if not room.fits(spec):
             return Outcome.NO_ROOM
@@ -203,10 +205,10 @@
     def _refused_anywhere(self, order: MoveOrder) -> Outcome | None:
         """What any controller can tell: is the order of this view, and is there such a job?"""
         engine = self.engine
-        if not engine.membership.acting() or order.term != engine.membership.term:
+        if not engine.membership.can_act() or order.term != engine.membership.term:
             return Outcome.STALE
         job = engine.replica.jobs.get(order.job)
-        if job is None or engine.replica.withdrawn(order.job):
+        if job is None or engine.replica.is_cancelled(order.job):
             return Outcome.JOB_OVER
         return None
 
@@ -219,8 +221,8 @@
         engine = self.engine
         spec = engine.replica.jobs[order.job].spec
         self.active[order.job] = self._under_way(order)
-        engine.capacity_index.hold(order.destination, spec)
-        engine.reconciler.stop(order.job, order.source, {order.task})
+        engine.capacity_index.reserve_for_move(order.destination, spec)
+        engine.stop_requests.add(order.job, order.source, {order.task})
 
     def _refused_by_job(self, order: MoveOrder) -> Outcome | None:
         engine = self.engine
@@ -228,18 +230,18 @@
         if refusal is not None:
             return refusal
         job = engine.replica.jobs[order.job]
-        if not engine.owns_job(job):
+        if not engine.replica.owns_job(engine.settings.name, job):
             return Outcome.NOT_OURS
         if not self.enabled:
             return Outcome.OFF
         drains = engine.partitions.moves_off(job.spec, order.source)
         if not drains and not engine.rebalancer.movable(job.spec):
             return Outcome.NOT_ALLOWED
-        if order.job in self.active or not engine.job_writer.ready(job):
+        if order.job in self.active or not engine.job_writer.can_write(job):
             return Outcome.BUSY
         if engine.now < self.cooling.get(order.job, c.LONG_AGO):
             return Outcome.COOLING
-        if engine.pacing.crowded() or engine.pacing.pressed():
+        if engine.pacing.is_step_rate_limited() or engine.pacing.is_service_rate_limited():
             return Outcome.WRITES
         return (
             self._refused_by_task(job, order)
@@ -256,17 +258,17 @@
         held = self.holds.get(order.job)
         if held is not None and held.order == order:
             return None  # the room is ours to keep, and kept
-        self.engine.capacity_index.refresh()
-        room = self.engine.capacity_index.table.get(order.destination)
+        self.engine.capacity_index.recompute()
+        room = self.engine.capacity_index.machines.get(order.destination)
         if room is None:
             return Outcome.LOST
         if not room.fits(job.spec):
             return Outcome.NO_ROOM
-        return None if allowed_on(job.spec, room) else Outcome.NOT_ALLOWED
+        return None if is_allowed_on(job.spec, room) else Outcome.NOT_ALLOWED
 
     def _refused_by_task(self, job: Job, order: MoveOrder) -> Outcome | None:
         attempt = open_attempt(job, order)
-        if attempt is None or attempt.stopping or job.queued > 0:
+        if attempt is None or attempt.stopping or job.queued_task_count > 0:
             return Outcome.CHANGED
         worker = self.engine.workers.table.get(order.source)
         if worker is None:
@@ -300,9 +302,7 @@
             or any(under_way.order.job == job_id for under_way in self.planned.values())
         )
 
-    def place_held(
-        self, job: Job, rest: Job, zones: dict[str, int] | None
-    ) -> list[tuple[MachineCapacity, int]]:
+    def place_held(self, job: Job, rest: Job, zones: dict[str, int] | None) -> list[PlacedTasks]:
         """Put the next attempt of the stopped task into the room that is kept for it.
 
         Empty as long as the task is not settled, and if the room is not there any more: then
@@ -312,8 +312,8 @@
         if under_way is None or open_attempt(rest, under_way.order) is not None:
             return []
         engine, order = self.engine, under_way.order
-        room = engine.capacity_index.table.get(order.destination)
-        if room is None or not engine.preemption.free_for(room.machine, job):
+        room = engine.capacity_index.machines.get(order.destination)
+        if room is None or not engine.preemption.is_available_to(room.name, job):
             self._end(order, Outcome.LOST)
             return []
         room.release(job.spec, 1)  # the room that is kept
@@ -323,7 +323,7 @@
             self._end(order, Outcome.LOST)
         return placed
 
-    def placed(self, job_id: str, reserved: list[Entry]) -> None:
+    def placed(self, job_id: str, reserved: list[StepReservation]) -> None:
         """A step of the job is committed."""
         under_way = self.active.get(job_id)
         if under_way is not None and any(
@@ -390,7 +390,7 @@
             for under_way in (self.holds.get(order.job), self.active.get(order.job))
         )
         if not needed:
-            self.engine.capacity_index.drop_hold(order.destination, order.job)
+            self.engine.capacity_index.release_move(order.destination, order.job)
             self.engine.reconcile_queue.placement_due = True
 
     # --- time and views ---------------------------------------------------
@@ -420,13 +420,17 @@
     def _over(self, under_way: UnderWay) -> Outcome | None:
         engine, order = self.engine, under_way.order
         job = engine.replica.jobs.get(order.job)
-        if job is None or engine.replica.withdrawn(order.job):
+        if job is None or engine.replica.is_cancelled(order.job):
             return Outcome.JOB_OVER
-        if not engine.owns_job(job):
+        if not engine.replica.owns_job(engine.settings.name, job):
             return Outcome.NOT_OURS
         if engine.now >= under_way.until:
             return Outcome.LATE
-        if open_attempt(job, order) is None and job.queued == 0 and engine.job_writer.ready(job):
+        if (
+            open_attempt(job, order) is None
+            and job.queued_task_count == 0
+            and engine.job_writer.can_write(job)
+        ):
             return Outcome.CHANGED  # it completed before the stop reached it
         return None
 
@@ -434,7 +438,7 @@
         """Do the records show the job at the destination, or no job any more?"""
         job = self.engine.replica.jobs.get(order.job)
         return job is None or any(
-            attempt.machine == order.destination and attempt.number > order.attempt
+            attempt.machine == order.destination and attempt.attempt_number > order.attempt
             for attempt in job.attempts
         )
 
@@ -455,7 +459,7 @@
     for attempt in job.attempts:
         if (
             attempt.machine == order.source
-            and attempt.number == order.attempt
+            and attempt.attempt_number == order.attempt
             and order.task in attempt.tasks
         ):
             return attempt
--- a/appledock/core/workers/detachment.py
+++ b/appledock/core/workers/detachment.py
@@ -41,25 +41,28 @@
         """The worker came here after it had waited for its owner's answer in vain."""
         self.unanswered.setdefault(owner, {})[worker] = self.engine.now
 
-    def unanswered_counts(self) -> dict[str, int]:
+    def owner_timeout_counts(self) -> dict[str, int]:
         """Owner -> how many of its workers came here lately after waiting in vain."""
         return {owner: len(rows) for owner, rows in self.unanswered.items()}
 
-    def reporting_share(self) -> float:
+    def reporting_fraction(self) -> float:
         """Part of our workers that reported to us lately.
 
         Counted among those that anybody has heard of.
         """
         view, now = self.engine.replica.view, self.engine.now
-        if view is None or self.engine.membership.detached():
+        if view is None or self.engine.membership.is_detached():
             return 0.0
         near_s = c.REPORTING_INTERVALS * self.engine.settings.cluster.workers.report_s
         heard = [
             worker
             for worker in self.workers.table.values()
-            if now - worker.heard_at < near_s + c.UNANSWERED_S and self.workers.owned(worker.id)
+            if now - worker.reachability.last_heartbeat_at < near_s + c.UNANSWERED_S
+            and self.workers.owns(worker.id)
         ]
-        direct = sum(now - worker.reached_at < near_s for worker in heard)
+        direct = sum(
+            now - worker.reachability.last_direct_heartbeat_at < near_s for worker in heard
+        )
         return direct / len(heard) if heard else 1.0
 
     # --- others -----------------------------------------------------------
@@ -75,9 +78,9 @@
             self._forget_old(owner)
             if owner not in self.unanswered:
                 continue
-            waited = len(self.unanswered[owner]) + self.engine.heartbeats.unanswered_elsewhere(
-                owner
-            )
+            waited = len(
+                self.unanswered[owner]
+            ) + self.engine.heartbeats.unanswered_workers_at_peers(owner)
             if waited < c.DETACH_MIN or not self._may_detach(owner):
                 continue
             owned = self._heard_of(owner)
@@ -88,7 +91,7 @@
                     owned,
                     owner,
                 )
-                self.engine.membership.want_detached.add(owner)
+                self.engine.view_requests.members_to_detach.add(owner)
                 del self.unanswered[owner]
 
     def _forget_old(self, owner: str) -> None:
@@ -106,13 +109,15 @@
     def _may_detach(self, owner: str) -> bool:
         view = self.engine.replica.view
         assert view is not None
-        return owner in view.attached() and not self.engine.heartbeats.hears_workers(owner)
+        return owner in view.attached() and not self.engine.heartbeats.receives_worker_reports(
+            owner
+        )
 
     def _heard_of(self, owner: str) -> int:
         """How many workers of the owner anybody has heard of lately."""
         now = self.engine.now
         return sum(
-            now - worker.heard_at < 2 * c.UNANSWERED_WINDOW_S
+            now - worker.reachability.last_heartbeat_at < 2 * c.UNANSWERED_WINDOW_S
             and self.engine.replica.owner_of(worker.id) == owner
             for worker in self.workers.table.values()
         )
@@ -121,13 +126,13 @@
     def _probe(self) -> None:
         """While detached: ask some workers directly. Once they answer, we own again."""
         now, member = self.engine.now, self.engine.membership
-        if not member.detached():
+        if not member.is_detached():
             self.probes = 0
             return
         if now < self.next_probe:
             return
         self.next_probe = now + c.SHOW_EVERY_S
-        member.want_attached = self.probes >= c.PROBE_ROUNDS
+        self.engine.view_requests.attach_self = self.probes >= c.PROBE_ROUNDS
         known = [
             worker for _, worker in sorted(self.workers.table.items()) if worker.report is not None
         ]
@@ -136,7 +141,11 @@
             return
         # Those that the peers hear of are alive. Cut off from the peers as well, we hear
         # of none, which is no reason to own them.
-        near = [worker for worker in known if now - worker.heard_at < c.SHOW_AFTER_S] or known
+        near = [
+            worker
+            for worker in known
+            if now - worker.reachability.last_heartbeat_at < c.SHOW_AFTER_S
+        ] or known
         self._ask(self.engine.rng.sample(near, min(len(near), c.PROBE_WORKERS)))
 
     def _ask(self, workers: list[Worker]) -> None:
@@ -147,7 +156,7 @@
             nonlocal left
             if reply.report is None:
                 self.probes, left = 0, -1
-                self.engine.membership.want_attached = False
+                self.engine.view_requests.attach_self = False
                 return
             left -= 1
             self.probes += left == 0
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -10,7 +10,9 @@
 from appledock import wire
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.jobs.cancellation import CancellationEnforcer
-from appledock.core.quota import quota
+from appledock.core.quota import allocation, usage
+from appledock.core.quota.allocation import QuotaAllocation
+from appledock.core.quota.resources import NO_RESOURCES, Resources
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.client import StoreClient
@@ -19,18 +21,18 @@
 from appledock.core.workers import Worker, Workers
 
 Patch = pytest.MonkeyPatch
-VERDICT, COMMANDS, SUBMIT, SHARES = (
+VERDICT, COMMANDS, SUBMIT, ALLOCATED = (
     Workers.verdict,
-    Workers.commands,
+    Workers.commands_for,
     StoreClient.submit,
-    quota.Quota.shares,
+    QuotaAllocation.allocated,
 )
 
 
 def silence_settles(patch: Patch, after_s: float = 6.0) -> None:
     def verdict(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
         worker = self.table.get(attempt.machine)
-        if worker is not None and self.engine.now - worker.heard_at > after_s:
+        if worker is not None and self.engine.now - worker.reachability.last_heartbeat_at > after_s:
             return "settled"
         return VERDICT(self, job, attempt, task)
 
@@ -44,8 +46,8 @@
         worker = self.table.get(attempt.machine)
         if (
             worker is not None
-            and worker.session == attempt.session
-            and (f"{job.id}/{task}", attempt.number) not in worker.tasks
+            and worker.agent_epoch == attempt.agent_epoch
+            and (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks
         ):
             return "settled"
         return VERDICT(self, job, attempt, task)
@@ -64,29 +66,30 @@
 def nobody_answered_before(patch: Patch) -> None:
     """A controller without memory takes workers for unheard of by anybody."""
 
-    def get(self: Workers, name: str) -> Worker:
+    def get_or_create(self: Workers, name: str) -> Worker:
         return self.table.setdefault(name, Worker(name))
 
-    patch.setattr(Workers, "get", get)
+    patch.setattr(Workers, "get_or_create", get_or_create)
 
 
 def old_shares_hold(patch: Patch) -> None:
     """Shares of a team's limit are kept from one view to the next."""
 
-    def shares(self: quota.Quota, name: str) -> quota.Shares:
-        team, view = self.e.replica.team(name), self.e.replica.view
+    def allocated(self: QuotaAllocation, team: str) -> dict[str, Resources]:
+        record, view = self._replica.team(team), self._replica.view
         assert view is not None
-        kept, team.term = team.term, view.term
+        kept, record.term = record.term, view.term
         try:
-            return SHARES(self, name)
+            return ALLOCATED(self, team)
         finally:
-            team.term = kept
+            record.term = kept
 
-    patch.setattr(quota.Quota, "shares", shares)
+    patch.setattr(QuotaAllocation, "allocated", allocated)
 
 
 def no_charges(patch: Patch) -> None:
-    patch.setattr(quota, "charge", lambda job: quota.NOTHING)
+    for module in (usage, allocation):
+        patch.setattr(module, "reservation_of", lambda job: NO_RESOURCES)
 
 
 def zones_unseen(patch: Patch) -> None:
@@ -112,7 +115,7 @@
 
 def no_word_of_mouth(patch: Patch) -> None:
     """Nor deletions: what is left is time, since leases end in `cancel_s`."""
-    patch.setattr(CancellationEnforcer, "told", lambda *_: None)
+    patch.setattr(CancellationEnforcer, "broadcast", lambda *_: None)
     patch.setattr(CancellationEnforcer, "_halt", lambda *_: None)
     patch.setattr(CancellationEnforcer, "_delete", lambda *_: None)
 
@@ -127,7 +130,7 @@
     no_word_of_mouth(patch)
     patch.setattr(
         Workers,
-        "commands",
+        "commands_for",
         lambda self, worker, direct: [
             x for x in COMMANDS(self, worker, direct) if x.op != wire.HALT
         ],
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -307,7 +307,7 @@
         replica.put(key, value, 7)
         kind, _, name = key.removeprefix(self.key_prefix("LIVE")).partition("/")
         if key.startswith(self.key_prefix("FINAL")):
-            return {"state": replica.finals[key.removeprefix(self.key_prefix("FINAL"))]}
+            return {"state": self.final_states(replica)[key.removeprefix(self.key_prefix("FINAL"))]}
         if kind == "jobs":
             return self._plain(self.encode_job(replica.jobs[name], format_))
         if kind == "teams":
@@ -316,13 +316,26 @@
             return self.member_record(replica.members[name])
         if kind == "view":
             return self._plain(replica.view.encode())
-        return self._plain(
-            {
-                "catalogue": {"types": replica.catalogue[1]},
-                "settings": replica.settings[1],
-                "format": {"format": replica.format[1]},
-            }[kind]
-        )
+        return self._plain(self.single_record(replica, kind))
+
+    def final_states(self, replica: Any) -> Any:
+        """Job -> how it ended."""
+        return replica.finals
+
+    def single_record(self, replica: Any, kind: str) -> Any:
+        """The value of a record of which there is one."""
+        return {
+            "catalogue": {"types": replica.catalogue[1]},
+            "settings": replica.settings[1],
+            "format": {"format": replica.format[1]},
+        }[kind]
+
+    def job(self, spec: Any, completed: tuple[int, ...], **fields: Any) -> Any:
+        """A job submitted at 12.5 s, at version 7 and step 3; `fields` by their first names."""
+        job = self.jobs.Job(spec, 12.5, 7, 3, **fields)
+        for task in completed:
+            job.done.add(task)
+        return job
 
     def encode_job(self, job: Any, format_: int) -> Any:
         return job.encode(format_)
@@ -394,10 +407,10 @@
         return [under_way.order for under_way in controller.moves.active.values()]
 
     def hears(self, controller: Any, peer: str) -> bool:
-        return bool(controller.heartbeats.reached(peer))
+        return bool(controller.heartbeats.is_reachable(peer))
 
     def told_by(self, controller: Any, peer: str) -> dict[str, Any]:
-        heard = controller.heartbeats.heard[peer]
+        heard = controller.heartbeats.last_heartbeats[peer]
         return {
             "node": peer,
             "served_s": round(controller.now - heard.served_at, 3),
@@ -440,9 +453,23 @@
     def healthy(self, controller: Any) -> bool:
         return bool(controller.health.is_healthy())
 
+    def queue_length(self, controller: Any) -> int:
+        return len(controller.replica.queued_jobs)
+
+    def format_in_use(self, controller: Any) -> int:
+        return int(controller.replica.record_format.value)
+
     def shares_in_force(self, controller: Any) -> bool:
         return bool(controller.partitions.in_force())
 
+    def job(self, spec: Any, completed: tuple[int, ...], **fields: Any) -> Any:
+        names = {"handoff": "handoff_target", "failures": "consecutive_failures"}
+        fields = {names.get(name, name): value for name, value in fields.items()}
+        job = self.jobs.Job(spec, 12.5, 7, 3, **fields)
+        for task in completed:
+            job.completed_tasks.add(task)
+        return job
+
     def store_reply(self, call: Any, outcome: str) -> Any:
         outcome_type = {"refused": self.calls.NotExecuted, "unknown": self.calls.UnknownOutcome}
         return self.events.StoreReply(self.call_id(call), outcome_type[outcome]())
@@ -465,9 +492,26 @@
     def request_id(self, reply: Any) -> int:
         return int(reply.request_id)
 
+    def knows_gone(self, controller: Any, machine: str) -> bool:
+        return machine in controller.workers.deleted_machines
+
+    def seen(self, controller: Any, machine: str) -> tuple[int, int]:
+        number = controller.workers.table[machine].status.newest
+        return int(number.agent_epoch), int(number.seq)
+
     def key_prefix(self, name: str) -> str:
         return str(getattr(self.keys, name))
 
+    def final_states(self, replica: Any) -> Any:
+        return replica.final_states
+
+    def single_record(self, replica: Any, kind: str) -> Any:
+        return {
+            "catalogue": {"types": replica.catalogue.value},
+            "settings": replica.stored_settings.value,
+            "format": {"format": replica.record_format.value},
+        }[kind]
+
 
 @cache
 def present() -> Code:
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -16,6 +16,7 @@
 from appledock.core.controller import Controller
 from appledock.core.fleet.demand import queued_demand
 from appledock.core.fleet.machines import Machines
+from appledock.core.membership.membership import MembershipState
 from appledock.core.records.job import Job
 from appledock.core.store.keys import VIEW
 from appledock.net.http import Answer, Server
@@ -77,7 +78,7 @@
     world.clock.run(49.0)
     assert busy(world) == FLEET
     alone = world.nodes["n0"].engine
-    assert all(alone.workers.owned(name) for name in world.cloud.workers)
+    assert all(alone.workers.owns(name) for name in world.cloud.workers)
 
     world.clock.run(56.0)
     for node in world.nodes.values():
@@ -93,7 +94,9 @@
         node.crash(1.0)
     world.clock.run(76.0)
     assert busy(world) == FLEET
-    leader = next(node.engine for node in world.nodes.values() if node.engine.membership.leader())
+    leader = next(
+        node.engine for node in world.nodes.values() if node.engine.membership.is_leader()
+    )
     world.clock.run(88.0)
     assert len(leader.fleet.machines.listed) == FLEET
 
@@ -140,12 +143,14 @@
     e.replica.put(VIEW, {"term": 5, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
     e.replica.view_changed = False
-    e.membership.joined, e.membership.incarnation = True, "x.1"
-    e.membership.touch_sent = e.membership.view_sent = e.membership.served_at = e.now
+    e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
+    e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
+        e.membership.store_answered_at
+    ) = e.now
     e.replica.advance(1)
     for number in range(FLEET):
         tasks = [wire.TaskReport(f"job-{number:06d}/{n}", 1, wire.RUNNING) for n in range(8)]
-        e.workers.learn(
+        e.workers.ingest_heartbeat(
             wire.Report(f"vm-{number:06d}", "10.0.0.9:9000", "h4", "a", 1, number, 5, tasks=tasks)
         )
     return e
@@ -155,7 +160,9 @@
     """Most bytes that one batch gives to a link that has just opened, and workers told of."""
     e, most, told = owner_of_all(), 0, set()
     for _ in range(math.ceil(seconds / c.TICK_S)):
-        e.membership.touch_sent = e.membership.view_sent = e.membership.served_at = e.now
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
+            e.membership.store_answered_at
+        ) = e.now
         batch: list[ev.Cmd] = [ev.Tick()] if told else [ev.PeerOpened("n1")]
         effects = e.handle(batch, e.now + c.TICK_S, 0.0)
         messages = [
@@ -178,10 +185,12 @@
     e = owner_of_all()
     names = [f"vm-{number:06d}" for number in range(c.GONE_MAX)]
     assert FLEET < c.GONE_RESENT_MAX
-    e.workers.gone.update(dict.fromkeys(names, 0.0))
+    e.workers.deleted_machines.update(dict.fromkeys(names, 0.0))
     e.workers.gossip.on_peer_connected("n1")
     e.workers.gossip._send_alive(list(e.workers.table), "n1")
-    sizes = [len(wire.encode(x.message)) for x in e.effects if isinstance(x, ev.PeerSend)]
+    sizes = [
+        len(wire.encode(x.message)) for x in e.runtime.take_effects() if isinstance(x, ev.PeerSend)
+    ]
     assert max(sizes) < c.PEER_FRAME_MAX / 2
 
 
@@ -191,16 +200,16 @@
     e = owner_of_all()
     e.client.max_value_bytes = 14_000
     wanted = {f"vm-{number:06d}": "n0" for number in range(250)}
-    e.membership.want_override = dict(wanted)
-    view = e.membership._next_view({"n0": "x.1"})
+    e.view_requests.overrides = dict(wanted)
+    view = e.membership_protocol.next_view({"n0": "x.1"})
     assert set(view.overrides) == set(wanted)
     e.replica.put(VIEW, view.encode(), 2)
     gone = sorted(wanted)[:100]
-    e.workers.set_gone(gone)
-    e.membership.want_override = {}
-    assert set(e.membership._next_view({"n0": "x.1"}).overrides) == set(wanted) - set(gone)
+    e.workers.mark_deleted(gone)
+    e.view_requests.overrides = {}
+    assert set(e.membership_protocol.next_view({"n0": "x.1"}).overrides) == set(wanted) - set(gone)
     e.client.max_value_bytes = 3000
-    view = e.membership._next_view({"n0": "x.1"})
+    view = e.membership_protocol.next_view({"n0": "x.1"})
     assert len(view.overrides) > 30 and len(wire.encode(view.encode())) <= 3000
 
 
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -23,8 +23,8 @@
     """The machine goes on reporting, the controller keeps its authority."""
     effects: list[ev.Effect] = []
     for step in range(int(seconds)):
-        e.membership.touch_sent = e.membership.view_sent = NOW + step
-        seq = e.workers.table["vm-1"].seen[1] + 1
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = NOW + step
+        seq = e.workers.table["vm-1"].status.newest.seq + 1
         effects += e.handle([ev.Reported(seq, report(seq)), ev.Tick()], NOW + step, 0.0)
     return effects
 
@@ -66,7 +66,7 @@
     e = follower()
     e.fleet.operate("vm-1", "cordon")
     live_on(e, c.CORDON_LAPSE_S + 3)
-    assert e.workers.table["vm-1"].cordoned == "operator"
+    assert e.workers.table["vm-1"].placement.cordon_reason == "operator"
 
 
 def test_while_the_cloud_is_in_trouble_the_leader_repeats_its_cordons() -> None:
@@ -97,7 +97,7 @@
         for queue in e.client.limiter.queues:
             queue.clear()
         if puts:
-            version = e.replica.catalogue[0] + 1
+            version = e.replica.catalogue.version + 1
             e.replica.put(CATALOGUE, json.loads(wire.encode(puts[0].value)), version)
         return bool(puts)
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,12 +13,14 @@
 from appledock import wire
 from appledock.core.fleet import MachineKind
 from appledock.core.fleet.model import BootingMachine
+from appledock.core.jobs.reconcile_queue import PendingReason
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.messages import Heartbeat
-from appledock.core.quota import quota
-from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.quota.admission import QueuedDemand, admit_queue
+from appledock.core.quota.resources import Resources
+from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling import placement, preemption
-from appledock.core.scheduling.objectives import Objectives
+from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.placement import Sampling
 from appledock.core.store.keys import JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
@@ -79,16 +81,16 @@
         quay=zone,
     )
     rooms = [room(f"m{i}", cpus, z, s, mem) for i, (cpus, z, s, mem) in enumerate(rows)]
-    before = {r.machine: (r.cpus, r.memory_gb) for r in rooms}
+    before = {r.name: (r.cpus, r.memory_gb) for r in rooms}
     fits = {
-        r.machine: r.count(job) if (spot or not r.spot) and zone in (None, r.zone) else 0
+        r.name: r.free_slots(job) if (spot or not r.spot) and zone in (None, r.zone) else 0
         for r in rooms
     }
     placed = placement.place(job, tasks, rooms, Sampling(random.Random(1), sample), {}, whole)
-    count = {r.machine: n for r, n in placed}
+    count = {r.name: n for r, n in placed}
     zones: dict[str, int] = {}
     for r, n in placed:
-        assert 0 < n <= fits[r.machine]
+        assert 0 < n <= fits[r.name]
         zones[r.zone] = zones.get(r.zone, 0) + n
     total = sum(count.values())
     assert total <= tasks
@@ -96,12 +98,12 @@
     assert not scatter or max(zones.values(), default=0) <= (tasks + 1) // 2
     assert not whole or total in (0, tasks)
     for r in rooms:
-        taken = count.get(r.machine, 0)
-        assert r.cpus == before[r.machine][0] - size * taken
-        assert r.memory_gb == before[r.machine][1] - 2 * taken
+        taken = count.get(r.name, 0)
+        assert r.cpus == before[r.name][0] - size * taken
+        assert r.memory_gb == before[r.name][1] - 2 * taken
     if not whole:  # the plain reference: how many fit at most
         cap = (tasks + 1) // 2 if scatter else tasks
-        by_zone = [min(cap, sum(fits[r.machine] for r in rooms if r.zone == z)) for z in "ab"]
+        by_zone = [min(cap, sum(fits[r.name] for r in rooms if r.zone == z)) for z in "ab"]
         best = max(by_zone) if together else sum(by_zone)
         assert total == min(tasks, best)
 
@@ -118,14 +120,17 @@
 ) -> None:
     """The walk decides a whole queue; the reference deals single cores in turn."""
     nodes = ["n0", "n1", "n2"]
-    shares = {n: quota.Amounts(u + f) for n, u, f in zip(nodes, used, unused, strict=True)}
-    held = {n: quota.Amounts(u) for n, u in zip(nodes, used, strict=True)}
-    most = quota.Amounts(sum(used) + sum(unused) + spare)
-    rows = [(f"job-{i}", nodes[n], quota.Amounts(wish)) for i, (n, wish) in enumerate(queue)]
-    allowed, release = quota.walk(most, shares, held, "n0", rows)
+    shares = {n: Resources(u + f) for n, u, f in zip(nodes, used, unused, strict=True)}
+    held = {n: Resources(u) for n, u in zip(nodes, used, strict=True)}
+    most = Resources(sum(used) + sum(unused) + spare)
+    rows = [
+        QueuedDemand(f"job-{i}", nodes[n], Resources(wish)) for i, (n, wish) in enumerate(queue)
+    ]
+    admission = admit_queue(most, shares, held, "n0", rows)
+    allowed, release = admission.admitted, admission.releasable
     pool, free, lent, plain = spare, dict(zip(nodes, unused, strict=True)), 0, {}
-    for job, owner, wish in rows:
-        for _ in range(int(wish.cpus)):
+    for job, owner, demand in rows:
+        for _ in range(int(demand.cpus)):
             if free[owner]:
                 free[owner] -= 1
             elif pool:
@@ -146,9 +151,9 @@
 def test_image_at_hand_beats_a_tight_fit() -> None:
     job = spec(cores=1.0)
     rooms = [room("tight", 1), room("warm", 4, images=frozenset({"img"}))]
-    assert placement.pick(job, rooms, random.Random(1)).machine == "warm"  # type: ignore[union-attr]
+    assert placement.sample_best_fit(job, rooms, random.Random(1)).name == "warm"  # type: ignore[union-attr]
     assert (
-        placement.pick(job, [room("loose", 4), room("tight", 1)], random.Random(1)).machine
+        placement.sample_best_fit(job, [room("loose", 4), room("tight", 1)], random.Random(1)).name
         == "tight"
     )  # type: ignore[union-attr]
 
@@ -161,12 +166,12 @@
         preemption.Victim(small, 1, 1.0),
         preemption.Victim(small, 2, 5.0),
     ]
-    chosen = preemption.choose(job, room("m", 1), victims)
+    chosen = preemption.select_victims(job, room("m", 1), victims)
     assert [v.task for v in chosen or ()] == [1]
-    chosen = preemption.choose(job, room("m", 0), victims)
+    chosen = preemption.select_victims(job, room("m", 0), victims)
     assert [v.task for v in chosen or ()] == [1, 2]
-    assert preemption.choose(job, room("m", 0, memory=0.0), victims[:1]) is None
-    chosen = preemption.choose(job, room("m", 4), victims, quota.Amounts(3.0))
+    assert preemption.select_victims(job, room("m", 0, memory=0.0), victims[:1]) is None
+    chosen = preemption.select_victims(job, room("m", 4), victims, Resources(3.0))
     assert len(chosen or ()) == 2
 
 
@@ -254,9 +259,9 @@
         wire.TaskReport(f"{job.id}/0", 1, wire.EXITED, wire.DONE),
         wire.TaskReport(f"{job.id}/1", 1, wire.RUNNING),
     ]
-    e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, tasks=tasks))
+    e.workers.ingest_heartbeat(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, tasks=tasks))
     high = Job(spec(id="job-9", rank="production"), 0)
-    found = e.preemption.victims(high, room("vm-1", 0))
+    found = e.preemption.preemptible_tasks(high, room("vm-1", 0))
     assert [victim.task for victim in found] == [1]
 
 
@@ -273,12 +278,14 @@
 
 
 def test_records_survive_the_state_service() -> None:
-    job = Job(spec(crates=9, hulls=["h4"]), 5.0, 3, 4, cancelled=True, handoff=("n1", "x"))
-    job.done.add(0)
+    job = Job(spec(crates=9, hulls=["h4"]), 5.0, 3, 4, cancelled=True, handoff_target=("n1", "x"))
+    job.completed_tasks.add(0)
     job.attempts.append(Attempt("vm-1", 2, 4, 7, True, {1, 2, 5}))
-    again = decode(msgspec.json.decode(wire.encode(job.encode())), 3)
+    again = decode_job(msgspec.json.decode(wire.encode(job.encode())), 3)
     assert again.encode() == job.encode()
-    assert again.queued_tasks(9) == [3, 4, 6, 7, 8] and again.queued == 0  # cancelled
+    assert (
+        again.first_queued_tasks(9) == [3, 4, 6, 7, 8] and again.queued_task_count == 0
+    )  # cancelled
 
 
 def test_malformed_records_are_logged_and_left_out() -> None:
@@ -318,16 +325,16 @@
     quick = Job(spec(id="job-2", crates=1, sail_s=60.0, eta_s=30.0), 80.0)
     late = Job(spec(id="job-3", crates=1, sail_s=20.0, eta_s=30.0), 50.0)
     service = Job(spec(id="job-4", shape="daemon", rank="production", crates=1), 99.0)
-    order = sorted([late, hopeful, service, quick], key=e.queue_order.urgency)
+    order = sorted([late, hopeful, service, quick], key=e.queue_order.sort_key)
     assert [job.id for job in order] == ["job-4", "job-2", "job-1", "job-3"]
     # Ageing: of two that are too late the older; what has not begun within a minute
     # goes first in its rank, and in the end before all.
     older = Job(spec(id="job-5", crates=2, sail_s=20.0, eta_s=30.0), 45.0)
     aged = Job(spec(id="job-6", crates=90, sail_s=20.0, eta_s=30.0), 30.0)
-    order = sorted([late, older, aged, service, quick], key=e.queue_order.urgency)
+    order = sorted([late, older, aged, service, quick], key=e.queue_order.sort_key)
     assert [job.id for job in order] == ["job-4", "job-6", "job-2", "job-5", "job-3"]
     e.wall = 190.0
-    assert e.queue_order.urgency(aged) < e.queue_order.urgency(service)
+    assert e.queue_order.sort_key(aged) < e.queue_order.sort_key(service)
 
 
 @pytest.mark.parametrize(
@@ -377,10 +384,10 @@
     e = engine()
     job = Job(spec(crates=4), 0, 5)
     job.attempts.append(Attempt("vm-1", 1, 1, 1, False, {0, 1, 2}))
-    e.job_writer.busy.add(job.id)
-    e.reconciler.stop(job.id, "vm-1", {0})
-    e.reconciler.stop(job.id, "vm-1", {2})
-    assert e.reconciler._apply_stops(job)
+    e.job_writer.jobs_in_flight.add(job.id)
+    e.stop_requests.add(job.id, "vm-1", {0})
+    e.stop_requests.add(job.id, "vm-1", {2})
+    assert e.stop_requests.mark_stopping(job)
     assert sorted((a.stopping, sorted(a.tasks)) for a in job.attempts) == [
         (False, [1]),
         (True, [0, 2]),
@@ -394,9 +401,11 @@
         job = Job(spec(id=f"job-{number}", stow_s=checkpoint), 0, 5)
         job.attempts.append(Attempt("vm-1", 1, 1, 1, False, {0}))
         e.replica.set_job(job)
-    e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, True, notice_s=9.0))
+    e.workers.ingest_heartbeat(
+        wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, True, notice_s=9.0)
+    )
     e.fleet.cordons.drain(())
-    assert e.reconciler.stops == {"job-1": {"vm-1": {0}}}
+    assert e.stop_requests.pending == {"job-1": {"vm-1": {0}}}
 
 
 def test_machines_that_died_idle_are_given_back_too() -> None:
@@ -406,13 +415,15 @@
     e.replica.put("ad/live/view", {"term": 1, "members": {"n0": "x"}, "leader": "n0"}, 1)
     e.fleet.led_since = e.now
     for number in range(5):
-        e.workers.learn(wire.Report(f"vm-{number}", "10.0.0.9:9", "h4", "a", 1, 1, 1))
+        e.workers.ingest_heartbeat(wire.Report(f"vm-{number}", "10.0.0.9:9", "h4", "a", 1, 1, 1))
     e.now += 100.0
     e.fleet._return(e.fleet._demand())
     assert not e.fleet.returns.returning
     for number in range(1, 5):
         worker = e.workers.table[f"vm-{number}"]
-        worker.heard_at = worker.well_at = worker.reached_at = e.now
+        worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = (
+            worker.reachability.last_direct_heartbeat_at
+        ) = e.now
     e.fleet._return(e.fleet._demand())
     assert "vm-0" in e.fleet.returns.returning and e.fleet.returns.returning["vm-0"].why == "silent"
 
@@ -437,7 +448,7 @@
         job = Job(spec(id=task, crates=1, cores=4.0, cargo="other"), 0, 5)
         job.attempts.append(Attempt(name, 1, 1, 1, False, {0}))
         e.replica.set_job(job)
-        e.workers.learn(
+        e.workers.ingest_heartbeat(
             wire.Report(
                 name,
                 "10.0.0.9:9",
@@ -449,13 +460,13 @@
                 tasks=[wire.TaskReport(f"{task}/0", 1, wire.RUNNING)],
             )
         )
-    e.workers.table["vm-150"].images["img"] = e.now
-    e.capacity_index.touch_all()
-    e.capacity_index.refresh()
-    assert e.capacity_index.holders["img"] == {"vm-150"}
+    e.workers.table["vm-150"].status.image_seen_at["img"] = e.now
+    e.capacity_index.mark_all_changed()
+    e.capacity_index.recompute()
+    assert e.capacity_index.machines_by_image["img"] == {"vm-150"}
     high = Job(spec(id="job-9", rank="production", shape="daemon", cores=4.0, crates=1), 0)
-    assert e.preemption.better(high, [], {}) == "n0"
-    assert e.preemption.claimed == {"vm-150": "job-9"}
+    assert e.preemption.find_faster_start(high, [], {}) == "n0"
+    assert e.preemption.claimed_machines == {"vm-150": "job-9"}
 
 
 def test_idle_machines_are_kept_while_tasks_queue_that_fit_them() -> None:
@@ -466,10 +477,10 @@
         e = engine()
         e.machine_types.update({"h4": KIND})
         e.replica.put("ad/live/view", {"term": 1, "members": {"n0": "x"}, "leader": "n0"}, 1)
-        e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1))
-        e.workers.table["vm-1"].idle_since = e.now - 20
+        e.workers.ingest_heartbeat(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1))
+        e.workers.table["vm-1"].placement.idle_since = e.now - 20
         e.replica.set_job(Job(spec(cores=size), 0, 5))
-        e.capacity_index.refresh()
+        e.capacity_index.recompute()
         e.fleet._return(e.fleet._demand())
         return set(e.fleet.returns.returning)
 
@@ -479,13 +490,13 @@
 
 def test_arrays_hold_no_room_while_users_and_services_wait_for_writes() -> None:
     e = engine()
-    assert not e.pacing.hold_back()
+    assert not e.pacing.should_defer_batch_jobs()
     for _ in range(5):
         e.client.limiter.add(call(Priority.USER, 1))
     held = []
     for _ in range(50):  # ten seconds
         e.now += 0.2
-        held.append(e.pacing.hold_back())
+        held.append(e.pacing.should_defer_batch_jobs())
     assert held[:14] == [True] * 14
     assert 2 <= held.count(False) <= 4  # held back, but not for ever
 
@@ -495,18 +506,18 @@
     them after a wave of lost machines, arrays of the others took two thirds."""
     e = engine()
     e.heartbeats.on_peer(Heartbeat("n1", 0.1, writes=9.0, pressed=True))
-    assert e.pacing.hold_back()
+    assert e.pacing.should_defer_batch_jobs()
     e.now += c.HEARTBEAT_LOST_S + 1
-    assert not e.pacing.hold_back()  # it may be over since: nobody is heard
+    assert not e.pacing.should_defer_batch_jobs()  # it may be over since: nobody is heard
     e.heartbeats.on_peer(Heartbeat("n1", 0.1, writes=9.0, pressed=False))
-    assert not e.pacing.hold_back()
+    assert not e.pacing.should_defer_batch_jobs()
 
 
 def test_objectives_order_arrays_by_class_and_unknown_ones_are_ignored(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
-    objectives = Objectives(
+    objectives = ServiceLevelObjectives(
         [
             Objective("deadline", "seal", times=1.5),
             Objective("deadline", "seal", times=1.0),
@@ -518,14 +529,14 @@
     )
     assert "beauty" in caplog.text
     seal = spec(berth="seal", sail_s=70.0)
-    assert objectives.deadlines(seal) == [70.0, 105.0]
-    assert objectives.finished_in(seal) == [250.0]
-    assert objectives.aged(seal) == c.AGED_SHARE * 100.0
-    assert objectives.deadlines(spec(berth="other", sail_s=70.0)) == [70.0]
-    assert objectives.finished_in(spec(berth="other", sail_s=70.0)) == []
-    assert objectives.deadlines(spec(berth="other", sail_s=None)) == []
-    assert objectives.aged(spec(berth="other")) == c.AGED_S
-    assert objectives.aged(spec(berth="gate", shape="daemon")) == c.AGED_S
+    assert objectives.deadline_limits_s(seal) == [70.0, 105.0]
+    assert objectives.finish_limits_s(seal) == [250.0]
+    assert objectives.ageing_threshold_s(seal) == c.AGED_SHARE * 100.0
+    assert objectives.deadline_limits_s(spec(berth="other", sail_s=70.0)) == [70.0]
+    assert objectives.finish_limits_s(spec(berth="other", sail_s=70.0)) == []
+    assert objectives.deadline_limits_s(spec(berth="other", sail_s=None)) == []
+    assert objectives.ageing_threshold_s(spec(berth="other")) == c.AGED_S
+    assert objectives.ageing_threshold_s(spec(berth="gate", shape="daemon")) == c.AGED_S
 
 
 def test_a_job_that_was_only_handed_on_or_stopped_again_has_not_begun() -> None:
@@ -534,10 +545,10 @@
     e = engine()
     e.wall = 1000.0
     young = Job(spec(id="job-000001", sail_s=500.0), 1000.0 - 5, 1)
-    passed = Job(spec(id="job-000002", crates=9, sail_s=500.0), 1000.0 - 70, 1, steps=3)
-    assert e.queue_order.urgency(passed) < e.queue_order.urgency(young)
-    passed.done.add(0)
-    assert e.queue_order.urgency(passed) > e.queue_order.urgency(young)
+    passed = Job(spec(id="job-000002", crates=9, sail_s=500.0), 1000.0 - 70, 1, last_step=3)
+    assert e.queue_order.sort_key(passed) < e.queue_order.sort_key(young)
+    passed.completed_tasks.add(0)
+    assert e.queue_order.sort_key(passed) > e.queue_order.sort_key(young)
 
 
 def test_waiting_steps_of_arrays_make_way_for_stops_and_services() -> None:
@@ -548,7 +559,7 @@
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
     mine = [f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0"]
     vm = next(f"vm-{i}" for i in range(99) if e.replica.owner_of(f"vm-{i}") == "n0")
-    e.workers.learn(wire.Report(vm, "10.0.0.9:9", "h4", "a", 1, 1, 5))
+    e.workers.ingest_heartbeat(wire.Report(vm, "10.0.0.9:9", "h4", "a", 1, 1, 5))
     array = Job(spec(id=mine[0], crates=4), 0.0, 2)
     e.replica.set_job(array)
     e.client.limiter.writes.rate, e.client.limiter.max_write_rate, e.client.limiter.writes.level = (
@@ -557,17 +568,20 @@
         -9.0,
     )
     e.handle([], e.now + 0.2, 0.0)
-    assert e.capacity_index.reserved_on == {vm: {mine[0]: 4}} and mine[0] in e.job_writer.busy
+    assert (
+        e.capacity_index.reserved_tasks == {vm: {mine[0]: 4}}
+        and mine[0] in e.job_writer.jobs_in_flight
+    )
     service = Job(spec(id=mine[1], crates=1, cores=4.0, rank="production", shape="daemon"), 0.0, 3)
     e.replica.set_job(service)
     for _ in range(3):
-        e.membership.touch_sent = e.membership.view_sent = e.now
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
         e.handle([], e.now + 0.11, 0.0)
-    assert e.capacity_index.reserved_on == {vm: {mine[1]: 1}}
-    assert mine[0] not in e.job_writer.busy and mine[1] in e.job_writer.busy
+    assert e.capacity_index.reserved_tasks == {vm: {mine[1]: 1}}
+    assert mine[0] not in e.job_writer.jobs_in_flight and mine[1] in e.job_writer.jobs_in_flight
     # A stop takes the waiting write of its own job back too, but not an urgent one.
-    e.reconciler.stop(mine[1], vm, {0})
-    assert mine[1] in e.job_writer.busy
+    e.stop_requests.add(mine[1], vm, {0})
+    assert mine[1] in e.job_writer.jobs_in_flight
 
 
 def test_lists_of_finished_tasks_are_written_often_only_for_a_team_at_its_limit() -> None:
@@ -576,16 +590,16 @@
     one, other = Job(spec(id="job-000001"), 0.0, 1), Job(spec(id="job-000002"), 0.0, 2)
     e.replica.set_job(one)
     e.replica.set_job(other)
-    assert e.pacing.progress_every(one) == c.PROGRESS_RELAXED_S
-    e.reconcile_queue.pending_reasons["job-000002"] = "team limit"
+    assert e.pacing.progress_interval_s(one) == c.PROGRESS_RELAXED_S
+    e.reconcile_queue.pending_reasons["job-000002"] = PendingReason.TEAM_LIMIT
     e.client.limiter.writes.level = 0.0
-    assert e.pacing.progress_every(one) == c.PROGRESS_EVERY_S
+    assert e.pacing.progress_interval_s(one) == c.PROGRESS_EVERY_S
     e.client.limiter.writes.level = e.client.limiter.writes.rate
-    assert e.pacing.progress_every(one) == c.PROGRESS_SPARE_S  # nobody lacks these writes
-    e.reconcile_queue.pending_reasons["job-000002"] = "no room"
+    assert e.pacing.progress_interval_s(one) == c.PROGRESS_SPARE_S  # nobody lacks these writes
+    e.reconcile_queue.pending_reasons["job-000002"] = PendingReason.NO_CAPACITY
     for _ in range(c.CROWDED + 1):
         e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
-    assert e.pacing.progress_every(one) == c.PROGRESS_CROWDED_S
+    assert e.pacing.progress_interval_s(one) == c.PROGRESS_CROWDED_S
 
 
 def test_charges_are_given_back_soon_where_another_controllers_jobs_lack_the_limit() -> None:
@@ -598,14 +612,14 @@
     running = Job(spec(id="job-000001", crates=full, owner="red", cores=1.0), 0.0, 1)
     running.attempts.append(Attempt("vm-1", 1, 1, 1, False, set(range(full - 1))))
     e.replica.set_job(running)
-    e.quota.forget_caches()
-    assert not e.quota.exhausted("red")  # one core is left, and one task waits
+    e.quota_allocation.clear_caches()
+    assert not e.quota_usage.is_limit_exhausted("red")  # one core is left, and one task waits
     waiting = Job(spec(id="job-000002", crates=1, owner="red", cores=2.0), 0.0, 2)
     e.replica.set_job(waiting)
-    e.quota.forget_caches()
-    assert e.quota.exhausted("red") and not e.reconcile_queue.pending_reasons
+    e.quota_allocation.clear_caches()
+    assert e.quota_usage.is_limit_exhausted("red") and not e.reconcile_queue.pending_reasons
     e.client.limiter.writes.level = e.client.limiter.writes.rate
-    assert e.pacing.progress_every(running) == c.PROGRESS_SPARE_S
+    assert e.pacing.progress_interval_s(running) == c.PROGRESS_SPARE_S
 
 
 def test_a_launch_of_an_earlier_term_asks_for_no_further_one() -> None:
@@ -617,10 +631,10 @@
         wire.TaskReport(f"job-000009/{number}", 1, wire.EXITED, wire.DONE)
         for number in range(c.KEPT_MAX + 1)
     ]
-    e.workers.learn(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 4, tasks=tasks))
+    e.workers.ingest_heartbeat(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 4, tasks=tasks))
     worker = e.workers.table["vm-1"]
     for term, wanted in ((4, False), (5, True)):
-        worker.direct = dict.fromkeys(worker.tasks, term)
-        e.membership.want_term = False
-        assert e.workers.commands(worker, direct=False) == []  # nothing is forgotten
-        assert e.membership.want_term == wanted
+        worker.commanded.repeatable_launches = dict.fromkeys(worker.tasks, term)
+        e.view_requests.new_term = False
+        assert e.workers.commands_for(worker, direct=False) == []  # nothing is forgotten
+        assert e.view_requests.new_term == wanted
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -16,8 +16,9 @@
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.controller import Controller
 from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.membership import MembershipState
 from appledock.core.messages import Heartbeat
-from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.keys import JOBS, VIEW
 from appledock.core.store_calls import Transaction
@@ -68,9 +69,9 @@
     for step in range(400):
         world.clock.run(30.0 + step / 10)
         for key, row in world.state.rows.items():
-            for place in decode(row[0], row[1]).attempts if key.startswith(JOBS) else ():
-                if place.machine == victim and (key, place.number) not in seen:
-                    seen.add((key, place.number))
+            for place in decode_job(row[0], row[1]).attempts if key.startswith(JOBS) else ():
+                if place.machine == victim and (key, place.attempt_number) not in seen:
+                    seen.add((key, place.attempt_number))
                     late += step > 120  # later than 12 s, one lease
         down += 0.1 * ("job-000001/0" not in world.judge.on)
     assert world.judge.broken == []
@@ -115,7 +116,7 @@
             place.machine
             for key, row in world.state.rows.items()
             if key.startswith(JOBS)
-            for place in decode(row[0], row[1]).attempts
+            for place in decode_job(row[0], row[1]).attempts
         }
     assert world.judge.broken == []
     return used & {victim}
@@ -123,7 +124,9 @@
 
 def test_copies_of_old_reports_revive_no_dead_machine(monkeypatch: Patch) -> None:
     assert copies_of_a_dead_machine() == set()
-    monkeypatch.setattr(Worker, "proven", property(lambda self: self.report is not None))
+    monkeypatch.setattr(
+        Worker, "has_shown_current_token", property(lambda self: self.report is not None)
+    )
     assert copies_of_a_dead_machine() != set()
 
 
@@ -134,8 +137,10 @@
         VIEW, {"term": 5, "members": {"n0": "x.1", "n1": "y", "n2": "z"}, "leader": "n0"}, 1
     )
     e.replica.view_changed = False
-    e.membership.joined, e.membership.incarnation = True, "x.1"
-    e.membership.touch_sent = e.membership.view_sent = e.membership.served_at = e.now
+    e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
+    e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
+        e.membership.store_answered_at
+    ) = e.now
     e.replica.advance(1)
     return e
 
@@ -147,13 +152,13 @@
 def test_a_restarted_controller_learns_what_its_peers_have_seen() -> None:
     """It has no memory of its own; a late copy must not pass for the newest report."""
     e, fresh = owner_of_nothing(), owner_of_nothing()
-    e.workers.learn(report("vm-1", 50))
+    e.workers.ingest_heartbeat(report("vm-1", 50))
     e.workers.on_peer_connected("n1")
-    for effect in e.effects:
+    for effect in e.runtime.take_effects():
         assert isinstance(effect, ev.PeerSend)
         fresh.handle([ev.PeerMessage(json.loads(wire.encode(effect.message)))], fresh.now, 0.0)
-    assert not fresh.workers.learn(report("vm-1", 49))
-    assert fresh.workers.learn(report("vm-1", 51))
+    assert not fresh.workers.ingest_heartbeat(report("vm-1", 49))
+    assert fresh.workers.ingest_heartbeat(report("vm-1", 51))
 
 
 def test_quiet_workers_of_the_peers_stay_fit_for_steps() -> None:
@@ -168,8 +173,8 @@
     for step in range(40):
         world.clock.run(25.0 + step / 4)
         for node in world.nodes.values():
-            node.engine.capacity_index.refresh()
-            assert len(node.engine.capacity_index.table) == up
+            node.engine.capacity_index.recompute()
+            assert len(node.engine.capacity_index.machines) == up
 
 
 def test_copies_at_a_stranger_move_no_worker(monkeypatch: Patch) -> None:
@@ -179,14 +184,14 @@
     def wanted() -> dict[str, str]:
         e = owner_of_nothing()
         name = next(f"vm-{i}" for i in range(99) if e.replica.owner_of(f"vm-{i}") == "n1")
-        e.workers.learn(report(name, 50))
+        e.workers.ingest_heartbeat(report(name, 50))
         for step in range(12):
-            e.membership.touch_sent = e.membership.view_sent = e.now
+            e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
             e.handle([ev.Reported(step, report(name, 20 + step))], e.now + 0.9, 0.0)
-        return e.membership.want_override
+        return e.view_requests.overrides
 
     assert wanted() == {}
-    monkeypatch.setattr(Workers, "learn", lambda self, report: True)
+    monkeypatch.setattr(Workers, "ingest_heartbeat", lambda self, report: True)
     assert wanted() != {}
 
 
@@ -216,7 +221,7 @@
 
 def test_whoever_is_shut_out_alone_steps_aside_and_comes_back(monkeypatch: Patch) -> None:
     assert not any(alone()[0])
-    monkeypatch.setattr(Heartbeats, "shut_out", lambda self: False)
+    monkeypatch.setattr(Heartbeats, "is_isolated", lambda self: False)
     assert any(alone()[0])
 
 
@@ -249,7 +254,7 @@
         return world.judge.begun[job] - world.judge.accepted[job]
 
     assert begin_s() < 5.0
-    monkeypatch.setattr(Heartbeats, "works", lambda self, node: True)
+    monkeypatch.setattr(Heartbeats, "is_served", lambda self, node: True)
     assert begin_s() > 6.0
 
 
@@ -263,15 +268,15 @@
         e.fleet.led_since = e.now - 60
         e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
         for name in names:
-            e.workers.learn(report(name, 1))
-            e.workers.table[name].idle_since = e.now - 50
+            e.workers.ingest_heartbeat(report(name, 1))
+            e.workers.table[name].placement.idle_since = e.now - 50
         e.heartbeats.on_peer(Heartbeat("n1", 0.1))  # n2 is not heard
         e.fleet._return(e.fleet._demand())
         return e, set(e.fleet.returns.returning)
 
     e, gone = returned()
     assert gone == {name for name in names if e.replica.owner_of(name) != "n2"}
-    monkeypatch.setattr(Heartbeats, "reached", lambda self, node: True)
+    monkeypatch.setattr(Heartbeats, "is_reachable", lambda self, node: True)
     assert returned()[1] == set(names)
 
 
@@ -312,7 +317,7 @@
 
     def hasty(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
         worker = self.table.get(attempt.machine)
-        if worker is not None and (f"{job.id}/{task}", attempt.number) not in worker.tasks:
+        if worker is not None and (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks:
             return "settled"
         return verdict(self, job, attempt, task)
 
@@ -365,7 +370,7 @@
     for number in range(300):
         name = f"vm-{number:06d}"
         if e.replica.owner_of(name) == "n0":
-            e.workers.learn(report(name, 1))
+            e.workers.ingest_heartbeat(report(name, 1))
     job_id = next(f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0")
     e.replica.set_job(
         Job(spec(id=job_id, crates=60, cores=0.2, owner="red", memory_gb=9.0), 0.0, 2)
@@ -393,13 +398,13 @@
         job = Job(spec(id=job_id), 0.0, 2, cancelled=True)
         job.attempts.append(Attempt("vm-1", 1, 1, 5, False, {0}))
         e.replica.set_job(job)
-        e.workers.learn(report("vm-1", 1))
+        e.workers.ingest_heartbeat(report("vm-1", 1))
         for step in range(12):
             e.now += 1.0
             if not silent:
-                e.workers.learn(report("vm-1", 2 + step))
+                e.workers.ingest_heartbeat(report("vm-1", 2 + step))
             Reconciler._watch_lost(e.reconciler)
-        return e.membership.want_term
+        return e.view_requests.new_term
 
     assert wants(silent=False)
     assert not wants(silent=True)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -8,11 +8,10 @@
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.membership.membership import Membership
-from appledock.core.quota import quota
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
 from appledock.core.workers import Workers
-from tests.guards import absence_settles, no_job_version, silence_settles
+from tests.guards import absence_settles, no_charges, no_job_version, silence_settles
 from tests.standins.faults import play
 from tests.standins.world import World
 
@@ -82,19 +81,19 @@
 
 
 def test_a_fenced_controller_that_still_writes_and_answers(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(Membership, "conditions", lambda self: {})
+    monkeypatch.setattr(Membership, "fencing_conditions", lambda self: {})
     assert "ran_twice" not in isolated_for_long()
-    monkeypatch.setattr(Membership, "authority", lambda self: self.joined)
+    monkeypatch.setattr(Membership, "has_authority", lambda self: self.is_joined())
     assert "ran_twice" in isolated_for_long()
 
 
 def test_steps_that_do_not_charge_the_team(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(quota, "charge", lambda job: quota.NOTHING)
+    no_charges(monkeypatch)
     assert "quota" in kinds(range(10))
 
 
 def test_machines_taken_whatever_the_job_allows(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(placement, "allowed_on", lambda spec, room: True)
+    monkeypatch.setattr(placement, "is_allowed_on", lambda spec, room: True)
     assert "wrong_place" in kinds(range(10))
 
 
@@ -111,10 +110,10 @@
 def test_cancelled_jobs_that_are_never_halted(monkeypatch: Patch) -> None:
     """Owners that halt nothing are not enough to break the rule: whoever sees a task of a
     cancelled job halts it. Without that, machines go; without that too, the judge notices."""
-    commands = Workers.commands
+    commands = Workers.commands_for
     monkeypatch.setattr(
         Workers,
-        "commands",
+        "commands_for",
         lambda self, worker, direct: [
             x for x in commands(self, worker, direct) if x.op != wire.HALT
         ],
--- a/tests/test_launches.py
+++ b/tests/test_launches.py
@@ -7,6 +7,7 @@
 from appledock import wire
 from appledock.core import events as ev
 from appledock.core.controller import Controller
+from appledock.core.membership.membership import MembershipState
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import MEMBERS, VIEW
 from tests.test_requests import engine, spec
@@ -22,8 +23,8 @@
     e.replica.put(VIEW, {"term": 1, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
     e.replica.advance(9)
     member = e.membership
-    member.joined, member.incarnation, member.lease = True, "x.1", 1
-    member.touch_sent = member.view_sent = now
+    member.state, member.incarnation, member.lease = MembershipState.JOINED, "x.1", 1
+    member.lease_renewed_at = member.view_confirmed_at = now
     e.handle([], now, 0.0)
     return e
 
@@ -65,7 +66,7 @@
     e.handle([ev.Reported(1, report(1))], NOW, 0.0)
     running(e, 3)
     assert told(e.handle([ev.Reported(2, report(2))], NOW + 0.1, 0.0)) == [wire.LAUNCH]
-    e.workers.orders_due.add("vm-1")  # another record of the machine changes
+    e.workers.commands_due.add("vm-1")  # another record of the machine changes
     (call,) = worker_calls(e.handle([], NOW + 1.5, 0.0))
     assert [x.op for x in call.orders.commands] == [wire.LAUNCH]  # type: ignore[union-attr]
     e.handle([ev.WorkerReply(call.call_id, outcome)], NOW + 2.5, 0.0)
@@ -84,7 +85,7 @@
     running(e, 3)
     (call,) = worker_calls(e.handle([], NOW + 0.1, 0.0))
     e.handle([ev.WorkerReply(call.call_id, ev.WorkerOutcome.UNKNOWN)], NOW + 3.1, 0.0)
-    e.workers.orders_due.add("vm-1")
+    e.workers.commands_due.add("vm-1")
     (call,) = worker_calls(e.handle([], NOW + 4.5, 0.0))
     e.handle([ev.WorkerReply(call.call_id, ev.WorkerOutcome.NOT_SENT)], NOW + 5.5, 0.0)
     job = running(e, 4, stopping=True)
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -17,7 +17,7 @@
 from appledock.capacity.apportion import apportion
 from appledock.core.capacity.drains import Drains
 from appledock.core.capacity.partitions import CapacityShares
-from appledock.core.membership.membership import Membership
+from appledock.core.membership.format_upgrade import RecordFormatUpgrade
 from appledock.core.records.capacity import CAPACITY
 from tests.standins.sharing import (
     CHANGE_S,
@@ -516,11 +516,13 @@
     world.job(1, "red", tasks=2)
     world.clock.run(40.0)
     assert not any(key.startswith(CAPACITY) for key in world.state.rows)
-    assert all(node.engine.replica.format[1] == 2 for node in world.nodes.values())
+    assert all(node.engine.replica.record_format.value == 2 for node in world.nodes.values())
     rooms = [
-        room for node in world.nodes.values() for room in node.engine.capacity_index.table.values()
+        room
+        for node in world.nodes.values()
+        for room in node.engine.capacity_index.machines.values()
     ]
-    assert rooms and all(room.gate is None and room.load is None for room in rooms)
+    assert rooms and all(room.admission is None and room.load is None for room in rooms)
 
 
 # --- guards taken out --------------------------------------------------------
@@ -576,13 +578,13 @@
 
 def unaware(seed: int, patch: Patch) -> Shared:
     """One controller does not hear for seconds that the format was raised; load comes then."""
-    check = Membership._check_format
+    check = RecordFormatUpgrade.tick
 
-    def later(self: Membership) -> None:
-        if self.engine.now > 12.0:
+    def later(self: RecordFormatUpgrade) -> None:
+        if self._runtime.now > 12.0:
             check(self)
 
-    patch.setattr(Membership, "_check_format", later)
+    patch.setattr(RecordFormatUpgrade, "tick", later)
     world = Shared(seed, shares())
     world.clock.at(11.5, lambda: world.state.silent.update(n1=22.0))
     world.clock.run(13.5)
@@ -604,7 +606,7 @@
     assert world.mixed == [] and world.judge.broken == [] and world.unfinished() == []
 
     def hasty(self: CapacityShares) -> bool:
-        return self.enabled and self.engine.replica.format[1] >= c.CAPACITY_FORMAT
+        return self.enabled and self.engine.replica.record_format.value >= c.CAPACITY_FORMAT
 
     monkeypatch.setattr(CapacityShares, "in_force", hasty)
     assert unaware(1, monkeypatch).mixed
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.membership import membership
+from appledock.core.membership.format_upgrade import NEWEST_FORMAT
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import FORMAT, JOBS, MEMBERS, VIEW
 from appledock.core.store.replica import Replica, View
@@ -259,8 +259,8 @@
     e = owner_of_nothing()
     e.client.max_value_bytes = 1700
     members = dict(e.replica.view.members)
-    e.membership.want_override = {f"vm-{number:06d}": "n0" for number in range(90)}
-    view = e.membership._next_view(members)
+    e.view_requests.overrides = {f"vm-{number:06d}": "n0" for number in range(90)}
+    view = e.membership_protocol.next_view(members)
     assert 20 < len(view.overrides) < 90
     assert len(wire.encode(view.encode())) <= 1700
 
@@ -295,13 +295,13 @@
     e.replica.put(MEMBERS + "n0", {"incarnation": "x.1", "lease": 1}, 1)
     for number in range(9):
         if e.replica.owner_of(f"vm-{number:06d}") == "n0":
-            e.workers.learn(report(f"vm-{number:06d}", 1))
+            e.workers.ingest_heartbeat(report(f"vm-{number:06d}", 1))
     name = next(f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0")
     types = ["h4", *(f"type-{number:04d}" for number in range(220))]
     e.replica.set_job(Job(spec(id=name, crates=2, owner="red", hulls=types), 0.0, 2))
     e.client.max_value_bytes = 1740
     for worker in e.workers.table.values():
-        worker.heard_at = worker.well_at = e.now
+        worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = e.now
     written = [
         write.value
         for call in calls(e.handle([], e.now + 0.2, e.wall), Transaction)
@@ -321,7 +321,7 @@
     e.replica.put(MEMBERS + "n0", {"incarnation": "x.1", "lease": 1}, 1)
     for number in range(60):
         if e.replica.owner_of(f"vm-{number:06d}") == "n0":
-            e.workers.learn(report(f"vm-{number:06d}", 1))
+            e.workers.ingest_heartbeat(report(f"vm-{number:06d}", 1))
     name = next(f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0")
     e.replica.set_job(
         Job(
@@ -335,8 +335,8 @@
     start = e.now
     while e.now < start + 60.0:
         for worker in e.workers.table.values():
-            worker.heard_at = worker.well_at = e.now
-        e.membership.touch_sent = e.membership.view_sent = e.now
+            worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = e.now
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
         for call in calls(e.handle([], e.now + 0.2, e.wall), Transaction):
             plan = call.request
             if any(getattr(write, "key", "") == JOBS + name for write in plan.writes):
@@ -347,7 +347,7 @@
     gaps = [later - earlier for earlier, later in zip(tries, tries[1:], strict=False)]
     assert gaps == sorted(gaps) and gaps[-1] > 3 * gaps[0]
     assert min(bounds) < max(bounds)
-    assert e.refusals["too large or malformed"] == len(tries)
+    assert e.client.refusals["too large or malformed"] == len(tries)
     assert e.reconcile_queue.pending_reasons[name] == "record refused by the state service"
 
 
@@ -356,4 +356,4 @@
     world.clock.run(5.0)
     assert {
         row[0]["format"] for key, row in world.state.rows.items() if key.startswith(MEMBERS)
-    } == {membership.NEWEST_FORMAT}
+    } == {NEWEST_FORMAT}
