--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -89,7 +89,8 @@
             "detached": sorted(view.detached) if view else [],
             "format": engine.replica.record_format.value,
             "formats": {
-                node: member.format for node, member in sorted(engine.replica.members.items())
+                node: member.record_format
+                for node, member in sorted(engine.replica.members.items())
             },
             "revision": engine.replica.revision,
             "jobs": len(engine.replica.jobs),
@@ -195,7 +196,7 @@
         for name, team in sorted(self.engine.teams.items()):
             known = self.engine.replica.view is not None
             held = self.engine.quota.held_in_all(name) if known else NOTHING
-            record = self.engine.replica.team(name)
+            record = self.engine.replica.allocation_of(name)
             rows.append(
                 {
                     "name": name,
@@ -207,7 +208,7 @@
                     "gpus_max": team.gpus_max,
                     "term": record.term,
                     "cpus_shares": {
-                        node: share[0] for node, share in sorted(record.shares.items())
+                        node: share.cpus for node, share in sorted(record.shares.items())
                     },
                 }
             )
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -140,7 +140,7 @@
         name = self.partition_of(job.spec)
         node = self.settings.partition(name).controller if name is not None else None
         view = self.engine.replica.view
-        if node is None or view is None or node not in view.attached():
+        if node is None or view is None or node not in view.attached_members():
             return None
         if node == self.engine.settings.name:
             return node
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -21,13 +21,14 @@
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.quota import Quota
 from appledock.core.rebalancing.rebalancer import Rebalancer
+from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.moves import Moves
 from appledock.core.scheduling.queue_order import QueueOrder
 from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.client import StoreClient
 from appledock.core.store.reader import StateReader
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.workers import Workers
 
 log = logging.getLogger(__name__)
@@ -189,8 +190,8 @@
     def _after(self) -> None:
         """What follows from a batch: new view, changed records, due calls."""
         replica = self.replica
-        if replica.view_changed:
-            replica.view_changed = False
+        if replica.changes.view:
+            replica.changes.view = False
             view = replica.view
             assert view is not None
             self.workers.on_view(self._applied_view)
@@ -204,15 +205,15 @@
             self.capacity_index.mark_each_changed(replica.capacity.changed)
             replica.capacity.changed.clear()
             self.reconcile_queue.placement_due = True
-        if replica.settings_changed:
-            replica.settings_changed = False
+        if replica.changes.settings:
+            replica.changes.settings = False
             self.operator_settings.apply(replica.stored_settings.value)
             self.reconcile_queue.placement_due = True
-        if replica.changed_jobs:
-            for team in replica.changed_teams:
+        if replica.changes.jobs:
+            for team in replica.changes.teams:
                 self.quota.forget(team)
-            replica.changed_teams.clear()
-            for job_id in sorted(replica.changed_jobs):
+            replica.changes.teams.clear()
+            for job_id in sorted(replica.changes.jobs):
                 if job_id in replica.jobs:
                     self.fleet.note(replica.jobs[job_id])
                     if (
@@ -221,12 +222,12 @@
                     ):
                         self.queue_order.ready_at.setdefault(job_id, self.runtime.wall)
                 self.reconcile_queue.jobs.add(job_id)
-            replica.changed_jobs.clear()
-            for machine in replica.changed_machines:
+            replica.changes.jobs.clear()
+            for machine in replica.changes.machines:
                 self.settlement.machine_changed(machine)
-            self.workers.commands_due |= replica.changed_machines
-            self.capacity_index.mark_each_changed(replica.changed_machines)
-            replica.changed_machines.clear()
+            self.workers.commands_due |= replica.changes.machines
+            self.capacity_index.mark_each_changed(replica.changes.machines)
+            replica.changes.machines.clear()
             self.reconcile_queue.placement_due = True
         self.fleet.read_catalogue()
         self.quota.allowed_cache.clear()  # depends on time, and on the watch
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -13,9 +13,9 @@
 from appledock.core.machines.capacity_index import StepReservation
 from appledock.core.machines.machine_capacity import is_allowed_on
 from appledock.core.records.job import Job
+from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.store.keys import FINAL, JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall
-from appledock.core.store.replica import Team
 from appledock.core.store_calls import (
     Committed,
     Conflict,
@@ -40,7 +40,7 @@
     job: Job
     new: Job
     over: str | None
-    team_record: Team | None
+    team_record: TeamAllocation | None
     reserved: list[StepReservation]
     ended: Callable[[StoreOutcome], None]
     """takes back what the quota counts for the write; called with its outcome"""
@@ -121,7 +121,9 @@
             self.calls[job.id] = call
         return call is not None
 
-    def _plan(self, job: Job, new: Job, over: str | None, record: Team | None) -> Transaction:
+    def _plan(
+        self, job: Job, new: Job, over: str | None, record: TeamAllocation | None
+    ) -> Transaction:
         """Build the transaction: the job's record or its end, and the team's record."""
         plan = Transaction(self.engine.membership.conditions())
         plan.conditions[JOBS + job.id] = job.version
@@ -228,7 +230,7 @@
                 taken = self.withdraw(other_id) or taken
         return taken
 
-    def _team_written(self, team: str, record: Team, revision: int) -> None:
+    def _team_written(self, team: str, record: TeamAllocation, revision: int) -> None:
         self.engine.quota.sure[team] = revision
         self.engine.replica.put(TEAMS + team, record.encode(), revision)
         self.engine.quota.forget(team)
@@ -242,7 +244,7 @@
                 continue
             self._write_team(team, quota.lower(team, surplus), Priority.STEP)
 
-    def _write_team(self, team: str, record: Team, priority: Priority) -> None:
+    def _write_team(self, team: str, record: TeamAllocation, priority: Priority) -> None:
         """Change the shares of a team's limit without a step."""
         plan = Transaction(
             self.engine.membership.conditions(), [Put(TEAMS + team, record.encode())]
--- a/appledock/core/membership/membership.py
+++ b/appledock/core/membership/membership.py
@@ -13,9 +13,9 @@
 
 from appledock import constants as c
 from appledock import wire
+from appledock.core.records.membership_view import ControllerInstance, View
 from appledock.core.store.keys import FORMAT, MEMBERS, VIEW
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import View
 from appledock.core.store_calls import (
     Acknowledged,
     Committed,
@@ -168,7 +168,7 @@
             or self.engine.now < self.next_raise
             or not self.leader()
             or len(replica.members) < self.engine.settings.cluster.size
-            or any(member.format < self.newest_format for member in replica.members.values())
+            or any(member.record_format < self.newest_format for member in replica.members.values())
         ):
             return
         self.raising = True
@@ -399,18 +399,18 @@
 
     def _next_overrides(
         self, members: dict[str, str], detached: dict[str, str]
-    ) -> dict[str, list[str]]:
+    ) -> dict[str, ControllerInstance]:
         """Workers that belong to another node than the hash says, and to whom."""
         overrides = {
             worker: to
             for worker, to in (self.view.overrides if self.view else {}).items()
-            if members.get(to[0]) == to[1]
-            and to[0] not in detached
+            if members.get(to.node) == to.incarnation
+            and to.node not in detached
             and worker not in self.engine.workers.deleted_machines
         }
         for worker, node in self.want_override.items():
             if node in members:
-                overrides[worker] = [node, members[node]]
+                overrides[worker] = ControllerInstance(node, members[node])
         return overrides
 
     def _check_view(self) -> None:
--- a/appledock/core/quota/quota.py
+++ b/appledock/core/quota/quota.py
@@ -26,7 +26,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core.records.job import Job
-from appledock.core.store.replica import Team
+from appledock.core.records.team_allocation import ResourceShare, TeamAllocation
 from appledock.core.store_calls import Committed, StoreOutcome, UnknownOutcome
 from appledock.settings import Team as TeamLimits
 
@@ -220,12 +220,12 @@
     # --- shares -----------------------------------------------------------
     def known(self, name: str) -> bool:
         """Has the watch passed the record, so that no job it speaks of is missing?"""
-        version = self.e.replica.team(name).version
+        version = self.e.replica.allocation_of(name).version
         return version <= self.e.replica.revision or self.sure.get(name) == version
 
     def shares(self, name: str) -> Shares:
         """The limit as it is shared out now; under a new view, as it would be."""
-        team, view = self.e.replica.team(name), self.e.replica.view
+        team, view = self.e.replica.allocation_of(name), self.e.replica.view
         assert view is not None
         if team.term != view.term:
             return dict(self.held(name))
@@ -274,7 +274,7 @@
         return self._decide(name)[1]
 
     # --- writing ----------------------------------------------------------
-    def plan(self, job: Job, new: Job, heir: str) -> tuple[bool, Team | None]:
+    def plan(self, job: Job, new: Job, heir: str) -> tuple[bool, TeamAllocation | None]:
         """Must the team's record change with this step, and to what?
 
         `heir` owns the job afterwards. (False, None): the step cannot be made
@@ -291,7 +291,7 @@
             return False, None
         view = self.e.replica.view
         assert view is not None
-        team, shares = self.e.replica.team(name), self.shares(name)
+        team, shares = self.e.replica.allocation_of(name), self.shares(name)
         mine = (self.held(name).get(me, NOTHING) - self.holds(job)).most(NOTHING)
         if team.term == view.term and not passes and (mine + after).fits(shares.get(me, NOTHING)):
             return True, None
@@ -319,18 +319,20 @@
                 shares[node] = shares.get(node, NOTHING) + part
         if not total(shares).fits(most):
             return False, None
-        return True, Team(team.version, view.term, _plain(shares, view.members))
+        return True, TeamAllocation(team.version, view.term, _plain(shares, view.members))
 
-    def lower(self, name: str, amount: Amounts) -> Team:
+    def lower(self, name: str, amount: Amounts) -> TeamAllocation:
         """The record with less for us."""
         view = self.e.replica.view
         assert view is not None
         shares, me = self.shares(name), self.e.settings.name
         shares[me] = (shares.get(me, NOTHING) - amount).most(self.held(name).get(me, NOTHING))
-        return Team(self.e.replica.team(name).version, view.term, _plain(shares, view.members))
+        return TeamAllocation(
+            self.e.replica.allocation_of(name).version, view.term, _plain(shares, view.members)
+        )
 
     def begin(
-        self, job: Job | None, new: Job | None, name: str, record: Team | None
+        self, job: Job | None, new: Job | None, name: str, record: TeamAllocation | None
     ) -> Callable[[StoreOutcome], None]:
         """Note a write under way; the result must be called with its outcome."""
         version = job.version if job is not None else 0
@@ -370,9 +372,9 @@
         return ended
 
 
-def _plain(shares: Shares, members: dict[str, str]) -> dict[str, tuple[float, float]]:
+def _plain(shares: Shares, members: dict[str, str]) -> dict[str, ResourceShare]:
     return {
-        node: (share.cpus, share.gpus)
+        node: ResourceShare(share.cpus, share.gpus)
         for node, share in shares.items()
         if node in members and share.some()
     }
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -1,4 +1,4 @@
-"""This controller's picture of the state service, kept by one watch in order.
+"""Replica of the key-value store's records, kept up to date by one watch in order.
 
 All keys share one prefix, so that a change of the view and the steps committed
 before it are always seen in that order: whoever knows a view and has followed
@@ -8,142 +8,130 @@
 
 from __future__ import annotations
 
-import hashlib
 import logging
 from collections import OrderedDict
-from dataclasses import dataclass, field
-from typing import Any
+from collections.abc import Callable, Iterable
+from typing import Any, NamedTuple
 
-from appledock import constants as c
+from appledock import constants
 from appledock.core.records.capacity import CAPACITY, CapacityRecords
 from appledock.core.records.dependencies import Dependencies
 from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.membership_view import Member, View
+from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.records.versioned import Versioned
 from appledock.core.store.keys import CATALOGUE, FINAL, FORMAT, JOBS, MEMBERS, SETTINGS, TEAMS, VIEW
+from appledock.core.store.replica_changes import ReplicaChanges
+from appledock.wire import Row
 
 log = logging.getLogger(__name__)
 
 
-@dataclass(slots=True)
-class View:
-    """Who is a controller; its term is the workers' token."""
+class RecordKind(NamedTuple):
+    """What the replica does with the keys of one kind; a name is the key without its prefix."""
 
-    term: int
-    members: dict[str, str]
-    """node -> incarnation"""
-    leader: str
-    overrides: dict[str, list[str]] = field(default_factory=dict)
-    """worker -> node and incarnation, set when it cannot reach its derived owner"""
-    detached: dict[str, str] = field(default_factory=dict)
-    """members, with incarnation, that workers do not reach: they own nothing"""
-    version: int = 0
-
-    def encode(self) -> dict[str, Any]:
-        return {
-            "term": self.term,
-            "members": self.members,
-            "leader": self.leader,
-            "overrides": self.overrides,
-            "detached": self.detached,
-        }
-
-    def attached(self) -> list[str]:
-        """The members that own workers and jobs; all, if none could."""
-        return [
-            node
-            for node, incarnation in self.members.items()
-            if self.detached.get(node) != incarnation
-        ] or list(self.members)
-
-    def owner_of(self, name: str) -> str:
-        """Owner of a worker (or, without hand-off, of a job)."""
-        override = self.overrides.get(name)
-        if override and self.members.get(override[0]) == override[1]:
-            return override[0]
-        return self.derived_owner(name)
-
-    def derived_owner(self, name: str) -> str:
-        """Rendezvous hash: losing a member moves only what that member owned."""
-        return max(
-            self.attached(),
-            key=lambda node: hashlib.blake2b(f"{node} {name}".encode(), digest_size=8).digest(),
-        )
-
-
-@dataclass(slots=True)
-class Member:
-    incarnation: str
-    lease: int
-    version: int
-    format: int = 1
-    """newest format of records that it reads and writes; members that say none: 1"""
-
-
-@dataclass(slots=True)
-class Team:
-    """How a team's limit is shared out between the controllers under one view."""
-
-    version: int = 0
-    term: int = 0
-    shares: dict[str, tuple[float, float]] = field(default_factory=dict)
-    """node -> cores and cards that the jobs it owns may hold"""
-
-    def encode(self) -> dict[str, Any]:
-        return {
-            "term": self.term,
-            "shares": {
-                node: [round(cpus, 6), round(gpus, 6)] for node, (cpus, gpus) in self.shares.items()
-            },
-        }
+    version: Callable[[str], int]
+    """version of the record that is held; 0 if there is none"""
+    store: Callable[[str, Any, int], None]
+    """takes over a record (name, value, version)"""
+    remove: Callable[[str], None] = lambda _name: None
+    """forgets a record that was deleted"""
+    names: Callable[[], Iterable[str]] = tuple
+    """the records that are forgotten if a full listing lacks them"""
 
 
 class Replica:
-    """Rows by key, newest version wins; drops leave a mark until the watch passed them."""
+    """Records by key: the newest version wins, whichever way and order they come in.
+
+    A deletion is remembered until the watch has passed it, so that an older read that is
+    answered later does not bring the record back.
+    """
 
     def __init__(self) -> None:
         self.revision = 0
         """the watch has delivered every change up to here"""
         self.jobs: dict[str, Job] = {}
+        """the open jobs"""
         self.final_states: OrderedDict[str, str] = OrderedDict()
-        self.teams: dict[str, Team] = {}
+        """job that is over -> how it ended; the latest ones only"""
+        self.allocations: dict[str, TeamAllocation] = {}
+        """team -> how its quota is divided"""
         self.members: dict[str, Member] = {}
+        """node -> its own record"""
         self.view: View | None = None
         self.catalogue: Versioned[list[Any]] = Versioned([])
+        """the machine types that any controller has seen last, as stored"""
         self.stored_settings: Versioned[dict[str, Any]] = Versioned({})
+        """the operators' settings that differ from their defaults"""
+        self.record_format = Versioned(1)
+        """format of stored records that all members write"""
         self.attempts_by_machine: dict[str, dict[str, list[Attempt]]] = {}
         """machine -> job -> its unsettled attempts there"""
         self.jobs_by_team: dict[str, set[str]] = {}
         """team -> its open jobs"""
         self.cancelled_jobs: set[str] = set()
-        """open jobs that are cancelled"""
-        self.record_format = Versioned(1)
-        """format of stored records that all members write"""
+        """open jobs that are cancelled by their own record"""
         self.capacity = CapacityRecords()
         self.dependencies = Dependencies()
         self.queued_jobs: set[str] = set()
         """open jobs with tasks that wait for a step, and for no other job"""
-        self.marks: dict[str, int] = {}
-        self.changed_jobs: set[str] = set()
-        self.changed_machines: set[str] = set()
-        """machines whose recorded attempts have changed"""
-        self.changed_teams: set[str] = set()
-        """teams whose jobs or records have changed"""
-        self.view_changed = False
-        self.members_changed = False
-        self.settings_changed = False
+        self.changes = ReplicaChanges()
+        self._deleted_at: dict[str, int] = {}
+        """deleted key -> revision of its deletion, as long as the watch has not passed it"""
         self._owners: dict[str, str] = {}
+        """name -> its owner under the present view"""
+        self._kinds = self._build_kinds()
 
-    # --- reading ----------------------------------------------------------
+    def _build_kinds(self) -> dict[str, RecordKind]:
+        """Prefix, or whole key of a kind with one record -> what is done with its records."""
+        return {
+            JOBS: RecordKind(
+                lambda name: self.jobs[name].version if name in self.jobs else 0,
+                lambda _name, value, version: self._store_job(decode(value, version)),
+                self._remove_job,
+                lambda: self.jobs,
+            ),
+            FINAL: RecordKind(
+                lambda _name: 0, lambda name, value, _: self.add_final(name, value["state"])
+            ),
+            MEMBERS: RecordKind(
+                lambda name: self.members[name].version if name in self.members else 0,
+                self._store_member,
+                self._remove_member,
+                lambda: self.members,
+            ),
+            TEAMS: RecordKind(
+                lambda name: self.allocations[name].version if name in self.allocations else 0,
+                self._store_allocation,
+                self._remove_allocation,
+                lambda: self.allocations,
+            ),
+            VIEW: RecordKind(lambda _name: self.view.version if self.view else 0, self._store_view),
+            CATALOGUE: RecordKind(lambda _name: self.catalogue.version, self._store_catalogue),
+            SETTINGS: RecordKind(
+                lambda _name: self.stored_settings.version,
+                lambda _name, value, version: self._set_settings(Versioned(dict(value), version)),
+                lambda _name: self._set_settings(Versioned({})),
+            ),
+            FORMAT: RecordKind(lambda _name: self.record_format.version, self._store_format),
+            CAPACITY: RecordKind(
+                lambda name: self.capacity.version(CAPACITY + name),
+                lambda name, value, version: self.capacity.put(CAPACITY + name, value, version),
+                lambda name: self.capacity.drop(CAPACITY + name),
+            ),
+        }
+
+    # --- questions --------------------------------------------------------
     def has_reached_view(self) -> bool:
         """Does the replica include all that was committed before the present view?
 
-        Guards against a new owner that takes a running task for a stray because
+        Guards against a new owner that takes a running task for an orphaned one because
         the step that launched it has not reached this controller yet.
         """
         return self.view is not None and self.revision >= self.view.version
 
     def owner_of(self, name: str) -> str:
-        """Owner of a worker (or, without hand-off, of a job)."""
+        """Owner of a worker (or, without hand-off, of a job); there must be a view."""
         assert self.view is not None
         owner = self._owners.get(name)
         if owner is None:
@@ -151,8 +139,9 @@
         return owner
 
     def job_owner(self, job: Job) -> str:
+        """Owner of a job: the member that it was handed to, else the derived one."""
         assert self.view is not None
-        if job.handoff and self.view.members.get(job.handoff[0]) == job.handoff[1]:
+        if job.handoff and self.view.has_member(*job.handoff):
             return job.handoff[0]
         return self.owner_of(job.id)
 
@@ -160,214 +149,197 @@
         """Does the controller own the job, by the newest view known?"""
         return self.view is not None and self.job_owner(job) == node
 
-    def team(self, name: str) -> Team:
-        return self.teams.setdefault(name, Team())
-
-    # --- writing ----------------------------------------------------------
-    def _version(self, key: str) -> int:
-        known = self.marks.get(key, 0)
-        if key.startswith(JOBS):
-            job = self.jobs.get(key[len(JOBS) :])
-            return max(known, job.version if job else 0)
-        if key.startswith(TEAMS):
-            team = self.teams.get(key[len(TEAMS) :])
-            return max(known, team.version if team else 0)
-        if key.startswith(MEMBERS):
-            member = self.members.get(key[len(MEMBERS) :])
-            return max(known, member.version if member else 0)
-        if key == VIEW:
-            return max(known, self.view.version if self.view else 0)
-        if key == CATALOGUE:
-            return max(known, self.catalogue.version)
-        if key == SETTINGS:
-            return max(known, self.stored_settings.version)
-        if key == FORMAT:
-            return max(known, self.record_format.version)
-        if key.startswith(CAPACITY):
-            return max(known, self.capacity.version(key))
-        return known
+    def is_cancelled(self, job_id: str) -> bool:
+        """Is the open job cancelled, by its user or with one that it depends on?"""
+        return job_id in self.cancelled_jobs or job_id in self.dependencies.doomed
 
+    def allocation_of(self, team: str) -> TeamAllocation:
+        """How the team's quota is divided; an empty allocation if nothing is stored."""
+        return self.allocations.setdefault(team, TeamAllocation())
+
+    # --- records as read, watched or committed ----------------------------
     def put(self, key: str, value: Any, version: int) -> None:
-        """A row as read, watched or committed; older news is dropped."""
-        if version <= self._version(key):
+        """Take over a record; one that is not newer is ignored, a malformed one is logged."""
+        kind, name = self._kind_of(key)
+        if kind is None or version <= self._newest_version(key, kind, name):
             return
         try:
-            self._put(key, value, version)
+            kind.store(name, value, version)
         except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-            log.error("malformed record %s: %s", key, error)
-
-    def _put(self, key: str, value: Any, version: int) -> None:
-        if key.startswith(JOBS):
-            self._set_job(decode(value, version))
-        elif key.startswith(FINAL):
-            self.add_final(key[len(FINAL) :], value["state"])
-        elif key.startswith(TEAMS):
-            # A record of another form is shared out anew: its term is no view's.
-            self.teams[key[len(TEAMS) :]] = Team(
-                version,
-                int(value.get("term", 0)),
-                {
-                    node: (float(share[0]), float(share[1]))
-                    for node, share in value.get("shares", {}).items()
-                },
-            )
-        elif key.startswith(MEMBERS):
-            self.members[key[len(MEMBERS) :]] = Member(
-                value["incarnation"], value["lease"], version, int(value.get("format", 1))
-            )
-            self.members_changed = True
-        elif key == VIEW:
-            self.view = View(
-                int(value["term"]),
-                dict(value["members"]),
-                value["leader"],
-                dict(value.get("overrides", {})),
-                dict(value.get("detached", {})),
-                version,
-            )
-            self._owners.clear()
-            self.view_changed = True
-        elif key == CATALOGUE:
-            self.catalogue = Versioned(list(value["types"]), version)
-        elif key == SETTINGS:
-            self.stored_settings = Versioned(dict(value), version)
-            self.settings_changed = True
-        elif key == FORMAT:
-            # Never back: records of the newer format may be there.
-            self.record_format = Versioned(
-                max(self.record_format.value, int(value["format"])), version
-            )
-        elif key.startswith(CAPACITY):
-            self.capacity.put(key, value, version)
+            log.error("malformed record: key=%s error=%s", key, error)
 
     def drop(self, key: str, version: int) -> None:
-        if version <= self._version(key):
+        """The key was deleted, or did not exist, at revision `version`."""
+        kind, name = self._kind_of(key)
+        if version <= self._newest_version(key, kind, name):
             return
-        self.marks[key] = version
-        if key.startswith(JOBS):
-            self._forget_job(key[len(JOBS) :])
-        elif key.startswith(TEAMS):
-            self.teams[key[len(TEAMS) :]] = Team()
-        elif key.startswith(MEMBERS):
-            self.members.pop(key[len(MEMBERS) :], None)
-            self.members_changed = True
-        elif key == SETTINGS:
-            self.stored_settings = Versioned({})
-            self.settings_changed = True
-        elif key.startswith(CAPACITY):
-            self.capacity.drop(key)
-
-    def add_final(self, job: str, state: str) -> None:
-        self.final_states[job] = state
-        if len(self.final_states) > c.FINAL_CACHE:
+        self._deleted_at[key] = version
+        if kind is not None:
+            kind.remove(name)
+
+    def set_job(self, job: Job) -> None:
+        """Take over a job record that this controller has just committed."""
+        key = JOBS + job.id
+        if job.version > self._newest_version(key, self._kinds[JOBS], job.id):
+            self._store_job(job)
+
+    def add_final(self, job_id: str, state: str) -> None:
+        """The job is over and ended so."""
+        self.final_states[job_id] = state
+        if len(self.final_states) > constants.FINAL_CACHE:
             self.final_states.popitem(last=False)
-        self.dependencies.final(job, state)
-        self._follow_needs()
+        self.dependencies.final(job_id, state)
+        self._follow_dependencies()
+
+    def load(self, rows: list[Row], revision: int) -> None:
+        """Replace everything by a full listing that began at `revision`.
 
-    def _follow_needs(self) -> None:
-        """Jobs that became ready, or are cancelled with one that they need."""
+        Records that vanished while the watch was lost are forgotten here: a listing
+        does not name them.
+        """
+        listed = {row.key for row in rows}
+        for prefix, kind in self._kinds.items():
+            for name in [name for name in kind.names() if prefix + name not in listed]:
+                if kind.version(name) <= revision:
+                    kind.remove(name)
+        for row in rows:
+            self.put(row.key, row.value, row.version)
+        self.revision = max(self.revision, revision)
+
+    def advance(self, revision: int) -> None:
+        """The watch has passed `revision`: deletions up to it can be forgotten."""
+        if revision > self.revision:
+            self.revision = revision
+            if len(self._deleted_at) > 200:
+                self._deleted_at = {
+                    key: version for key, version in self._deleted_at.items() if version > revision
+                }
+
+    def _kind_of(self, key: str) -> tuple[RecordKind | None, str]:
+        """The kind of a key and the name in it; None for a key of a later version."""
+        kind = self._kinds.get(key)
+        if kind is not None:
+            return kind, ""
+        for prefix in PREFIXES:
+            if key.startswith(prefix):
+                return self._kinds[prefix], key[len(prefix) :]
+        return None, key
+
+    def _newest_version(self, key: str, kind: RecordKind | None, name: str) -> int:
+        """The newest version known of the key, a deletion included."""
+        return max(self._deleted_at.get(key, 0), kind.version(name) if kind is not None else 0)
+
+    # --- small records ----------------------------------------------------
+    def _store_member(self, name: str, value: Any, version: int) -> None:
+        self.members[name] = Member.decode(value, version)
+
+    def _remove_member(self, name: str) -> None:
+        self.members.pop(name, None)
+
+    def _store_allocation(self, name: str, value: Any, version: int) -> None:
+        self.allocations[name] = TeamAllocation.decode(value, version)
+
+    def _remove_allocation(self, name: str) -> None:
+        self.allocations[name] = TeamAllocation()
+
+    def _store_view(self, _name: str, value: Any, version: int) -> None:
+        self.view = View.decode(value, version)
+        self._owners.clear()
+        self.changes.view = True
+
+    def _store_catalogue(self, _name: str, value: Any, version: int) -> None:
+        self.catalogue = Versioned(list(value["types"]), version)
+
+    def _set_settings(self, stored: Versioned[dict[str, Any]]) -> None:
+        self.stored_settings = stored
+        self.changes.settings = True
+
+    def _store_format(self, _name: str, value: Any, version: int) -> None:
+        # Never back: records of the newer format may be there.
+        newest = max(self.record_format.value, int(value["format"]))
+        self.record_format = Versioned(newest, version)
+
+    # --- jobs -------------------------------------------------------------
+    def _store_job(self, job: Job) -> None:
+        old = self.jobs.get(job.id)
+        self.jobs[job.id] = job
+        job.seal()
+        self._index_attempts(job.id, old, job)
+        self.jobs_by_team.setdefault(job.spec.team, set()).add(job.id)
+        self.dependencies.job(job, self.jobs, self.final_states)
+        self._update_queued(job)
+        if job.cancelled:
+            self.cancelled_jobs.add(job.id)
+        self.changes.jobs.add(job.id)
+        self.changes.teams.add(job.spec.team)
+        self._follow_dependencies()
+
+    def _remove_job(self, job_id: str) -> None:
+        job = self.jobs.pop(job_id, None)
+        if job is None:
+            return
+        self._index_attempts(job_id, job, None)
+        self.queued_jobs.discard(job_id)
+        self.cancelled_jobs.discard(job_id)
+        self.dependencies.dropped(job_id)
+        _discard(self.jobs_by_team, job.spec.team, job_id)
+        self.changes.teams.add(job.spec.team)
+        self.changes.jobs.add(job_id)
+
+    def _follow_dependencies(self) -> None:
+        """Update jobs that became ready, or are cancelled with one that they depend on."""
         changed, self.dependencies.changed = self.dependencies.changed, set()
         for job_id in changed:
             job = self.jobs.get(job_id)
             if job is not None:
-                self._queue(job)
-                self.changed_jobs.add(job_id)
-                self.changed_teams.add(job.spec.team)
+                self._update_queued(job)
+                self.changes.jobs.add(job_id)
+                self.changes.teams.add(job.spec.team)
 
-    def _queue(self, job: Job) -> None:
+    def _update_queued(self, job: Job) -> None:
         if job.queued > 0 and job.id not in self.dependencies.waiting:
             self.queued_jobs.add(job.id)
         else:
             self.queued_jobs.discard(job.id)
 
-    def is_cancelled(self, job_id: str) -> bool:
-        """Is the open job cancelled, by its user or with one that it needs?"""
-        return job_id in self.cancelled_jobs or job_id in self.dependencies.doomed
-
-    def set_job(self, job: Job) -> None:
-        """A record that this controller has just committed."""
-        if job.version > self._version(JOBS + job.id):
-            self._set_job(job)
+    def _index_attempts(self, job_id: str, old: Job | None, new: Job | None) -> None:
+        """Adjust the index of machines, and note those whose attempts differ.
 
-    def _set_job(self, job: Job) -> None:
-        old = self.jobs.get(job.id)
-        self.jobs[job.id] = job
-        job.seal()
-        self._index(old, job)
-        self.jobs_by_team.setdefault(job.spec.team, set()).add(job.id)
-        self.dependencies.job(job, self.jobs, self.final_states)
-        self._queue(job)
-        if job.cancelled:
-            self.cancelled_jobs.add(job.id)
-        self.changed_jobs.add(job.id)
-        self.changed_teams.add(job.spec.team)
-        self._follow_needs()
-
-    def _index(self, old: Job | None, new: Job | None) -> None:
-        """Adjust the index of machines by what differs: a step of a large array
-        must not cost a pass over all its machines' rooms and orders."""
-        before = _by_machine(old)
-        after = _by_machine(new)
-        job_id = (new or old).id  # type: ignore[union-attr]
-        all_over = old is not None and new is not None and old.cancelled != new.cancelled
+        Only those: a step of a large array must not cost a recount of the free capacity of
+        all its machines.
+        """
+        before = _attempts_by_machine(old)
+        after = _attempts_by_machine(new)
+        is_cancellation = old is not None and new is not None and old.cancelled != new.cancelled
         for machine, attempts in after.items():
             self.attempts_by_machine.setdefault(machine, {})[job_id] = attempts
-            if all_over or before.get(machine) != attempts:
-                self.changed_machines.add(machine)
+            if is_cancellation or before.get(machine) != attempts:
+                self.changes.machines.add(machine)
         for machine in before.keys() - after.keys():
-            self.changed_machines.add(machine)
-            jobs = self.attempts_by_machine.get(machine)
-            if jobs is not None:
-                jobs.pop(job_id, None)
-                if not jobs:
+            self.changes.machines.add(machine)
+            attempts_by_job = self.attempts_by_machine.get(machine)
+            if attempts_by_job is not None:
+                attempts_by_job.pop(job_id, None)
+                if not attempts_by_job:
                     del self.attempts_by_machine[machine]
 
-    def _forget_job(self, job_id: str) -> None:
-        job = self.jobs.pop(job_id, None)
-        if job is not None:
-            self._index(job, None)
-            self.queued_jobs.discard(job_id)
-            self.cancelled_jobs.discard(job_id)
-            self.dependencies.dropped(job_id)
-            self.changed_teams.add(job.spec.team)
-            team = self.jobs_by_team.get(job.spec.team)
-            if team is not None:
-                team.discard(job_id)
-                if not team:
-                    del self.jobs_by_team[job.spec.team]
-            self.changed_jobs.add(job_id)
-
-    def load(self, rows: list[Any], revision: int) -> None:
-        """Replace everything by a full listing that began at `revision`.
 
-        Rows that vanished while the watch was lost are dropped here: a listing
-        does not name them.
-        """
-        listed = {row.key for row in rows}
-        for job_id in [j for j in self.jobs if JOBS + j not in listed]:
-            if self.jobs[job_id].version <= revision:
-                self._forget_job(job_id)
-        for node in [n for n in self.members if MEMBERS + n not in listed]:
-            if self.members[node].version <= revision:
-                del self.members[node]
-                self.members_changed = True
-        for name in [t for t in self.teams if TEAMS + t not in listed]:
-            if self.teams[name].version <= revision:
-                self.teams[name] = Team()
-        for row in rows:
-            self.put(row.key, row.value, row.version)
-        self.revision = max(self.revision, revision)
-
-    def advance(self, revision: int) -> None:
-        """The watch has passed `revision`: marks up to it are needed no more."""
-        if revision > self.revision:
-            self.revision = revision
-            if len(self.marks) > 200:
-                self.marks = {k: v for k, v in self.marks.items() if v > revision}
+PREFIXES = (JOBS, FINAL, TEAMS, MEMBERS, CAPACITY)
+"""of the kinds with more than one record"""
 
 
-def _by_machine(job: Job | None) -> dict[str, list[Attempt]]:
+def _attempts_by_machine(job: Job | None) -> dict[str, list[Attempt]]:
+    """The job's attempts by machine; none for no job."""
     result: dict[str, list[Attempt]] = {}
     for attempt in job.attempts if job is not None else ():
         result.setdefault(attempt.machine, []).append(attempt)
     return result
+
+
+def _discard(names: dict[str, set[str]], key: str, name: str) -> None:
+    """Remove a name from the set under the key, and the set once it is empty."""
+    group = names.get(key)
+    if group is not None:
+        group.discard(name)
+        if not group:
+            del names[key]
--- a/appledock/core/workers/detachment.py
+++ b/appledock/core/workers/detachment.py
@@ -109,7 +109,7 @@
     def _may_detach(self, owner: str) -> bool:
         view = self.engine.replica.view
         assert view is not None
-        return owner in view.attached() and not self.engine.heartbeats.hears_workers(owner)
+        return owner in view.attached_members() and not self.engine.heartbeats.hears_workers(owner)
 
     def _heard_of(self, owner: str) -> int:
         """How many workers of the owner anybody has heard of lately."""
--- a/appledock/core/workers/liveness.py
+++ b/appledock/core/workers/liveness.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from appledock.core.controller import Controller
-    from appledock.core.store.replica import View
+    from appledock.core.records.membership_view import View
 
 log = logging.getLogger(__name__)
 
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from appledock.core.controller import Controller
-    from appledock.core.store.replica import View
+    from appledock.core.records.membership_view import View
 
 
 class Workers(WorkerTable):
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -74,7 +74,7 @@
     """Shares of a team's limit are kept from one view to the next."""
 
     def shares(self: quota.Quota, name: str) -> quota.Shares:
-        team, view = self.e.replica.team(name), self.e.replica.view
+        team, view = self.e.replica.allocation_of(name), self.e.replica.view
         assert view is not None
         kept, team.term = team.term, view.term
         try:
--- a/tests/standins/golden.py
+++ b/tests/standins/golden.py
@@ -132,7 +132,7 @@
             if "needs" in more and format_ == 1:
                 continue
             found["jobs"].append(["ad/live/jobs/job-000042", code.encode_job(job, format_)])
-    view = code.replica.View(
+    view = code.view_type()(
         9,
         {"n0": "n0.1.1", "n1": "n1.2.1"},
         "n1",
@@ -140,7 +140,7 @@
         {"n0": "n0.1.1"},
     )
     found["view"].append(["ad/live/view", view.encode()])
-    team = code.replica.Team(3, 9, {"n0": (7.5, 0.0), "n1": (4.25, 2.0)})
+    team = code.team_type()(3, 9, {"n0": (7.5, 0.0), "n1": (4.25, 2.0)})
     found["teams"].append(["ad/live/teams/red", team.encode()])
     plain: Examples = json.loads(code.wire.encode(found))
     return plain
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -99,6 +99,8 @@
     users: ModuleType
     capacity_settings: ModuleType
     keys: ModuleType
+    views: ModuleType
+    allocations: ModuleType
     calls: ModuleType
     rebalancing_settings: ModuleType
 
@@ -311,13 +313,25 @@
         if kind == "jobs":
             return self._plain(self.encode_job(replica.jobs[name], format_))
         if kind == "teams":
-            return self._plain(replica.teams[name].encode())
+            return self._plain(self.team_records(replica)[name].encode())
         if kind == "members":
             return self.member_record(replica.members[name])
         if kind == "view":
             return self._plain(replica.view.encode())
         return self._plain(self.single_record(replica, kind))
 
+    def view_type(self) -> Any:
+        """Class of the membership view's record."""
+        return self.replica.View
+
+    def team_type(self) -> Any:
+        """Class of the record of how a team's quota is divided."""
+        return self.replica.Team
+
+    def team_records(self, replica: Any) -> Any:
+        """Team -> its record."""
+        return replica.teams
+
     def final_states(self, replica: Any) -> Any:
         """Job -> how it ended."""
         return replica.finals
@@ -337,9 +351,13 @@
         return {
             "incarnation": member.incarnation,
             "lease": member.lease,
-            "format": member.format,
+            "format": self.member_format(member),
         }
 
+    def member_format(self, member: Any) -> int:
+        """Newest format that the member reads and writes."""
+        return int(member.format)
+
     def _plain(self, value: Any) -> Any:
         return json.loads(self.wire.encode(value))
 
@@ -421,6 +439,8 @@
         **BaselineCode.MODULES,
         "jobs": "core.records.job",
         "replica": "core.store.replica",
+        "views": "core.records.membership_view",
+        "allocations": "core.records.team_allocation",
         "keys": "core.store.keys",
         "calls": "core.store_calls",
         "engine": "core.controller",
@@ -481,6 +501,18 @@
     def key_prefix(self, name: str) -> str:
         return str(getattr(self.keys, name))
 
+    def view_type(self) -> Any:
+        return self.views.View
+
+    def team_type(self) -> Any:
+        return self.allocations.TeamAllocation
+
+    def member_format(self, member: Any) -> int:
+        return int(member.record_format)
+
+    def team_records(self, replica: Any) -> Any:
+        return replica.allocations
+
     def final_states(self, replica: Any) -> Any:
         return replica.final_states
 
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -8,7 +8,7 @@
 
 from appledock import wire
 from appledock.capacity.settings import Capacity
-from appledock.core.store.replica import View
+from appledock.core.records.membership_view import View
 from appledock.rebalancing.settings import Rebalancing
 from tests.standins import deployment
 from tests.standins.clock import Clock
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -139,7 +139,7 @@
     e = engine()
     e.replica.put(VIEW, {"term": 5, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
-    e.replica.view_changed = False
+    e.replica.changes.view = False
     e.membership.joined, e.membership.incarnation = True, "x.1"
     e.membership.touch_sent = e.membership.view_sent = e.membership.served_at = e.now
     e.replica.advance(1)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -17,12 +17,13 @@
 from appledock.core.messages import Heartbeat
 from appledock.core.quota import quota
 from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.membership_view import View
 from appledock.core.scheduling import placement, preemption
 from appledock.core.scheduling.objectives import Objectives
 from appledock.core.scheduling.placement import Sampling
 from appledock.core.store.keys import JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Put, Transaction
 from appledock.settings import Objective
 from tests.test_grown import owner_of_nothing
@@ -285,7 +286,7 @@
     replica = Replica()
     replica.put(JOBS + "job-1", {"spec": 5}, 3)
     replica.put(TEAMS + "red", [], 3)
-    assert not replica.jobs and not replica.team("red").shares
+    assert not replica.jobs and not replica.allocation_of("red").shares
 
 
 def test_old_news_never_replace_newer() -> None:
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -135,7 +135,7 @@
     e.replica.put(
         VIEW, {"term": 5, "members": {"n0": "x.1", "n1": "y", "n2": "z"}, "leader": "n0"}, 1
     )
-    e.replica.view_changed = False
+    e.replica.changes.view = False
     e.membership.joined, e.membership.incarnation = True, "x.1"
     e.membership.touch_sent = e.membership.view_sent = e.membership.served_at = e.now
     e.replica.advance(1)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -18,9 +18,9 @@
 from appledock.core.quota import quota
 from appledock.core.quota.quota import Amounts, Quota
 from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.store.keys import JOBS, MEMBERS, TEAMS, VIEW
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import Team
 from appledock.core.store_calls import (
     Committed,
     Conflict,
@@ -85,8 +85,8 @@
                 e.replica.put(key, value, revision)
         self.cursors[name] = upto
         e.replica.advance(upto)
-        if e.replica.view_changed:
-            e.replica.view_changed = False
+        if e.replica.changes.view:
+            e.replica.changes.view = False
             e.quota.on_view()
         e.quota.forget_caches()
 
@@ -139,7 +139,9 @@
             if surplus.some() and "red" not in e.quota.writing:
                 self._send(name, None, None, e.quota.lower("red", surplus))
 
-    def _send(self, name: str, job: Job | None, new: Job | None, record: Team | None) -> None:
+    def _send(
+        self, name: str, job: Job | None, new: Job | None, record: TeamAllocation | None
+    ) -> None:
         e = self.engines[name]
         assert e.replica.view is not None
         plan = Transaction({VIEW: e.replica.view.version})
@@ -231,8 +233,8 @@
 
 def _earlier_view(patch: Patch) -> None:
     def shares(self: Quota, name: str) -> quota.Shares:
-        self.e.replica.team(name).term = self.e.membership.term
-        return {n: Amounts(*s) for n, s in self.e.replica.team(name).shares.items()}
+        self.e.replica.allocation_of(name).term = self.e.membership.term
+        return {n: Amounts(*s) for n, s in self.e.replica.allocation_of(name).shares.items()}
 
     patch.setattr(Quota, "shares", shares)
 
@@ -312,7 +314,9 @@
 
 def test_a_lowered_share_counts_before_its_write_is_answered() -> None:
     e, first, _ = sharing()
-    e.quota.begin(None, None, "red", Team(4, 5, {"n0": (1.0, 0.0), "n1": (20.0, 0.0)}))("unknown")
+    e.quota.begin(None, None, "red", TeamAllocation(4, 5, {"n0": (1.0, 0.0), "n1": (20.0, 0.0)}))(
+        "unknown"
+    )
     good, record = e.quota.plan(first, grown(first, 1), "n0")
     assert good and record is not None  # it must be raised again, by a write of its own
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,8 +13,9 @@
 from appledock.core import events as ev
 from appledock.core.membership import membership
 from appledock.core.records.job import Attempt, Job
+from appledock.core.records.membership_view import View
 from appledock.core.store.keys import FORMAT, JOBS, MEMBERS, VIEW
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Rejected, Transaction
 from appledock.settings import SettingsError, parse
 from tests.standins.chains import pipeline
