--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -81,7 +81,11 @@
         self.quota_allocation = QuotaAllocation(
             self.runtime, self.replica, self.quota_usage, self.queue_order
         )
-        self.settlement = Settlement(self)
+        self.settlement = Settlement(
+            self.replica,
+            self.workers.verdict,
+            lambda machine, job_id: self.fleet.task_failed(machine, job_id),  # noqa: PLW0108 -- built later
+        )
         self.preemption = Preemption(self)
         self.job_writer = JobWriter(self)
         self.stop_requests = StopRequests(
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -13,6 +13,7 @@
 from appledock.core.quota import allocation, usage
 from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.quota.resources import NO_RESOURCES, Resources
+from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.client import StoreClient
@@ -30,10 +31,10 @@
 
 
 def silence_settles(patch: Patch, after_s: float = 6.0) -> None:
-    def verdict(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
+    def verdict(self: Workers, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
         worker = self.table.get(attempt.machine)
         if worker is not None and self.engine.now - worker.reachability.last_heartbeat_at > after_s:
-            return "settled"
+            return AttemptVerdict.SETTLED
         return VERDICT(self, job, attempt, task)
 
     patch.setattr(Workers, "verdict", verdict)
@@ -42,14 +43,14 @@
 def absence_settles(patch: Patch) -> None:
     """Without a higher term on the worker."""
 
-    def verdict(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
+    def verdict(self: Workers, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
         worker = self.table.get(attempt.machine)
         if (
             worker is not None
             and worker.agent_epoch == attempt.agent_epoch
             and (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks
         ):
-            return "settled"
+            return AttemptVerdict.SETTLED
         return VERDICT(self, job, attempt, task)
 
     patch.setattr(Workers, "verdict", verdict)
@@ -59,7 +60,9 @@
     patch.setattr(
         Workers,
         "verdict",
-        lambda self, job, attempt, task: "done" if VERDICT(self, job, attempt, task) else None,
+        lambda self, job, attempt, task: (
+            AttemptVerdict.DONE if VERDICT(self, job, attempt, task) else None
+        ),
     )
 
 
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -54,7 +54,7 @@
 def overlooked(patch: Patch, seed: int) -> float:
     """The longest time for which an attempt that is proven over stayed unnoticed while
     its job was looked at, under faults."""
-    since: dict[tuple[str, str, int, int], float] = {}
+    since: dict[tuple[Settlement, str, int, int], float] = {}
     longest = 0.0
     settled = Settlement.without_settled_attempts
 
@@ -65,10 +65,10 @@
         open_now = {(a.attempt_number, task) for a in left.attempts for task in a.tasks}
         for attempt in job.attempts:
             for task in attempt.tasks:
-                key = (self.engine.incarnation, job.id, attempt.attempt_number, task)
-                proven = self.engine.workers.verdict(job, attempt, task) is not None
+                key = (self, job.id, attempt.attempt_number, task)
+                proven = self._verdict(job, attempt, task) is not None
                 if proven and (attempt.attempt_number, task) in open_now:
-                    longest = max(longest, self.engine.now - since.setdefault(key, self.engine.now))
+                    longest = max(longest, world.clock.now - since.setdefault(key, world.clock.now))
                 else:
                     since.pop(key, None)
         return result
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -17,6 +17,7 @@
 from appledock.core.controller import Controller
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.messages import Heartbeat
+from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.keys import JOBS, VIEW
@@ -314,10 +315,10 @@
     monkeypatch.setattr(Reconciler, "_watch_lost", lambda self: None)
     verdict = Workers.verdict
 
-    def hasty(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
+    def hasty(self: Workers, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
         worker = self.table.get(attempt.machine)
         if worker is not None and (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks:
-            return "settled"
+            return AttemptVerdict.SETTLED
         return verdict(self, job, attempt, task)
 
     monkeypatch.setattr(Workers, "verdict", hasty)
