--- a/tests/unit/quota/test_allocation.py
+++ b/tests/unit/quota/test_allocation.py
@@ -26,7 +26,7 @@
     """Queue order by time of submission."""
 
     def sort_key(self, job: Job) -> tuple[float, ...]:
-        return (job.submitted,)
+        return (job.submitted_at,)
 
 
 @pytest.fixture
