--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -65,12 +65,12 @@
     needs = replica.dependencies
     for name in model.open():
         job = replica.jobs[name]
-        assert (name not in needs.waiting) == model.ready(name), name
+        assert (name not in needs.waiting_jobs) == model.ready(name), name
         assert replica.is_cancelled(name) == model.doomed(name), name
         assert (name in replica.queued_jobs) == (model.ready(name) and name not in model.cancelled)
-        assert not needs.undecided(name)
-        assert needs.pressing(job) == (model.rank(name), model.end(name)), name
-        assert needs.left(name) == [
+        assert not needs.has_unknown_outcome(name)
+        assert needs.inherited_priority(job) == (model.rank(name), model.end(name)), name
+        assert needs.unfinished_prerequisites(name) == [
             need for need in dict.fromkeys(model.needs(name)) if model.ended.get(need) != wire.DONE
         ]
     assert not needs.unknown_outcomes
