--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -97,7 +97,7 @@
             "machines": sum(w.report is not None for w in engine.workers.table.values()),
             "booting": len(engine.fleet.booting()) if engine.membership.is_leader() else None,
             "calls_waiting": budget.size(),
-            "users_waiting": len(engine.user_requests.open),
+            "users_waiting": len(engine.user_requests.open_requests),
             "machine_types": sorted(engine.machine_types),
         }
 
--- /dev/null
+++ b/appledock/core/api/first_owner.py
@@ -0,0 +1,39 @@
+"""The first owner of a new job, where it is not the one that the view derives."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.membership import Membership
+from appledock.core.records.job import Job
+from appledock.core.store.replica import Replica
+
+
+class FirstOwner:
+    """Chooses who owns a job from its creation on: recorded with the job, it costs no write."""
+
+    def __init__(
+        self,
+        replica: Replica,
+        membership: Membership,
+        heartbeats: Heartbeats,
+        preferred_owner: Callable[[Job], str | None],
+    ) -> None:
+        self._replica = replica
+        self._membership = membership
+        self._heartbeats = heartbeats
+        self._preferred_owner = preferred_owner
+
+    def choose(self, job: Job) -> tuple[str, str] | None:
+        """Node and incarnation; None: the owner that the view derives."""
+        membership, view = self._membership, self._replica.view
+        if not membership.can_act() or view is None:
+            return None
+        preferred = self._preferred_owner(job)
+        if preferred is not None:
+            return (preferred, view.members[preferred])
+        if not self._heartbeats.is_served(view.owner_of(job.id)):
+            # The derived owner would not see the job before its lease has expired.
+            return (membership.node, membership.incarnation)
+        return None
--- /dev/null
+++ b/appledock/core/api/job_cancellation.py
@@ -0,0 +1,124 @@
+"""Cancellation of jobs by their users: committed first, then answered, then carried out.
+
+The commit changes the version of the job's record, so every later start of its tasks fails.
+"""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from appledock import constants, wire
+from appledock.core.api.job_records import JobRecords
+from appledock.core.api.job_states import JobStates
+from appledock.core.api.open_requests import NO_SUCH_JOB, STORE_UNAVAILABLE, OpenRequests
+from appledock.core.jobs.codec import JobRecordCodec
+from appledock.core.records.job import Job
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
+from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import Replica
+from appledock.core.store_calls import (
+    Committed,
+    Conflict,
+    Delete,
+    Put,
+    StoreOutcome,
+    Transaction,
+)
+
+
+class Broadcast(Protocol):
+    """Announces a committed cancellation to the peers."""
+
+    def __call__(self, job: Job | None, job_id: str, revision: int) -> None:
+        """`job`: its record; None: the job was over with its cancellation."""
+
+
+class JobCancellations:
+    """Cancels open jobs and answers with the state that they have then."""
+
+    def __init__(  # noqa: PLR0913 -- what a cancellation reads, writes and tells
+        self,
+        *,
+        runtime: Runtime,
+        client: StoreClient,
+        replica: Replica,
+        codec: JobRecordCodec,
+        requests: OpenRequests,
+        records: JobRecords,
+        states: JobStates,
+        broadcast: Broadcast,
+    ) -> None:
+        self._runtime = runtime
+        self._client = client
+        self._replica = replica
+        self._codec = codec
+        self._requests = requests
+        self._records = records
+        self._states = states
+        self._broadcast = broadcast
+
+    def cancel(self, request_id: int, job_id: str) -> None:
+        """Cancel the job, after a read if the replica does not know it."""
+        if self._records.is_known(job_id):
+            self._cancel_known(request_id, job_id)
+        else:
+            self._read_and_cancel(request_id, job_id)
+
+    def _read_and_cancel(self, request_id: int, job_id: str) -> None:
+        self._records.read(
+            job_id,
+            lambda: self._cancel_known(request_id, job_id),
+            lambda: self._requests.refuse(request_id, STORE_UNAVAILABLE),
+        )
+
+    def _cancel_known(self, request_id: int, job_id: str) -> None:
+        """Decide by the replica, which has the newest records known."""
+        if request_id not in self._requests:
+            return
+        state = self._states.state(job_id)
+        if state is None:
+            self._requests.refuse(request_id, NO_SUCH_JOB)
+        elif job_id in self._replica.final_states or self._replica.is_cancelled(job_id):
+            # Over, or cancelled by an earlier request or together with a dependency: for ever.
+            self._requests.answer(request_id, 200, state)
+        else:
+            self._commit(request_id, self._replica.jobs[job_id])
+
+    def _commit(self, request_id: int, job: Job) -> None:
+        """Write the cancellation: the job is over with it if none of its tasks is unsettled."""
+        cancelled = job.copy()
+        cancelled.cancelled, cancelled.cancelled_at = True, self._runtime.wall
+        is_over = not job.attempts
+        cancellation = Transaction({JOBS + job.id: job.version})
+        if is_over:
+            cancellation.writes = [
+                Delete(JOBS + job.id),
+                Put(FINAL + job.id, {"state": wire.CANCELLED}),
+            ]
+        else:
+            record = self._codec.encode(self._codec.drop_needless_types(cancelled))
+            cancellation.writes = [Put(JOBS + job.id, record)]
+
+        def on_outcome(outcome: StoreOutcome) -> None:
+            match outcome:
+                case Committed():
+                    self._apply(cancelled, outcome.revision, is_over=is_over)
+                    self._requests.answer(request_id, 200, wire.JobState(job.id, wire.CANCELLED))
+                case Conflict():
+                    self._read_and_cancel(request_id, job.id)
+                case _:
+                    self._requests.refuse(request_id, STORE_UNAVAILABLE)
+
+        self._client.submit(cancellation, Priority.USER, on_outcome, constants.REQUEST_DEADLINE_S)
+
+    def _apply(self, job: Job, revision: int, *, is_over: bool) -> None:
+        """Take the committed cancellation into the replica, and tell the peers."""
+        if is_over:
+            self._replica.put(FINAL + job.id, {"state": wire.CANCELLED}, revision)
+            self._replica.drop(JOBS + job.id, revision)
+        else:
+            job.version = revision
+            self._replica.set_job(job)
+        self._broadcast(None if is_over else job, job.id, revision)
--- /dev/null
+++ b/appledock/core/api/open_requests.py
@@ -0,0 +1,75 @@
+"""Requests of users that are being answered: a bound, a deadline and one final answer for each."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from appledock import constants, wire
+from appledock.core.events import Reply
+from appledock.core.runtime import Runtime
+from appledock.core.store.reader import StateReader
+
+
+@dataclass(frozen=True, slots=True)
+class Refusal:
+    """An answer that says why there is no other; the texts are part of the protocol."""
+
+    status: int
+    text: str
+
+
+STARTING = Refusal(503, "starting")
+TOO_MANY_REQUESTS = Refusal(429, "too many requests")
+STORE_UNAVAILABLE = Refusal(503, "state service does not answer")
+NO_SUCH_JOB = Refusal(404, "no such job")
+
+
+class OpenRequests:
+    """The requests of users that have no final answer yet, by request id."""
+
+    def __init__(self, runtime: Runtime, reader: StateReader) -> None:
+        self._runtime = runtime
+        self._reader = reader
+        self._deadlines: dict[int, float] = {}
+
+    def __len__(self) -> int:
+        return len(self._deadlines)
+
+    def __contains__(self, request_id: int) -> bool:
+        return request_id in self._deadlines
+
+    def admit(self, request_id: int) -> bool:
+        """Take a request in, or refuse it: before the first load, and beyond the bound."""
+        self._deadlines[request_id] = self._runtime.now + constants.REQUEST_DEADLINE_S
+        if not self._reader.loaded:
+            self.refuse(request_id, STARTING)
+            return False
+        if len(self._deadlines) > constants.PENDING_USERS_MAX:
+            self.refuse(request_id, TOO_MANY_REQUESTS)
+            return False
+        return True
+
+    def answer(self, request_id: int, status: int, state: wire.JobState) -> None:
+        """Answer with a job's state; without effect if the request has its answer."""
+        self._reply(request_id, status, state)
+
+    def refuse(self, request_id: int, refusal: Refusal) -> None:
+        """Answer with an error; without effect if the request has its answer."""
+        self._reply(request_id, refusal.status, {"error": refusal.text})
+
+    def discard(self, request_id: int) -> None:
+        """Somebody else answers the request."""
+        self._deadlines.pop(request_id, None)
+
+    def refuse_expired(self) -> None:
+        """Answer those whose deadline has passed."""
+        now = self._runtime.now
+        for request_id in [key for key, at in self._deadlines.items() if at <= now]:
+            self.refuse(request_id, STORE_UNAVAILABLE)
+
+    def _reply(self, request_id: int, status: int, body: wire.JobState | dict[str, str]) -> None:
+        if self._deadlines.pop(request_id, None) is None:
+            return
+        is_retryable = status in (429, 503)
+        headers = {"Retry-After": str(constants.RETRY_AFTER_S)} if is_retryable else None
+        self._runtime.emit(Reply(request_id, status, body, headers))
--- /dev/null
+++ b/appledock/core/api/submission.py
@@ -0,0 +1,166 @@
+"""Submission of jobs: an idempotent creation by compare-and-swap."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from appledock import constants, wire
+from appledock.core.api.job_records import JobRecords
+from appledock.core.api.open_requests import STORE_UNAVAILABLE, OpenRequests, Refusal
+from appledock.core.api.status_polls import PendingRequest, StatusPolls
+from appledock.core.api.submission_check import MACHINE_TYPES_UNKNOWN, SubmissionCheck
+from appledock.core.jobs.codec import JobRecordCodec
+from appledock.core.jobs.reconcile_queue import ReconcileQueue
+from appledock.core.records.job import Job
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
+from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import Replica
+from appledock.core.store_calls import (
+    Committed,
+    Conflict,
+    Put,
+    Rejected,
+    StoreOutcome,
+    Transaction,
+)
+
+log = logging.getLogger(__name__)
+
+DEPENDENCIES_FORMAT = 2
+"""the first format of records that can hold dependencies"""
+DEPENDENCIES_NOT_SUPPORTED = Refusal(503, "not every controller knows jobs that need others yet")
+REJECTED_BY_STORE = Refusal(400, "refused by the state service")
+
+
+def never_accepted(job_id: str) -> Refusal:
+    """A dependency is no job that was ever accepted."""
+    return Refusal(422, f"{job_id} was never accepted")
+
+
+class Submissions:
+    """Checks submitted jobs and creates them; a repeated submission gets the job's state."""
+
+    def __init__(  # noqa: PLR0913 -- what a submission reads, checks and writes
+        self,
+        *,
+        runtime: Runtime,
+        client: StoreClient,
+        replica: Replica,
+        codec: JobRecordCodec,
+        reconcile_queue: ReconcileQueue,
+        requests: OpenRequests,
+        records: JobRecords,
+        polls: StatusPolls,
+        check: SubmissionCheck,
+        choose_first_owner: Callable[[Job], tuple[str, str] | None],
+    ) -> None:
+        self._runtime = runtime
+        self._client = client
+        self._replica = replica
+        self._codec = codec
+        self._reconcile_queue = reconcile_queue
+        self._requests = requests
+        self._records = records
+        self._polls = polls
+        self._check = check
+        self._choose_first_owner = choose_first_owner
+
+    def submit(self, request_id: int, spec: wire.JobSpec) -> None:
+        """Create the job, or answer with its state if it was accepted before."""
+        if self._records.is_known(spec.id):
+            self._polls.add(self._request(request_id, spec))
+            return
+        refusal = self._check.refusal(spec)
+        if refusal is None:
+            self._create_after_dependencies(request_id, spec, list(spec.needs or ()))
+        elif refusal == MACHINE_TYPES_UNKNOWN:
+            self._requests.refuse(request_id, refusal)
+        else:
+            self._refuse_unless_accepted(request_id, spec.id, refusal)
+
+    def _request(self, request_id: int, spec: wire.JobSpec) -> PendingRequest:
+        """A poll that creates the job if it turns out that it does not exist."""
+        return PendingRequest(
+            request_id,
+            spec.id,
+            lambda: self._create_after_dependencies(request_id, spec, list(spec.needs or ())),
+        )
+
+    def _refuse_unless_accepted(self, request_id: int, job_id: str, refusal: Refusal) -> None:
+        """Refuse once it is confirmed that the job does not exist.
+
+        It may have been accepted when the machine types, or the limits, were others.
+        """
+        self._polls.add(
+            PendingRequest(request_id, job_id, lambda: self._requests.refuse(request_id, refusal))
+        )
+
+    def _create_after_dependencies(
+        self, request_id: int, spec: wire.JobSpec, unread: list[str]
+    ) -> None:
+        """Create the job once it is known that all its dependencies were accepted.
+
+        That never changes, so the creation itself need not be conditional on it.
+        """
+        if spec.needs and self._replica.record_format.value < DEPENDENCIES_FORMAT:
+            self._requests.refuse(request_id, DEPENDENCIES_NOT_SUPPORTED)
+            return
+        while unread and self._records.is_known(unread[0]):
+            unread.pop(0)
+        if not unread:
+            self._create(request_id, spec)
+            return
+
+        def on_read() -> None:
+            if self._records.is_known(unread[0]):
+                self._create_after_dependencies(request_id, spec, unread[1:])
+            else:
+                self._refuse_unless_accepted(request_id, spec.id, never_accepted(unread[0]))
+
+        self._records.read(
+            unread[0], on_read, lambda: self._requests.refuse(request_id, STORE_UNAVAILABLE)
+        )
+
+    def _create(self, request_id: int, spec: wire.JobSpec) -> None:
+        """Write the job's record on condition that the job neither exists nor has ended."""
+        job = Job(spec, self._runtime.wall)
+        job.handoff_target = self._choose_first_owner(job)
+        creation = Transaction(
+            {JOBS + spec.id: 0, FINAL + spec.id: 0}, [Put(JOBS + spec.id, self._codec.encode(job))]
+        )
+
+        def on_outcome(outcome: StoreOutcome) -> None:
+            match outcome:
+                case Committed():
+                    job.version = outcome.revision
+                    self._on_created(request_id, job)
+                case Conflict():
+                    self._polls.read(self._request(request_id, spec))
+                case Rejected():
+                    self._requests.refuse(request_id, REJECTED_BY_STORE)
+                case _:
+                    self._requests.refuse(request_id, STORE_UNAVAILABLE)
+
+        self._client.submit(creation, Priority.USER, on_outcome, constants.REQUEST_DEADLINE_S)
+
+    def _on_created(self, request_id: int, job: Job) -> None:
+        spec = job.spec
+        self._replica.set_job(job)
+        self._reconcile_queue.placement_due = True
+        log.info(
+            "job accepted: job=%s class=%s team=%s tasks=%d image=%s",
+            spec.id,
+            spec.job_class,
+            spec.team,
+            spec.tasks,
+            spec.image,
+        )
+        if spec.id not in self._replica.jobs:
+            # Over before this answer came: cancelled together with one of its dependencies.
+            self._polls.read(self._request(request_id, spec))
+            return
+        state = wire.CANCELLED if self._replica.is_cancelled(spec.id) else wire.PENDING
+        self._requests.answer(request_id, 201, wire.JobState(spec.id, state))
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -10,7 +10,15 @@
 from appledock.capacity.settings import Capacity
 from appledock.core import events as ev
 from appledock.core.api.admin import AdminApi
+from appledock.core.api.first_owner import FirstOwner
 from appledock.core.api.health import HealthCheck
+from appledock.core.api.job_cancellation import JobCancellations
+from appledock.core.api.job_records import DependencyOutcomes, JobRecords
+from appledock.core.api.job_states import JobStates
+from appledock.core.api.open_requests import OpenRequests
+from appledock.core.api.status_polls import StatusPolls
+from appledock.core.api.submission import Submissions
+from appledock.core.api.submission_check import SubmissionCheck
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.capacity.partitions import CapacityShares
 from appledock.core.engine import Engine
@@ -119,7 +127,8 @@
         self.cancellation = CancellationEnforcer(self)
         self.fleet = Fleet(self)
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
-        self.user_requests = UserRequests(self)
+        self.job_states = JobStates(self.replica, self.workers)
+        self.user_requests = self._build_user_requests()
         self.admin = AdminApi(self)
         self.engine = Engine(
             runtime=self.runtime,
@@ -147,6 +156,40 @@
             operator_settings=self.operator_settings,
         )
 
+    def _build_user_requests(self) -> UserRequests:
+        """Requests of users, one part for each kind."""
+        requests = OpenRequests(self.runtime, self.reader)
+        records = JobRecords(self.replica, self.reader)
+        polls = StatusPolls(
+            self.runtime, self.client, self.replica, requests, records, self.job_states
+        )
+        submissions = Submissions(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            codec=self.codec,
+            reconcile_queue=self.reconcile_queue,
+            requests=requests,
+            records=records,
+            polls=polls,
+            check=SubmissionCheck(self.runtime, self.client, self.codec, self.machine_types),
+            choose_first_owner=FirstOwner(
+                self.replica, self.membership, self.heartbeats, self.partitions.preferred
+            ).choose,
+        )
+        cancellations = JobCancellations(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            codec=self.codec,
+            requests=requests,
+            records=records,
+            states=self.job_states,
+            broadcast=self.cancellation.broadcast,
+        )
+        outcomes = DependencyOutcomes(self.runtime, self.replica, self.reader, records)
+        return UserRequests(requests, submissions, polls, cancellations, outcomes)
+
     def handle(self, batch: list[ev.Cmd], now: float, wall: float) -> list[ev.Effect]:
         """Work through a batch; `now` is the steady clock, `wall` the time of day (s)."""
         return self.engine.handle(batch, now, wall)
@@ -212,14 +255,7 @@
 
     def running(self, job: Job) -> int:
         """Tasks that reports show as running, for display."""
-        count = 0
-        for attempt in job.attempts:
-            worker = self.workers.table.get(attempt.machine)
-            if worker is not None:
-                for task in attempt.tasks:
-                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.attempt_number))
-                    count += entry is not None and entry.state == wire.RUNNING
-        return count
+        return self.job_states.count_running(job)
 
     def zone_of(self, machine: str) -> str | None:
         """The machine's zone; None if nobody has told it yet."""
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -107,7 +107,7 @@
                 log.exception("command %s failed", type(command).__name__)
                 request_id = getattr(command, "request_id", None)
                 if request_id is not None:
-                    self.user_requests.open.pop(request_id, None)
+                    self.user_requests.open_requests.discard(request_id)
                     self.runtime.emit(ev.Reply(request_id, 500, {"error": "internal error"}))
         for follow in (self._after, self.client.flush):
             # One after the other: whatever fails, leases are renewed and users answered.
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -8,7 +8,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.api.user_requests import UserRequests
+from appledock.core.api.status_polls import StatusPolls
+from appledock.core.api.submission_check import SubmissionCheck
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.quota import allocation, usage
 from appledock.core.quota.allocation import QuotaAllocation
@@ -113,7 +114,7 @@
 
 
 def all_is_accepted(patch: Patch) -> None:
-    patch.setattr(UserRequests, "verdict", lambda self, spec: None)
+    patch.setattr(SubmissionCheck, "refusal", lambda self, spec: None)
 
 
 def no_word_of_mouth(patch: Patch) -> None:
@@ -141,9 +142,9 @@
 
 
 def answers_without_proof(patch: Patch) -> None:
-    def tell(self: UserRequests) -> None:
-        polls, self.polls = self.polls, []
-        for asked in polls:
-            self._tell(asked, True)
+    def confirm(self: StatusPolls) -> None:
+        polls, self._polls = self._polls, []
+        for request in polls:
+            self.answer(request, is_absence_confirmed=True)
 
-    patch.setattr(UserRequests, "_prove", tell)
+    patch.setattr(StatusPolls, "confirm", confirm)
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -16,7 +16,7 @@
 from functools import partial
 from typing import Any
 
-from appledock.core.api.user_requests import UserRequests
+from appledock.core.api.status_polls import StatusPolls
 from appledock.core.controller import Controller
 from appledock.core.fleet import Fleet
 from appledock.core.scheduling.reconciler import Reconciler
@@ -37,7 +37,7 @@
     ("placement pass", Reconciler, "_place_all"),
     ("fleet plan", Fleet, "_plan"),
     ("fleet returns", Fleet, "_return"),
-    ("proof of polls", UserRequests, "_prove"),
+    ("proof of polls", StatusPolls, "confirm"),
     ("view change", Workers, "on_view"),
 ]
 
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -8,7 +8,7 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.api.user_requests import UserRequests
+from appledock.core.api.status_polls import StatusPolls
 from appledock.core.records.dependencies import DependencyGraph
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import FINAL, FORMAT, JOBS
@@ -119,7 +119,9 @@
     assert {world.judge.final[job][0] for job in world.judge.accepted} == {"withdrawn"}
     # Answered once its own record is proven, whatever the picture has of the others.
     monkeypatch.setattr(
-        UserRequests, "_tell_current", lambda self, asked, revision: self._tell(asked, False)
+        StatusPolls,
+        "answer_at_revision",
+        lambda self, request, revision: self.answer(request, is_absence_confirmed=False),
     )
     assert "went_back" in lagging().judge.kinds()
 
@@ -190,7 +192,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        UserRequests, "_tell_current", lambda self, asked, revision: self._tell(asked, False)
+        StatusPolls,
+        "answer_at_revision",
+        lambda self, request, revision: self.answer(request, is_absence_confirmed=False),
     )
     assert cancelled_at_the_root(1, DEEP)[2] != []
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -5,7 +5,7 @@
 import pytest
 
 from appledock import wire
-from appledock.core.api.user_requests import UserRequests
+from appledock.core.api.status_polls import StatusPolls
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.membership.membership import Membership
 from appledock.core.records.job import Attempt, Job
@@ -98,12 +98,12 @@
 
 
 def test_answers_without_proof(monkeypatch: Patch) -> None:
-    def tell(self: UserRequests) -> None:
-        polls, self.polls = self.polls, []
-        for asked in polls:
-            self._tell(asked, True)
+    def confirm(self: StatusPolls) -> None:
+        polls, self._polls = self._polls, []
+        for request in polls:
+            self.answer(request, is_absence_confirmed=True)
 
-    monkeypatch.setattr(UserRequests, "_prove", tell)
+    monkeypatch.setattr(StatusPolls, "confirm", confirm)
     assert kinds(range(10), "isolate", "crash") & {"went_back", "forgotten"}
 
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -10,6 +10,7 @@
 from appledock import wire
 from appledock.adapters import users
 from appledock.core import events as ev
+from appledock.core.api.submission_check import MACHINE_TYPES_UNKNOWN, SubmissionCheck
 from appledock.core.controller import Controller
 from appledock.core.records.job import Job
 from appledock.core.store.keys import FINAL, FORMAT, JOBS, TEAMS
@@ -49,6 +50,10 @@
     return e
 
 
+def submission_check(e: Controller) -> SubmissionCheck:
+    return SubmissionCheck(e.runtime, e.client, e.codec, e.machine_types)
+
+
 def calls(effects: list[ev.Effect], kind: type) -> list[ev.StoreCall]:
     return [x for x in effects if isinstance(x, ev.StoreCall) and isinstance(x.request, kind)]
 
@@ -125,15 +130,16 @@
     ],
 )
 def test_what_can_never_run(change: dict[str, object], never: bool) -> None:
-    assert bool(engine().user_requests.verdict(spec(**change))) is never
+    assert bool(submission_check(engine()).refusal(spec(**change))) is never
 
 
 def test_types_that_no_zone_offers_are_no_machines() -> None:
     """Jobs were accepted that no machine could ever be rented for."""
     e = engine()
     e.machine_types.update({"h4": msgspec.structs.replace(e.machine_types["h4"], zones=[])})
-    assert e.user_requests.verdict(spec()) == e.user_requests.verdict(spec(quay="a")) != ""
-    assert e.user_requests.verdict(spec()) is not None
+    refusal = submission_check(e).refusal(spec())
+    assert refusal == submission_check(e).refusal(spec(quay="a"))
+    assert refusal is not None and refusal != MACHINE_TYPES_UNKNOWN
 
 
 def test_a_repeated_submission_of_a_long_description_is_not_refused() -> None:
--- /dev/null
+++ b/tests/unit/api/test_status_polls.py
@@ -0,0 +1,82 @@
+"""Status polls, built from a runtime, a store client and a replica."""
+
+from __future__ import annotations
+
+import random
+from types import SimpleNamespace
+from typing import cast
+
+from appledock.core.api.job_records import JobRecords
+from appledock.core.api.job_states import JobStates
+from appledock.core.api.open_requests import NO_SUCH_JOB, OpenRequests
+from appledock.core.api.status_polls import PendingRequest, StatusPolls
+from appledock.core.events import Reply, StoreCall, StoreReply
+from appledock.core.records.job import Job
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
+from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.reader import StateReader
+from appledock.core.store.replica import Replica
+from appledock.core.store_calls import Committed, StoreOutcome, Transaction
+from appledock.core.workers import Workers
+from tests.standins.deployment import settings
+from tests.test_requests import spec
+
+
+class Polls:
+    """Status polls without a controller around them."""
+
+    def __init__(self) -> None:
+        self.runtime = Runtime(settings("n0", ["n0"]), "a", random.Random(1))
+        self.runtime.now = 100.0
+        self.replica = Replica()
+        self.client = StoreClient(self.runtime)
+        reader = cast("StateReader", SimpleNamespace(loaded=True))
+        workers = cast("Workers", SimpleNamespace(table={}))
+        self.requests = OpenRequests(self.runtime, reader)
+        self.polls = StatusPolls(
+            self.runtime,
+            self.client,
+            self.replica,
+            self.requests,
+            JobRecords(self.replica, reader),
+            JobStates(self.replica, workers),
+        )
+
+    def poll(self, request_id: int, job_id: str) -> None:
+        self.requests.admit(request_id)
+        self.polls.add(
+            PendingRequest(
+                request_id, job_id, lambda: self.requests.refuse(request_id, NO_SUCH_JOB)
+            )
+        )
+
+    def calls(self) -> list[StoreCall]:
+        self.polls.tick()
+        self.client.flush()
+        return [x for x in self.runtime.take_effects() if isinstance(x, StoreCall)]
+
+    def replies(self, call: StoreCall, outcome: StoreOutcome) -> dict[int, int]:
+        """Request -> status that it is answered after the call's outcome."""
+        self.runtime.resolve(StoreReply(call.call_id, outcome))
+        replies = [x for x in self.runtime.take_effects() if isinstance(x, Reply)]
+        return {reply.request_id: reply.status for reply in replies}
+
+
+def test_all_waiting_polls_are_confirmed_by_one_transaction_without_writes() -> None:
+    polls = Polls()
+    polls.replica.set_job(Job(spec(id="job-1"), 0.0, 7))
+    polls.poll(1, "job-1")
+    polls.poll(2, "job-2")
+    (call,) = polls.calls()
+    conditions = {JOBS + "job-1": 7, JOBS + "job-2": 0, FINAL + "job-2": 0}
+    assert call.request == Transaction(conditions, [])
+    assert polls.replies(call, Committed(9)) == {1: 200, 2: 404}
+
+
+def test_a_final_state_is_answered_without_a_read() -> None:
+    polls = Polls()
+    polls.replica.put(FINAL + "job-1", {"state": "done"}, 3)
+    polls.poll(1, "job-1")
+    assert [type(effect) for effect in polls.runtime.take_effects()] == [Reply]
+    assert polls.calls() == []
