--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -38,7 +38,7 @@
 from appledock.core.store.client import StoreClient
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
-from appledock.core.workers import Worker, Workers
+from appledock.core.workers import Worker, WorkerObservers, Workers
 from appledock.rebalancing.settings import Rebalancing
 from appledock.settings import Settings
 from appledock.settings import Team as TeamLimits
@@ -67,7 +67,20 @@
         self.reader = StateReader(self)
         self.membership = Membership(self)
         self.heartbeats = Heartbeats(self)
-        self.workers = Workers(self)
+        self.workers = Workers(
+            self.runtime,
+            self.replica,
+            self.membership,
+            self.heartbeats,
+            self.reconcile_queue,
+            WorkerObservers(
+                on_capacity_changed=self._on_capacity_changed,
+                has_capacity=lambda machine: machine in self.capacity_index.machines,
+                on_task_completed=self._on_task_completed,
+                on_machine_deleted=self._on_machine_deleted,
+                on_unanswerable_heartbeat=self._on_unanswerable_heartbeat,
+            ),
+        )
         self.capacity_index = CapacityIndex(self)
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
@@ -114,6 +127,19 @@
         """Work through a batch; `now` is the steady clock, `wall` the time of day (s)."""
         return self.engine.handle(batch, now, wall)
 
+    # --- what the workers tell parts that are built after them --------------
+    def _on_capacity_changed(self, machine: str) -> None:
+        self.capacity_index.mark_changed(machine)
+
+    def _on_task_completed(self, machine: str, job: Job, seconds: float) -> None:
+        self.rebalancer.completed(machine, job, seconds)
+
+    def _on_machine_deleted(self, machine: str) -> None:
+        self.rebalancer.speeds.forget(machine)
+
+    def _on_unanswerable_heartbeat(self, report: wire.Report) -> None:
+        self.cancellation.seen(report)
+
     # --- for the parts that are still given the controller -----------------
     @property
     def settings(self) -> Settings:
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -93,7 +93,7 @@
         """Work through a batch; `now` is the steady clock, `wall` the time of day."""
         self.runtime.now, self.runtime.wall = now, wall
         if not self._started:
-            self.workers.initial_renewable_until = now + self.runtime.lease_ttl_s
+            self.workers.on_start()
             self._started = True
         for command in batch:
             try:
@@ -221,7 +221,7 @@
             replica.changed_jobs.clear()
             for machine in replica.changed_machines:
                 self.settlement.machine_changed(machine)
-            self.workers.commands_due |= replica.changed_machines
+            self.workers.request_commands(replica.changed_machines)
             self.capacity_index.mark_each_changed(replica.changed_machines)
             replica.changed_machines.clear()
             self.reconcile_queue.placement_due = True
--- a/appledock/core/workers/__init__.py
+++ b/appledock/core/workers/__init__.py
@@ -1,9 +1,11 @@
-"""Workers: last reports, leases, commands, and proof that an attempt is settled.
+"""Workers: heartbeats, leases, commands, and proof that an attempt of a task is over.
 
-`manager.Workers` is the only part that the rest of the core deals with.
+`Workers` is what the rest of the core deals with; `Worker` is the record of one machine, grouped
+by concern, and `WorkerObservers` what it tells the parts above it.
 """
 
 from appledock.core.workers.manager import Workers
+from appledock.core.workers.observers import ReconcileTriggers, WorkerObservers
 from appledock.core.workers.record import TaskKey, Worker
 
-__all__ = ["TaskKey", "Worker", "Workers"]
+__all__ = ["ReconcileTriggers", "TaskKey", "Worker", "WorkerObservers", "Workers"]
--- /dev/null
+++ b/appledock/core/workers/command_pusher.py
@@ -0,0 +1,133 @@
+"""Command push: commands sent straight to a worker, without waiting for its heartbeat."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from appledock import constants, wire
+from appledock.core.events import WorkerCall, WorkerOutcome, WorkerReply
+from appledock.core.membership.membership import Membership
+from appledock.core.runtime import Runtime
+from appledock.core.workers.command_reconciler import CommandReconciler
+from appledock.core.workers.heartbeat_intake import HeartbeatIntake
+from appledock.core.workers.protocol import CommandKind
+from appledock.core.workers.record import TaskKey, Worker
+from appledock.core.workers.table import WorkerTable
+
+
+@dataclass(frozen=True, slots=True)
+class PushedLaunches:
+    """The launches of one call, and what was known of launches before it."""
+
+    sent_at: float
+    term: int
+    keys: list[TaskKey]
+    launched_before: dict[TaskKey, float]
+    unconfirmed_before: dict[TaskKey, int]
+
+
+class CommandPusher:
+    """Sends commands at once to the workers that may need other ones than before."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        membership: Membership,
+        table: WorkerTable,
+        commands: CommandReconciler,
+        intake: HeartbeatIntake,
+    ) -> None:
+        self.runtime = runtime
+        self.membership = membership
+        self.table = table
+        self.commands = commands
+        self.intake = intake
+        self._due: set[str] = set()
+        """workers that may need other commands than before"""
+
+    def request(self, machines: Iterable[str]) -> None:
+        """The records of these machines have changed: their workers may need commands."""
+        self._due.update(machines)
+
+    def on_view(self) -> None:
+        """A new term: launches are sent anew under it, and every worker is looked at."""
+        for machine, worker in self.table.rows.items():
+            worker.commanded.launched_at.clear()
+            self._due.add(machine)
+
+    def flush(self) -> None:
+        """Push commands to the workers that are due; one with a call in flight stays due."""
+        due, self._due = self._due, set()
+        if not self.membership.acting():
+            return
+        for machine in sorted(due):
+            worker = self.table.rows.get(machine)
+            if worker is not None and self.table.owns(machine):
+                if worker.reachability.calls_in_flight:
+                    self._due.add(machine)
+                else:
+                    self._push(worker)
+
+    def _push(self, worker: Worker) -> None:
+        report = worker.report
+        if report is None or not self._can_command(worker, report):
+            return
+        launched_before = dict(worker.commanded.launched_at)
+        unconfirmed_before = dict(worker.commanded.unconfirmed_launches)
+        commands = self.commands.commands_for(worker, pushed=True)
+        if not commands:
+            return
+        term = self.membership.term
+        keys = [(x.task, x.attempt) for x in commands if x.op == CommandKind.LAUNCH]
+        pushed = PushedLaunches(self.runtime.now, term, keys, launched_before, unconfirmed_before)
+        worker.commanded.unconfirmed_launches.update((key, term) for key in keys)
+        worker.reachability.calls_in_flight += 1
+        addr, orders = report.addr, wire.Orders(term, report.session, commands)
+        self.runtime.call(
+            lambda call_id: WorkerCall(call_id, addr, orders, constants.ORDERS_TIMEOUT_S),
+            lambda reply: self._on_reply(worker, pushed, reply),
+        )
+
+    def _can_command(self, worker: Worker, report: wire.Report) -> bool:
+        return (
+            not worker.reachability.calls_in_flight
+            and self.membership.acting()
+            and report.session > worker.lease.expired_epoch
+            and worker.id not in self.table.deleted_machines
+        )
+
+    def _on_reply(self, worker: Worker, pushed: PushedLaunches, reply: WorkerReply) -> None:
+        worker.reachability.calls_in_flight -= 1
+        if reply.outcome is WorkerOutcome.UNKNOWN:
+            now = self.runtime.now
+            worker.commanded.launched_at.update((key, now) for key in pushed.keys)
+        else:
+            executed = reply.outcome is WorkerOutcome.OK
+            self._on_known_outcome(worker, pushed, executed)
+        if reply.report is None:
+            worker.reachability.probe_failed_at = self.runtime.now
+        elif reply.report.worker == worker.id:
+            self.intake.ingest_and_broadcast(reply.report)
+
+    def _on_known_outcome(self, worker: Worker, pushed: PushedLaunches, executed: bool) -> None:
+        commanded = worker.commanded
+        if executed:
+            commanded.repeatable_launches.update((key, pushed.term) for key in pushed.keys)
+        for key in pushed.keys:
+            # What was not sent now says nothing of the same launch sent before:
+            # that one may still be on its way, or have been executed.
+            if commanded.unconfirmed_launches.get(key) == pushed.term and (
+                executed or key not in pushed.unconfirmed_before
+            ):
+                del commanded.unconfirmed_launches[key]
+            if not executed and commanded.launched_at.get(key) == pushed.sent_at:
+                self._restore_launched(worker, pushed, key)
+
+    @staticmethod
+    def _restore_launched(worker: Worker, pushed: PushedLaunches, key: TaskKey) -> None:
+        """The launch was not executed: as if it had not been sent."""
+        if key in pushed.launched_before:
+            worker.commanded.launched_at[key] = pushed.launched_before[key]
+        else:
+            del worker.commanded.launched_at[key]
--- /dev/null
+++ b/appledock/core/workers/command_reconciler.py
@@ -0,0 +1,125 @@
+"""Command reconciliation: what a worker lacks or has too much, compared with the records."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from appledock import constants, wire
+from appledock.core.membership.membership import Membership
+from appledock.core.records.job import Attempt, Job
+from appledock.core.runtime import Runtime
+from appledock.core.store.replica import Replica
+from appledock.core.workers.protocol import CommandKind, TaskState
+from appledock.core.workers.record import TaskKey, Worker
+
+
+class RecordedTask(NamedTuple):
+    """What the records say of a task that they want on a worker."""
+
+    job: Job
+    attempt: Attempt
+
+
+class CommandReconciler:
+    """Makes the commands for a worker."""
+
+    def __init__(self, runtime: Runtime, replica: Replica, membership: Membership) -> None:
+        self.runtime = runtime
+        self.replica = replica
+        self.membership = membership
+
+    def commands_for(self, worker: Worker, pushed: bool) -> list[wire.Command]:
+        """The commands due now: halts and forgets first, then launches.
+
+        `pushed`: they are sent to the worker without a heartbeat of it. A pushed request may be
+        executed again, later; so `forget` goes only with the answer to a heartbeat.
+        """
+        recorded = self._recorded_tasks(worker)
+        commands: list[wire.Command] = []
+        retained = 0
+        for key, entry in worker.tasks.items():
+            known = recorded.get(key)
+            if entry.state != TaskState.EXITED:
+                if known is None or known.job.cancelled or known.attempt.stopping:
+                    commands += self._halt(worker, key, entry, known)
+            elif known is None and not pushed and self._is_outcome_certain(worker, key):
+                # Forgotten only once recorded: the worker's books are the only proof before.
+                if self.may_run_again(worker, key):
+                    # Those of earlier terms go as soon as the worker shows the present one:
+                    # another new term would cost the cluster a view and gain nothing.
+                    launch_term = worker.commanded.repeatable_launches[key]
+                    retained += launch_term >= self.membership.term
+                else:
+                    worker.commanded.repeatable_launches.pop(key, None)
+                    commands.append(wire.Command(CommandKind.FORGET.value, *key))
+        if retained > constants.KEPT_MAX:
+            self.membership.want_term = True
+        return commands + self._launches(worker, recorded)
+
+    @staticmethod
+    def may_run_again(worker: Worker, key: TaskKey) -> bool:
+        """Would a repeat of the launch that brought this attempt run it anew?
+
+        Guards against copies of requests that were executed: after `forget` the worker takes the
+        launch for a new one, and the task would run here while its next attempt runs elsewhere,
+        or long after its job was cancelled. A completed one would only be there for a moment, its
+        result being kept, but that moment counts for its team's limit and for its job's zones.
+        So attempts stay on the worker's books until a higher term makes the copy void.
+        """
+        return worker.commanded.repeatable_launches.get(key, -1) >= worker.fencing_token
+
+    @staticmethod
+    def _is_outcome_certain(worker: Worker, key: TaskKey) -> bool:
+        """Is no launch of it under way? After `forget` such a launch would start it."""
+        return key not in worker.commanded.unconfirmed_launches
+
+    def _recorded_tasks(self, worker: Worker) -> dict[TaskKey, RecordedTask]:
+        """Tasks with an open attempt in the worker's agent epoch."""
+        agent_epoch = worker.agent_epoch
+        recorded = {}
+        for job_id, attempts in sorted(self.replica.by_machine.get(worker.id, {}).items()):
+            job = self.replica.jobs[job_id]
+            for attempt in attempts:
+                if attempt.session == agent_epoch:
+                    row = RecordedTask(job, attempt)
+                    for number in attempt.tasks:
+                        recorded[(f"{job_id}/{number}", attempt.number)] = row
+        return recorded
+
+    def _halt(
+        self, worker: Worker, key: TaskKey, entry: wire.TaskReport, known: RecordedTask | None
+    ) -> list[wire.Command]:
+        """The halt, if it is due, of a task that is there and should not be."""
+        if known is None:
+            return [wire.Command(CommandKind.HALT.value, *key, grace_s=0.0)]
+        job = known.job
+        grace_s = 0.0
+        if not job.cancelled:
+            if entry.state == TaskState.SAVING:
+                return []
+            if job.spec.checkpoint_s > 0:
+                grace_s = job.spec.save_s + constants.SAVE_SLACK_S
+        now, halted_at = self.runtime.now, worker.commanded.halted_at
+        if now - halted_at.get(key, constants.LONG_AGO) < constants.HALT_AGAIN_S:
+            return []
+        halted_at[key] = now
+        return [wire.Command(CommandKind.HALT.value, *key, grace_s=grace_s)]
+
+    def _launches(
+        self, worker: Worker, recorded: dict[TaskKey, RecordedTask]
+    ) -> list[wire.Command]:
+        """Launches of tasks that are not there yet.
+
+        Only of attempts recorded in the present term: the worker's fencing token then proves
+        those of earlier terms void.
+        """
+        now, term = self.runtime.now, self.membership.term
+        launched_at = worker.commanded.launched_at
+        commands = []
+        for key, (job, attempt) in recorded.items():
+            if key in worker.tasks or attempt.term != term or job.cancelled or attempt.stopping:
+                continue
+            if now - launched_at.get(key, constants.LONG_AGO) >= constants.LAUNCH_AGAIN_S:
+                launched_at[key] = now
+                commands.append(wire.Command(CommandKind.LAUNCH.value, *key))
+        return commands
--- /dev/null
+++ b/appledock/core/workers/heartbeat_intake.py
@@ -0,0 +1,164 @@
+"""Heartbeat intake: a heartbeat is taken in if it is newer than what is known."""
+
+from __future__ import annotations
+
+import logging
+
+from appledock import constants, wire
+from appledock.core.membership.membership import Membership
+from appledock.core.records.job import split_task
+from appledock.core.runtime import Runtime
+from appledock.core.store.replica import Replica
+from appledock.core.workers.dissemination import Dissemination
+from appledock.core.workers.observers import ReconcileTriggers, WorkerObservers
+from appledock.core.workers.protocol import ExitCause, TaskState
+from appledock.core.workers.record import HeartbeatNumber, TaskKey, Worker
+from appledock.core.workers.table import WorkerTable
+
+log = logging.getLogger(__name__)
+
+
+class HeartbeatIntake:
+    """Keeps each worker's row up to date with its heartbeats."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        replica: Replica,
+        membership: Membership,
+        table: WorkerTable,
+        triggers: ReconcileTriggers,
+        observers: WorkerObservers,
+        dissemination: Dissemination,
+    ) -> None:
+        self.runtime = runtime
+        self.replica = replica
+        self.membership = membership
+        self.table = table
+        self.triggers = triggers
+        self.observers = observers
+        self.dissemination = dissemination
+
+    def ingest_and_broadcast(self, report: wire.Report) -> bool:
+        """Take in a heartbeat that came straight from its worker, and tell the peers of it.
+
+        False: it is no newer than the one known, and nothing was done.
+        """
+        if not self.ingest(report):
+            return False
+        self.dissemination.broadcast(self.table.rows[report.worker])
+        return True
+
+    def ingest(self, report: wire.Report, healthy_age_s: float | None = None) -> bool:
+        """Take the heartbeat in if it is newer than the one known.
+
+        `healthy_age_s`: a peer forwarded it, and knows how long ago the worker was last healthy.
+        """
+        if report.worker in self.table.deleted_machines:
+            # Guards against copies of old heartbeats: each brought a machine back that
+            # nothing removes from the table, and the leader, most of whose machines seemed
+            # unresponsive then, never again deleted one that really was.
+            return False
+        worker = self.table.get_or_create(report.worker)
+        old, old_tasks = worker.report, worker.tasks
+        number = HeartbeatNumber(report.session, report.seq)
+        # A number may be known without its heartbeat: a link that lost the heartbeat brought
+        # the message that later ones showed nothing new. Then the heartbeat itself is news.
+        if number < worker.status.newest or (old is not None and number <= (old.session, old.seq)):
+            return False
+        worker.status.newest = number
+        if old is None:
+            worker.status.first_term = self.membership.term
+        self._record_reachability(worker, report, healthy_age_s)
+        self._replace_status(worker, report)
+        self._record_task_times(worker)
+        if old is None or _is_relevant_change(old, old_tasks, report, worker.tasks):
+            self.triggers.changed_workers.add(worker.id)
+            self.observers.on_capacity_changed(worker.id)
+            self.triggers.placement_due = True
+        elif not self.observers.has_capacity(worker.id):
+            self.observers.on_capacity_changed(worker.id)
+        return True
+
+    def _record_reachability(
+        self, worker: Worker, report: wire.Report, healthy_age_s: float | None
+    ) -> None:
+        """Record that the worker was received from, and whether answers reach it.
+
+        `worker.report` is still the heartbeat before this one.
+        """
+        now, old, reachability = self.runtime.now, worker.report, worker.reachability
+        if healthy_age_s is not None:
+            reachability.last_healthy_at = max(reachability.last_healthy_at, now - healthy_age_s)
+        else:
+            reachability.last_direct_heartbeat_at = now
+            # A worker whose answers do not arrive still sends heartbeats, but only after
+            # each answer has timed out.
+            if old is None or (
+                old.session == report.session
+                and now - reachability.last_heartbeat_at < constants.ANSWER_LOST_S
+            ):
+                reachability.last_healthy_at = now
+        reachability.last_heartbeat_at = now
+
+    @staticmethod
+    def _replace_status(worker: Worker, report: wire.Report) -> None:
+        """Make this the newest heartbeat; what an ended agent epoch took along is dropped."""
+        status, old = worker.status, worker.status.report
+        status.report = report
+        status.tasks = {(task.task, task.attempt): task for task in report.tasks}
+        if old is None or old.session != report.session:
+            worker.commanded.clear()
+            if old is not None:
+                status.image_seen_at = {}
+        worker.commanded.drop_void_launches(
+            report.token, token_changed=old is None or old.token != report.token
+        )
+
+    def _record_task_times(self, worker: Worker) -> None:
+        """Since when tasks run, which images they show as fetched, whether any task is left."""
+        now, jobs = self.runtime.now, self.replica.jobs
+        was_running = worker.status.running_since
+        running_since: dict[TaskKey, float] = {}
+        is_busy = False
+        for key, entry in worker.tasks.items():
+            is_running = entry.state == TaskState.RUNNING
+            is_done = entry.why == ExitCause.DONE
+            if is_running:
+                if key not in was_running:
+                    self._log_start(worker, entry)
+                running_since[key] = was_running.get(key, now)
+            elif is_done and key in was_running:
+                completed = jobs.get(split_task(entry.task)[0])
+                if completed is not None:
+                    self.observers.on_task_completed(worker.id, completed, now - was_running[key])
+            is_busy = is_busy or entry.state != TaskState.EXITED
+            if is_running or is_done or entry.state == TaskState.SAVING:
+                job = jobs.get(split_task(entry.task)[0])
+                if job is not None:
+                    worker.status.image_seen_at[job.spec.image] = now
+        worker.status.running_since = running_since
+        if is_busy:
+            worker.placement.idle_since = 0.0
+        elif not worker.placement.idle_since:
+            worker.placement.idle_since = now
+
+    def _log_start(self, worker: Worker, entry: wire.TaskReport) -> None:
+        if self.replica.view is not None and self.table.owns(worker.id):
+            log.debug("task started: task=%s machine=%s", entry.task, worker.id)
+
+
+def _is_relevant_change(
+    old: wire.Report,
+    old_tasks: dict[TaskKey, wire.TaskReport],
+    new: wire.Report,
+    tasks: dict[TaskKey, wire.TaskReport],
+) -> bool:
+    """Does the heartbeat show anything new that decisions depend on?"""
+    return (
+        old_tasks.keys() != tasks.keys()
+        or old.session != new.session
+        or old.token != new.token
+        or old.notice_s != new.notice_s
+        or any(old_tasks[key].state != entry.state for key, entry in tasks.items())
+    )
--- /dev/null
+++ b/appledock/core/workers/heartbeat_responder.py
@@ -0,0 +1,83 @@
+"""Answers to workers' heartbeats: commands from the owner, else a redirect to it."""
+
+from __future__ import annotations
+
+from appledock import wire
+from appledock.core.events import Reply
+from appledock.core.membership.membership import Membership
+from appledock.core.runtime import Runtime
+from appledock.core.workers.command_reconciler import CommandReconciler
+from appledock.core.workers.heartbeat_intake import HeartbeatIntake
+from appledock.core.workers.observers import WorkerObservers
+from appledock.core.workers.record import NOT_MISDIRECTED
+from appledock.core.workers.redirects import Redirects
+from appledock.core.workers.table import WorkerTable
+
+
+class HeartbeatResponder:
+    """Answers heartbeats as far as this controller has the authority to.
+
+    An answer renews the worker's lease, so it is given only under a valid lease of this
+    controller, for a worker that it owns, whose agent epoch has not expired. `renewable_until`
+    is raised with each answer: lease expiry counts from the last possible one.
+    """
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        membership: Membership,
+        table: WorkerTable,
+        intake: HeartbeatIntake,
+        commands: CommandReconciler,
+        redirects: Redirects,
+        observers: WorkerObservers,
+    ) -> None:
+        self.runtime = runtime
+        self.membership = membership
+        self.table = table
+        self.intake = intake
+        self.commands = commands
+        self.redirects = redirects
+        self.observers = observers
+
+    def on_heartbeat(self, request_id: int, report: wire.Report) -> None:
+        """Take in a heartbeat that came straight from its worker, and answer it."""
+        if not self.membership.acting():
+            self._ingest_without_authority(report)
+            self._refuse(request_id, "not entitled")
+        elif report.worker in self.table.deleted_machines:
+            self._refuse(request_id, "machine is gone")
+        elif self.table.owns(report.worker):
+            self._answer_as_owner(request_id, report)
+        else:
+            self.runtime.emit(Reply(request_id, 421, self.redirects.redirect(report)))
+
+    def _refuse(self, request_id: int, reason: str) -> None:
+        self.runtime.emit(Reply(request_id, 503, {"error": reason}))
+
+    def _ingest_without_authority(self, report: wire.Report) -> None:
+        """Take in a heartbeat that may not be answered here.
+
+        It still shows which tasks are over, and which of cancelled jobs are not.
+        """
+        worker = self.table.rows.get(report.worker)
+        if worker is not None and worker.report is not None:
+            self.intake.ingest(report)
+        self.observers.on_unanswerable_heartbeat(report)
+
+    def _answer_as_owner(self, request_id: int, report: wire.Report) -> None:
+        worker = self.table.get_or_create(report.worker)
+        worker.reachability.misdirected = NOT_MISDIRECTED
+        if report.token > self.membership.term:
+            # A newer view exists; the worker would drop an answer under an older token.
+            self.membership.confirm()
+            self._refuse(request_id, "newer view")
+            return
+        if report.session <= worker.lease.expired_epoch or not self.intake.ingest_and_broadcast(
+            report
+        ):
+            self._refuse(request_id, "outdated report")
+            return
+        commands = self.commands.commands_for(worker, pushed=False)
+        worker.lease.renewable_until = max(worker.lease.renewable_until, self.runtime.now)
+        self.runtime.emit(Reply(request_id, 200, wire.ReportAnswer(self.membership.term, commands)))
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -1,75 +1,159 @@
-"""The workers as the rest of the core sees them: the table and all dealings with it."""
+"""The workers as the rest of the core sees them."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Iterable, Mapping
 
-from appledock import constants as c
-from appledock import wire
+from appledock import constants, wire
+from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.membership import Membership
 from appledock.core.messages import WorkerMessage
 from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job
-from appledock.core.workers.answers import Answers
-from appledock.core.workers.commands import Commands
-from appledock.core.workers.detachment import Detachment
-from appledock.core.workers.evidence import Evidence
-from appledock.core.workers.gossip import Gossip
-from appledock.core.workers.liveness import Liveness
-from appledock.core.workers.orders import Orders
+from appledock.core.runtime import Runtime
+from appledock.core.store.replica import Replica, View
+from appledock.core.workers.command_pusher import CommandPusher
+from appledock.core.workers.command_reconciler import CommandReconciler
+from appledock.core.workers.detached_members import DetachedMembers
+from appledock.core.workers.dissemination import Dissemination
+from appledock.core.workers.heartbeat_intake import HeartbeatIntake
+from appledock.core.workers.heartbeat_responder import HeartbeatResponder
+from appledock.core.workers.lease_expiry import LeaseExpiry
+from appledock.core.workers.observers import ReconcileTriggers, WorkerObservers
+from appledock.core.workers.own_reachability import OwnReachability
+from appledock.core.workers.peer_updates import PeerUpdates
+from appledock.core.workers.probes import Probes
 from appledock.core.workers.record import Worker
-from appledock.core.workers.reports import Reports
+from appledock.core.workers.redirects import Redirects
+from appledock.core.workers.settlement_evidence import SettlementEvidence
 from appledock.core.workers.table import WorkerTable
 
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
-    from appledock.core.store.replica import View
 
-
-class Workers(WorkerTable):
-    """The table of workers and all dealings with them.
-
-    The parts get the table alone; what one needs of another it is given, or asks
-    for here, as the rest of the core does.
-    """
-
-    def __init__(self, engine: Controller) -> None:
-        super().__init__(engine)
-        self.reports = Reports(engine, self)
-        self.gossip = Gossip(engine, self)
-        self.evidence = Evidence(engine, self)
-        self.command_maker = Commands(engine)
-        self.orders = Orders(engine, self, self.gossip)
-        self.liveness = Liveness(engine, self, self.gossip)
-        self.detachment = Detachment(engine, self)
-        self.answers = Answers(engine, self, self.gossip, self.detachment)
-        self.next_look = 0.0
+class Workers:
+    """Builds the parts that deal with workers, and passes each call to its part."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        replica: Replica,
+        membership: Membership,
+        heartbeats: Heartbeats,
+        triggers: ReconcileTriggers,
+        observers: WorkerObservers,
+    ) -> None:
+        self.runtime = runtime
+        self.replica = replica
+        self.membership = membership
+        self.worker_table = WorkerTable(runtime, replica, triggers, observers)
+        self.evidence = SettlementEvidence(membership, self.worker_table)
+        self.dissemination = Dissemination(runtime, replica, self.worker_table, triggers)
+        self.intake = HeartbeatIntake(
+            runtime,
+            replica,
+            membership,
+            self.worker_table,
+            triggers,
+            observers,
+            self.dissemination,
+        )
+        self.peer_updates = PeerUpdates(runtime, self.worker_table, self.intake, observers)
+        self.command_reconciler = CommandReconciler(runtime, replica, membership)
+        self.command_pusher = CommandPusher(
+            runtime, membership, self.worker_table, self.command_reconciler, self.intake
+        )
+        self.lease_expiry = LeaseExpiry(
+            runtime, replica, membership, self.worker_table, self.dissemination
+        )
+        self.probes = Probes(runtime, replica, self.intake)
+        self.detached_members = DetachedMembers(
+            runtime, replica, membership, heartbeats, self.worker_table
+        )
+        self.own_reachability = OwnReachability(runtime, replica, membership, self.worker_table)
+        self.redirects = Redirects(
+            runtime,
+            replica,
+            membership,
+            heartbeats,
+            self.worker_table,
+            self.intake,
+            self.detached_members,
+        )
+        self.responder = HeartbeatResponder(
+            runtime,
+            membership,
+            self.worker_table,
+            self.intake,
+            self.command_reconciler,
+            self.redirects,
+            observers,
+        )
+        self._next_check_at = 0.0
+
+    # --- the table --------------------------------------------------------
+    @property
+    def table(self) -> Mapping[str, Worker]:
+        """Machine -> its worker; rows are added and removed by this package only."""
+        return self.worker_table.rows
+
+    @property
+    def deleted_machines(self) -> Mapping[str, float]:
+        """Machines that no longer exist -> since when that is known."""
+        return self.worker_table.deleted_machines
+
+    def owns(self, machine: str) -> bool:
+        """Does this controller own the worker?"""
+        return self.worker_table.owns(machine)
+
+    def mark_deleted(self, machines: Iterable[str]) -> None:
+        """These machines no longer exist."""
+        self.worker_table.mark_deleted(machines)
+
+    # --- the batch loop ---------------------------------------------------
+    def on_start(self) -> None:
+        """The process starts: before the first command."""
+        self.worker_table.on_start()
 
     def tick(self) -> None:
-        """Tell the peers what is due; sessions that have lapsed, workers worth asking."""
-        if not self.engine.membership.acting():
+        """Send the peers what is due; check leases, and members that workers do not reach."""
+        if not self.membership.acting():
             return
-        self.gossip.tick()
-        if self.engine.now >= self.next_look:
-            self.next_look = self.engine.now + c.SILENCE_EVERY_S
-            self.detachment.tick()
-            self.liveness.check_all()
+        self.dissemination.tick()
+        if self.runtime.now >= self._next_check_at:
+            self._next_check_at = self.runtime.now + constants.SILENCE_EVERY_S
+            self.detached_members.tick()
+            self.own_reachability.tick()
+            self._check_workers_with_attempts()
+
+    def _check_workers_with_attempts(self) -> None:
+        for machine in list(self.replica.by_machine):
+            worker = self.worker_table.get_or_create(machine)
+            if machine not in self.worker_table.deleted_machines:
+                self.lease_expiry.check(worker)
+                self.probes.probe_if_due(worker)
 
-    # --- reports and commands ---------------------------------------------
+    def on_view(self, old: View | None) -> None:
+        """Ownership may have moved."""
+        self.lease_expiry.on_view(old)
+        self.command_pusher.on_view()
+        self.redirects.on_view()
+        self.detached_members.on_view()
+
+    # --- heartbeats and commands ------------------------------------------
     def on_heartbeat(self, request_id: int, report: wire.Report) -> None:
-        """A report came straight from its worker."""
-        self.answers.answer(request_id, report)
+        """A heartbeat came straight from its worker; it is answered in any case."""
+        self.responder.on_heartbeat(request_id, report)
 
-    def ingest_heartbeat(self, report: wire.Report, well_s: float | None = None) -> bool:
-        """Take a report in if it is newer than the one known."""
-        return self.reports.ingest(report, well_s)
+    def ingest_heartbeat(self, report: wire.Report) -> bool:
+        """Take a heartbeat in if it is newer than the one known; the peers are not told."""
+        return self.intake.ingest(report)
 
-    def commands_for(self, worker: Worker, direct: bool) -> list[wire.Command]:
-        """What the worker lacks or has too much, compared with the records."""
-        return self.command_maker.commands_for(worker, direct)
+    def request_commands(self, machines: Iterable[str]) -> None:
+        """The records of these machines have changed: their workers may need commands."""
+        self.command_pusher.request(machines)
 
     def push_commands(self) -> None:
         """Send commands at once to all workers that may need them."""
-        self.orders.flush()
+        self.command_pusher.flush()
 
     # --- questions --------------------------------------------------------
     def verdict(self, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
@@ -77,27 +161,22 @@
         return self.evidence.verdict(job, attempt, task)
 
     def probe(self, worker: Worker) -> None:
-        """Ask the worker itself for its report."""
-        self.liveness.probe(worker)
+        """Call the worker for its status; it must have sent a heartbeat before."""
+        self.probes.probe(worker)
 
     def reporting_fraction(self) -> float:
-        """Part of our workers, among those heard of lately, that reported to us."""
-        return self.detachment.reporting_fraction()
+        """Part of the owned workers, among the live ones, that sent their heartbeats here."""
+        return self.own_reachability.reporting_fraction()
 
     def owner_timeout_counts(self) -> dict[str, int]:
-        """Owner -> how many of its workers came here after waiting for it in vain."""
-        return self.detachment.owner_timeout_counts()
-
-    # --- views and peers --------------------------------------------------
-    def on_view(self, old: View | None) -> None:
-        """Ownership may have moved."""
-        self.liveness.on_view(old)
-        self.detachment.on_view()
+        """Owner -> how many of its workers came here after its answer timed out."""
+        return self.detached_members.owner_timeout_counts()
 
+    # --- peers ------------------------------------------------------------
     def on_peer(self, message: WorkerMessage) -> None:
-        """What a peer tells of workers."""
-        self.gossip.on_peer(message)
+        """A peer sent news of workers."""
+        self.peer_updates.apply(message)
 
-    def on_peer_connected(self, name: str) -> None:
+    def on_peer_connected(self, peer: str) -> None:
         """A link (re)opened: what the peer missed is sent again."""
-        self.gossip.on_peer_connected(name)
+        self.dissemination.on_peer_connected(peer)
--- /dev/null
+++ b/appledock/core/workers/probes.py
@@ -0,0 +1,62 @@
+"""Probes: workers without heartbeats are called directly."""
+
+from __future__ import annotations
+
+from appledock import constants
+from appledock.core.events import WorkerCall, WorkerReply
+from appledock.core.runtime import Runtime
+from appledock.core.store.replica import Replica
+from appledock.core.workers.heartbeat_intake import HeartbeatIntake
+from appledock.core.workers.record import Worker
+
+
+class Probes:
+    """Calls workers for their status: their owner may be unable to forward heartbeats."""
+
+    def __init__(self, runtime: Runtime, replica: Replica, intake: HeartbeatIntake) -> None:
+        self.runtime = runtime
+        self.replica = replica
+        self.intake = intake
+
+    def probe_if_due(self, worker: Worker) -> None:
+        """Probe the worker if a job of this controller waits for news of it."""
+        now, reachability = self.runtime.now, worker.reachability
+        if (
+            worker.report is not None
+            and now - reachability.last_heartbeat_at > constants.SHOW_AFTER_S
+            and now >= reachability.next_probe_at
+            and not reachability.calls_in_flight
+            and self._has_open_attempt(worker)
+        ):
+            self.probe(worker)
+
+    def probe(self, worker: Worker) -> None:
+        """Call the worker for its status; it must have sent a heartbeat before."""
+        assert worker.report is not None
+        reachability = worker.reachability
+        reachability.next_probe_at = self.runtime.now + constants.SHOW_EVERY_S
+        reachability.calls_in_flight += 1
+        addr = worker.report.addr
+
+        def on_reply(reply: WorkerReply) -> None:
+            reachability.calls_in_flight -= 1
+            if reply.report is not None and reply.report.worker == worker.id:
+                reachability.probe_failed_at = constants.LONG_AGO
+                self.intake.ingest_and_broadcast(reply.report)
+            else:
+                reachability.probe_failed_at = self.runtime.now
+
+        self.runtime.call(
+            lambda call_id: WorkerCall(call_id, addr, None, constants.SHOW_TIMEOUT_S), on_reply
+        )
+
+    def _has_open_attempt(self, worker: Worker) -> bool:
+        """Does a job that this controller owns have an attempt in a live epoch of the worker?"""
+        replica = self.replica
+        if replica.view is None:
+            return False
+        return any(
+            replica.job_owner(replica.jobs[job_id]) == self.runtime.node
+            and any(attempt.session > worker.lease.expired_epoch for attempt in attempts)
+            for job_id, attempts in replica.by_machine.get(worker.id, {}).items()
+        )
--- /dev/null
+++ b/appledock/core/workers/settlement_evidence.py
@@ -0,0 +1,66 @@
+"""Settlement evidence: proof that an attempt of a task is over."""
+
+from __future__ import annotations
+
+from appledock import wire
+from appledock.core.membership.membership import Membership
+from appledock.core.records.attempt_verdict import AttemptVerdict
+from appledock.core.records.job import Attempt, Job
+from appledock.core.workers.protocol import ExitCause, TaskState
+from appledock.core.workers.record import TaskKey, Worker
+from appledock.core.workers.table import WorkerTable
+
+
+class SettlementEvidence:
+    """Judges attempts by what the workers have shown.
+
+    Proof is the end of the machine, of the attempt's agent epoch, or of the task itself as the
+    worker shows it, or that its launch can never be executed. Missing heartbeats, refused
+    connections and missing rows of the machine list prove nothing and are not looked at here.
+    """
+
+    def __init__(self, membership: Membership, table: WorkerTable) -> None:
+        self.membership = membership
+        self.table = table
+
+    def verdict(self, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
+        """Is this attempt of a task over? None: it is open."""
+        if attempt.machine in self.table.deleted_machines:
+            return AttemptVerdict.SETTLED
+        worker = self.table.rows.get(attempt.machine)
+        if worker is None:
+            return None
+        epoch_is_over = (
+            attempt.session <= worker.lease.expired_epoch or worker.agent_epoch > attempt.session
+        )
+        if worker.report is None or worker.agent_epoch != attempt.session:
+            return AttemptVerdict.SETTLED if epoch_is_over else None
+        key = (f"{job.id}/{task}", attempt.number)
+        entry = worker.tasks.get(key)
+        if entry is not None and entry.state == TaskState.EXITED:
+            return _verdict_of_exited(job, entry)
+        if epoch_is_over or (entry is None and self._can_never_start(worker, job, attempt, key)):
+            return AttemptVerdict.SETTLED
+        return None
+
+    def _can_never_start(self, worker: Worker, job: Job, attempt: Attempt, key: TaskKey) -> bool:
+        """Is a task that the worker does not show unable to appear there?
+
+        Commands of the attempt's term are refused once the worker shows a higher one, and
+        launches are only sent under the term of their attempt. Under that term only the owner
+        launches; if it never did, the record forbids it now.
+        """
+        return worker.fencing_token > attempt.term or (
+            (job.cancelled or attempt.stopping)
+            and key not in worker.commanded.launched_at
+            and attempt.term == self.membership.term
+            and self.table.owns(worker.id)
+        )
+
+
+def _verdict_of_exited(job: Job, entry: wire.TaskReport) -> AttemptVerdict:
+    if entry.why == ExitCause.DONE and not job.spec.service:
+        return AttemptVerdict.DONE
+    if entry.why in (ExitCause.ERROR, ExitCause.UNKNOWN):
+        return AttemptVerdict.FAILED
+    return AttemptVerdict.SETTLED
--- a/appledock/core/workers/table.py
+++ b/appledock/core/workers/table.py
@@ -3,70 +3,83 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
 
-from appledock import constants as c
+from appledock import constants
+from appledock.core.runtime import Runtime
+from appledock.core.store.replica import Replica
+from appledock.core.workers.observers import ReconcileTriggers, WorkerObservers
 from appledock.core.workers.record import Worker, WorkerLease
 
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
-
 
 class WorkerTable:
     """All workers known, by machine."""
 
-    def __init__(self, engine: Controller) -> None:
-        self.engine = engine
-        self.table: dict[str, Worker] = {}
+    def __init__(
+        self,
+        runtime: Runtime,
+        replica: Replica,
+        triggers: ReconcileTriggers,
+        observers: WorkerObservers,
+    ) -> None:
+        self.runtime = runtime
+        self.replica = replica
+        self.triggers = triggers
+        self.observers = observers
+        self.rows: dict[str, Worker] = {}
+        """machine -> its worker"""
         self.deleted_machines: dict[str, float] = {}
-        """machines whose deletion was confirmed, or that the cloud calls failed"""
-        self.initial_renewable_until = 0.0
-        """until then a controller that we do not know of yet may answer any worker"""
-        self.commands_due: set[str] = set()
-        """workers that may need other commands than before"""
+        """machines whose deletion was confirmed, or that the cloud calls failed -> since when"""
+        self._initial_renewable_until = 0.0
+
+    def on_start(self) -> None:
+        """The process starts: a controller not known of yet may answer any worker for one lease."""
+        self._initial_renewable_until = self.runtime.now + self.runtime.lease_ttl_s
+
+    def get_or_create(self, machine: str) -> Worker:
+        """The worker's row, made if it is new.
 
-    def get_or_create(self, name: str) -> Worker:
-        """The worker's row, made if it is new."""
-        worker = self.table.get(name)
+        Another controller may have answered the worker under a view that it still believes in;
+        that ends within one lease from now. So a new row's lease counts as renewable until then.
+        """
+        worker = self.rows.get(machine)
         if worker is None:
-            # Another controller may have answered it under a view it still
-            # believes in; that ends within one lease from now.
-            worker = self.table[name] = Worker(
-                name,
-                lease=WorkerLease(
-                    max(
-                        self.initial_renewable_until,
-                        self.engine.now + self.engine.runtime.lease_ttl_s,
-                    )
-                ),
+            renewable_until = max(
+                self._initial_renewable_until, self.runtime.now + self.runtime.lease_ttl_s
             )
+            worker = self.rows[machine] = Worker(machine, lease=WorkerLease(renewable_until))
         return worker
 
-    def owns(self, name: str) -> bool:
+    def owns(self, machine: str) -> bool:
         """Does this controller own the worker?"""
-        return self.engine.replica.owner_of(name) == self.engine.settings.name
+        return self.replica.owner_of(machine) == self.runtime.node
 
-    def mark_expired(self, machine: str, session: int) -> None:
-        """This session and all before it are over."""
+    def mark_expired(self, machine: str, agent_epoch: int) -> None:
+        """This agent epoch and all before it have ended."""
         worker = self.get_or_create(machine)
-        if session > worker.lease.expired_epoch:
-            worker.lease.expired_epoch = session
-            self.engine.reconcile_queue.changed_workers.add(machine)
-            self.engine.capacity_index.mark_changed(machine)
-            self.engine.reconcile_queue.placement_due = True
+        if agent_epoch > worker.lease.expired_epoch:
+            worker.lease.expired_epoch = agent_epoch
+            self.triggers.changed_workers.add(machine)
+            self.observers.on_capacity_changed(machine)
+            self.triggers.placement_due = True
 
     def mark_deleted(self, machines: Iterable[str]) -> None:
-        """These machines no longer exist."""
+        """These machines no longer exist.
+
+        They are remembered: copies of their old heartbeats must not bring them back. Beyond
+        `GONE_MAX` the oldest are dropped, except those that open attempts still name.
+        """
         for machine in machines:
             if machine not in self.deleted_machines:
-                self.deleted_machines[machine] = self.engine.now
-                self.table.pop(machine, None)
-                self.engine.capacity_index.mark_changed(machine)
-                self.engine.reconcile_queue.changed_workers.add(machine)
-                self.engine.rebalancer.speeds.forget(machine)
-        if len(self.deleted_machines) > c.GONE_MAX:
-            for machine in sorted(self.deleted_machines, key=self.deleted_machines.__getitem__)[
-                : c.GONE_MAX // 2
-            ]:
-                if machine not in self.engine.replica.by_machine:
-                    del self.deleted_machines[machine]
+                self.deleted_machines[machine] = self.runtime.now
+                self.rows.pop(machine, None)
+                self.observers.on_capacity_changed(machine)
+                self.triggers.changed_workers.add(machine)
+                self.observers.on_machine_deleted(machine)
+        if len(self.deleted_machines) > constants.GONE_MAX:
+            self._drop_oldest_deleted()
+
+    def _drop_oldest_deleted(self) -> None:
+        oldest_first = sorted(self.deleted_machines, key=self.deleted_machines.__getitem__)
+        for machine in oldest_first[: constants.GONE_MAX // 2]:
+            if machine not in self.replica.by_machine:
+                del self.deleted_machines[machine]
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -17,11 +17,13 @@
 from appledock.core.store.keys import JOBS
 from appledock.core.store_calls import StoreRequest, Transaction
 from appledock.core.workers import Worker, Workers
+from appledock.core.workers.command_reconciler import CommandReconciler
+from appledock.core.workers.table import WorkerTable
 
 Patch = pytest.MonkeyPatch
 VERDICT, COMMANDS, SUBMIT, SHARES = (
     Workers.verdict,
-    Workers.commands_for,
+    CommandReconciler.commands_for,
     StoreClient.submit,
     quota.Quota.shares,
 )
@@ -30,7 +32,10 @@
 def silence_settles(patch: Patch, after_s: float = 6.0) -> None:
     def verdict(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
         worker = self.table.get(attempt.machine)
-        if worker is not None and self.engine.now - worker.reachability.last_heartbeat_at > after_s:
+        if (
+            worker is not None
+            and self.runtime.now - worker.reachability.last_heartbeat_at > after_s
+        ):
             return "settled"
         return VERDICT(self, job, attempt, task)
 
@@ -64,10 +69,10 @@
 def nobody_answered_before(patch: Patch) -> None:
     """A controller without memory takes workers for unheard of by anybody."""
 
-    def get_or_create(self: Workers, name: str) -> Worker:
-        return self.table.setdefault(name, Worker(name))
+    def get_or_create(self: WorkerTable, name: str) -> Worker:
+        return self.rows.setdefault(name, Worker(name))
 
-    patch.setattr(Workers, "get_or_create", get_or_create)
+    patch.setattr(WorkerTable, "get_or_create", get_or_create)
 
 
 def old_shares_hold(patch: Patch) -> None:
@@ -126,10 +131,10 @@
 def no_halts(patch: Patch) -> None:
     no_word_of_mouth(patch)
     patch.setattr(
-        Workers,
+        CommandReconciler,
         "commands_for",
-        lambda self, worker, direct: [
-            x for x in COMMANDS(self, worker, direct) if x.op != wire.HALT
+        lambda self, worker, pushed: [
+            x for x in COMMANDS(self, worker, pushed) if x.op != wire.HALT
         ],
     )
 
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -179,8 +179,8 @@
     names = [f"vm-{number:06d}" for number in range(c.GONE_MAX)]
     assert FLEET < c.GONE_RESENT_MAX
     e.workers.deleted_machines.update(dict.fromkeys(names, 0.0))
-    e.workers.gossip.on_peer_connected("n1")
-    e.workers.gossip._send_alive(list(e.workers.table), "n1")
+    e.workers.dissemination.on_peer_connected("n1")
+    e.workers.dissemination.send_alive(list(e.workers.table), "n1")
     sizes = [len(wire.encode(x.message)) for x in e.effects if isinstance(x, ev.PeerSend)]
     assert max(sizes) < c.PEER_FRAME_MAX / 2
 
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -432,7 +432,7 @@
 def test_a_job_that_others_need_is_spared_as_they_are_and_stops_nobody_for_their_sake() -> None:
     e = ready_engine()
     room = type("Place", (), {"name": "vm-1", "agent_epoch": 1})()
-    e.workers.get_or_create("vm-1")
+    e.workers.worker_table.get_or_create("vm-1")
     running = [Attempt("vm-1", 1, 1, 1, False, {0})]
     e.replica.set_job(
         Job(spec(id="job-1", rank="best_effort", sail_s=None), 0.0, 2, attempts=running)
@@ -451,6 +451,6 @@
             attempts=[Attempt("vm-2", 1, 1, 1, False, {0})],
         )
     )
-    e.workers.get_or_create("vm-2")
+    e.workers.worker_table.get_or_create("vm-2")
     other = type("Place", (), {"name": "vm-2", "agent_epoch": 1})()
     assert e.preemption.preemptible_tasks(e.replica.jobs["job-1"], other) == []
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -626,5 +626,7 @@
     for term, wanted in ((4, False), (5, True)):
         worker.commanded.repeatable_launches = dict.fromkeys(worker.tasks, term)
         e.membership.want_term = False
-        assert e.workers.commands_for(worker, direct=False) == []  # nothing is forgotten
+        assert (
+            e.workers.command_reconciler.commands_for(worker, pushed=False) == []
+        )  # nothing is forgotten
         assert e.membership.want_term == wanted
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -22,6 +22,7 @@
 from appledock.core.store.keys import JOBS, VIEW
 from appledock.core.store_calls import Transaction
 from appledock.core.workers import Worker, Workers
+from appledock.core.workers.heartbeat_intake import HeartbeatIntake
 from tests.standins.world import World
 from tests.test_requests import engine, spec
 
@@ -188,7 +189,7 @@
         return e.membership.want_override
 
     assert wanted() == {}
-    monkeypatch.setattr(Workers, "ingest_heartbeat", lambda self, report: True)
+    monkeypatch.setattr(HeartbeatIntake, "ingest", lambda self, report, healthy_age_s=None: True)
     assert wanted() != {}
 
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -12,6 +12,7 @@
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
 from appledock.core.workers import Workers
+from appledock.core.workers.command_reconciler import CommandReconciler
 from tests.guards import absence_settles, no_job_version, silence_settles
 from tests.standins.faults import play
 from tests.standins.world import World
@@ -111,12 +112,12 @@
 def test_cancelled_jobs_that_are_never_halted(monkeypatch: Patch) -> None:
     """Owners that halt nothing are not enough to break the rule: whoever sees a task of a
     cancelled job halts it. Without that, machines go; without that too, the judge notices."""
-    commands = Workers.commands_for
+    commands = CommandReconciler.commands_for
     monkeypatch.setattr(
-        Workers,
+        CommandReconciler,
         "commands_for",
-        lambda self, worker, direct: [
-            x for x in commands(self, worker, direct) if x.op != wire.HALT
+        lambda self, worker, pushed: [
+            x for x in commands(self, worker, pushed) if x.op != wire.HALT
         ],
     )
     assert "ran_cancelled" not in play(0, seconds=110.0).judge.kinds()
--- a/tests/test_launches.py
+++ b/tests/test_launches.py
@@ -65,7 +65,7 @@
     e.handle([ev.Reported(1, report(1))], NOW, 0.0)
     running(e, 3)
     assert told(e.handle([ev.Reported(2, report(2))], NOW + 0.1, 0.0)) == [wire.LAUNCH]
-    e.workers.commands_due.add("vm-1")  # another record of the machine changes
+    e.workers.request_commands(["vm-1"])  # another record of the machine changes
     (call,) = worker_calls(e.handle([], NOW + 1.5, 0.0))
     assert [x.op for x in call.orders.commands] == [wire.LAUNCH]  # type: ignore[union-attr]
     e.handle([ev.WorkerReply(call.call_id, outcome)], NOW + 2.5, 0.0)
@@ -84,7 +84,7 @@
     running(e, 3)
     (call,) = worker_calls(e.handle([], NOW + 0.1, 0.0))
     e.handle([ev.WorkerReply(call.call_id, ev.WorkerOutcome.UNKNOWN)], NOW + 3.1, 0.0)
-    e.workers.commands_due.add("vm-1")
+    e.workers.request_commands(["vm-1"])
     (call,) = worker_calls(e.handle([], NOW + 4.5, 0.0))
     e.handle([ev.WorkerReply(call.call_id, ev.WorkerOutcome.NOT_SENT)], NOW + 5.5, 0.0)
     job = running(e, 4, stopping=True)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -98,11 +98,13 @@
     leader.engine.fleet.operate(machine, "cordon")
     world.clock.run(29.0)
     assert all(
-        not node.engine.workers.get_or_create(machine).placement.cordon_reason for node in others
+        not node.engine.workers.worker_table.get_or_create(machine).placement.cordon_reason
+        for node in others
     )
     world.clock.run(34.0)
     assert all(
-        node.engine.workers.get_or_create(machine).placement.cordon_reason == "operator"
+        node.engine.workers.worker_table.get_or_create(machine).placement.cordon_reason
+        == "operator"
         for node in others
     )
     assert world.judge.broken == []
--- a/tests/test_old_words.py
+++ b/tests/test_old_words.py
@@ -35,12 +35,12 @@
     e = leading()
     task = wire.TaskReport("job-000001/0", 1, wire.RUNNING)
     over = wire.TaskReport("job-000001/0", 1, wire.EXITED, wire.DONE)
-    e.workers.ingest_heartbeat(report(5, tasks=[task]), 0.0)
+    e.workers.intake.ingest(report(5, tasks=[task]), 0.0)
     e.workers.on_peer(WorkersAlive([AliveWorker("vm-1", 1, 7, 0.1, 0.1)]))
-    assert not e.workers.ingest_heartbeat(report(6, tasks=[task]), 0.0)
-    assert e.workers.ingest_heartbeat(report(7, tasks=[over]), 0.0)
+    assert not e.workers.intake.ingest(report(6, tasks=[task]), 0.0)
+    assert e.workers.intake.ingest(report(7, tasks=[over]), 0.0)
     assert e.workers.table["vm-1"].tasks[("job-000001/0", 1)].state == wire.EXITED
-    assert not e.workers.ingest_heartbeat(report(7, tasks=[task]), 0.0)
+    assert not e.workers.intake.ingest(report(7, tasks=[task]), 0.0)
 
 
 def test_a_wish_to_stop_a_job_of_somebody_else_is_not_kept() -> None:
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -5,7 +5,7 @@
 import pytest
 
 from appledock import wire
-from appledock.core.workers.commands import Commands
+from appledock.core.workers.command_reconciler import CommandReconciler
 from tests.standins.world import World
 
 
@@ -64,7 +64,7 @@
     world = moved_twice(3)
     assert world.judge.broken == []
     # The guard taken out: the judge sees tasks on two machines.
-    monkeypatch.setattr(Commands, "may_come_again", staticmethod(lambda *_: False))
+    monkeypatch.setattr(CommandReconciler, "may_run_again", staticmethod(lambda *_: False))
     assert "ran_twice" in moved_twice(3).judge.kinds()
 
 
