--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -62,7 +62,7 @@
         return ClusterRow(
             engine.settings.name,
             len(engine.replica.jobs),
-            sum(job.queued for job in engine.replica.jobs.values()),
+            sum(job.queued_task_count for job in engine.replica.jobs.values()),
             round(sum(shares) / len(shares), 2) if shares else 0.0,
             moves,
             engine.moves.outcomes["done"],
@@ -81,7 +81,7 @@
                 role = "leader"
             elif name in view.detached:
                 role = "detached"
-            reached = name == engine.settings.name or engine.heartbeats.reached(name)
+            reached = name == engine.settings.name or engine.heartbeats.is_reachable(name)
             rows[f"controller/{name}"] = ControllerRow(role, reached, workers[name])
         return rows
 
@@ -90,7 +90,7 @@
         bounds = {row["name"]: row for row in engine.rebalancer.teams()}
         rows: dict[str, Row] = {}
         for name, team in sorted(engine.teams.items()):
-            held = engine.quota.held_in_all(name)
+            held = engine.quota_usage.held_by_team(name)
             bound = bounds.get(name)
             rows[f"team/{name}"] = TeamRow(
                 round(held.cpus, 2),
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -19,18 +19,21 @@
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
+from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
+from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.operator_settings import OperatorSettings
-from appledock.core.quota.quota import Quota
+from appledock.core.quota.allocation import QuotaAllocation
+from appledock.core.quota.usage import QuotaUsage
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
 from appledock.core.scheduling.moves import Moves
-from appledock.core.scheduling.objectives import Objectives
+from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.pacing import Pacing
 from appledock.core.scheduling.preemption import Preemption
 from appledock.core.scheduling.queue_order import QueueOrder
@@ -60,17 +63,19 @@
         self.machine_types: dict[str, wire.MachineType] = {}
         """name -> machine type that the cloud offers; one object for all parts"""
         self.reconcile_queue = ReconcileQueue()
-        self.objectives = Objectives(settings.cluster.objectives)
+        self.objectives = ServiceLevelObjectives(settings.cluster.objectives)
         self.client = StoreClient(self.runtime)
         self.replica = Replica()
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
         self.reader = StateReader(self)
+        self.view_requests = ViewChangeRequests()
         self.membership = Membership(self)
         self.heartbeats = Heartbeats(self)
         self.workers = Workers(
             self.runtime,
             self.replica,
             self.membership,
+            self.view_requests,
             self.heartbeats,
             self.reconcile_queue,
             WorkerObservers(
@@ -85,13 +90,26 @@
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
         self.moves = Moves(self)
-        self.quota = Quota(self)
-        self.queue_order = QueueOrder(self)
+        self.quota_usage = QuotaUsage(self.runtime, self.replica)
+        self.queue_order = QueueOrder(self.runtime, self.replica, self.quota_usage, self.objectives)
+        self.quota_allocation = QuotaAllocation(
+            self.runtime, self.replica, self.quota_usage, self.queue_order
+        )
         self.settlement = Settlement(self)
         self.preemption = Preemption(self)
         self.job_writer = JobWriter(self)
-        self.handoff = HandOff(self)
-        self.pacing = Pacing(self)
+        self.stop_requests = StopRequests(
+            self.runtime, self.replica, self.job_writer, self.reconcile_queue
+        )
+        self.handoff = HandOff(self.runtime, self.replica)
+        self.pacing = Pacing(
+            self.runtime,
+            self.client.limiter,
+            self.replica,
+            self.quota_usage,
+            self.reconcile_queue,
+            self.heartbeats.is_any_peer_under_pressure,
+        )
         self.reconciler = Reconciler(self)
         self.cancellation = CancellationEnforcer(self)
         self.fleet = Fleet(self)
@@ -110,10 +128,11 @@
             rebalancer=self.rebalancer,
             partitions=self.partitions,
             moves=self.moves,
-            quota=self.quota,
+            quota_allocation=self.quota_allocation,
             queue_order=self.queue_order,
             reconcile_queue=self.reconcile_queue,
             settlement=self.settlement,
+            stop_requests=self.stop_requests,
             reconciler=self.reconciler,
             cancellation=self.cancellation,
             fleet=self.fleet,
@@ -138,7 +157,7 @@
         self.rebalancer.speeds.forget(machine)
 
     def _on_unanswerable_heartbeat(self, report: wire.Report) -> None:
-        self.cancellation.seen(report)
+        self.cancellation.halt_cancelled_tasks(report)
 
     # --- for the parts that are still given the controller -----------------
     @property
@@ -192,10 +211,6 @@
         """Emit a call whose answer goes to `done`."""
         self.runtime.call(make, done)
 
-    def owns_job(self, job: Job) -> bool:
-        """Is the job ours to move on, by the newest view known?"""
-        return self.replica.view is not None and self.replica.job_owner(job) == self.settings.name
-
     def running(self, job: Job) -> int:
         """Tasks that reports show as running, for display."""
         count = 0
@@ -203,7 +218,7 @@
             worker = self.workers.table.get(attempt.machine)
             if worker is not None:
                 for task in attempt.tasks:
-                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.number))
+                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.attempt_number))
                     count += entry is not None and entry.state == wire.RUNNING
         return count
 
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -113,7 +113,7 @@
 
     def hears(self, node: str) -> bool:
         """Would the controller hear of a move, and would we hear what came of it?"""
-        return node == self.engine.settings.name or self.engine.heartbeats.reached(node)
+        return node == self.engine.settings.name or self.engine.heartbeats.is_reachable(node)
 
     # --- planner ----------------------------------------------------------
     def request(self, proposal: Proposal) -> None:
@@ -205,10 +205,10 @@
     def _refused_anywhere(self, order: MoveOrder) -> Outcome | None:
         """What any controller can tell: is the order of this view, and is there such a job?"""
         engine = self.engine
-        if not engine.membership.acting() or order.term != engine.membership.term:
+        if not engine.membership.can_act() or order.term != engine.membership.term:
             return Outcome.STALE
         job = engine.replica.jobs.get(order.job)
-        if job is None or engine.replica.withdrawn(order.job):
+        if job is None or engine.replica.is_cancelled(order.job):
             return Outcome.JOB_OVER
         return None
 
@@ -222,7 +222,7 @@
         spec = engine.replica.jobs[order.job].spec
         self.active[order.job] = self._under_way(order)
         engine.capacity_index.reserve_for_move(order.destination, spec)
-        engine.reconciler.stop(order.job, order.source, {order.task})
+        engine.stop_requests.add(order.job, order.source, {order.task})
 
     def _refused_by_job(self, order: MoveOrder) -> Outcome | None:
         engine = self.engine
@@ -230,14 +230,14 @@
         if refusal is not None:
             return refusal
         job = engine.replica.jobs[order.job]
-        if not engine.owns_job(job):
+        if not engine.replica.owns_job(engine.settings.name, job):
             return Outcome.NOT_OURS
         if not self.enabled:
             return Outcome.OFF
         drains = engine.partitions.moves_off(job.spec, order.source)
         if not drains and not engine.rebalancer.movable(job.spec):
             return Outcome.NOT_ALLOWED
-        if order.job in self.active or not engine.job_writer.ready(job):
+        if order.job in self.active or not engine.job_writer.can_write(job):
             return Outcome.BUSY
         if engine.now < self.cooling.get(order.job, c.LONG_AGO):
             return Outcome.COOLING
@@ -268,7 +268,7 @@
 
     def _refused_by_task(self, job: Job, order: MoveOrder) -> Outcome | None:
         attempt = open_attempt(job, order)
-        if attempt is None or attempt.stopping or job.queued > 0:
+        if attempt is None or attempt.stopping or job.queued_task_count > 0:
             return Outcome.CHANGED
         worker = self.engine.workers.table.get(order.source)
         if worker is None:
@@ -420,13 +420,17 @@
     def _over(self, under_way: UnderWay) -> Outcome | None:
         engine, order = self.engine, under_way.order
         job = engine.replica.jobs.get(order.job)
-        if job is None or engine.replica.withdrawn(order.job):
+        if job is None or engine.replica.is_cancelled(order.job):
             return Outcome.JOB_OVER
-        if not engine.owns_job(job):
+        if not engine.replica.owns_job(engine.settings.name, job):
             return Outcome.NOT_OURS
         if engine.now >= under_way.until:
             return Outcome.LATE
-        if open_attempt(job, order) is None and job.queued == 0 and engine.job_writer.ready(job):
+        if (
+            open_attempt(job, order) is None
+            and job.queued_task_count == 0
+            and engine.job_writer.can_write(job)
+        ):
             return Outcome.CHANGED  # it completed before the stop reached it
         return None
 
@@ -434,7 +438,7 @@
         """Do the records show the job at the destination, or no job any more?"""
         job = self.engine.replica.jobs.get(order.job)
         return job is None or any(
-            attempt.machine == order.destination and attempt.number > order.attempt
+            attempt.machine == order.destination and attempt.attempt_number > order.attempt
             for attempt in job.attempts
         )
 
@@ -455,7 +459,7 @@
     for attempt in job.attempts:
         if (
             attempt.machine == order.source
-            and attempt.number == order.attempt
+            and attempt.attempt_number == order.attempt
             and order.task in attempt.tasks
         ):
             return attempt
--- a/appledock/core/workers/command_pusher.py
+++ b/appledock/core/workers/command_pusher.py
@@ -59,7 +59,7 @@
     def flush(self) -> None:
         """Push commands to the workers that are due; one with a call in flight stays due."""
         due, self._due = self._due, set()
-        if not self.membership.acting():
+        if not self.membership.can_act():
             return
         for machine in sorted(due):
             worker = self.table.rows.get(machine)
@@ -92,7 +92,7 @@
     def _can_command(self, worker: Worker, report: wire.Report) -> bool:
         return (
             not worker.reachability.calls_in_flight
-            and self.membership.acting()
+            and self.membership.can_act()
             and report.session > worker.lease.expired_epoch
             and worker.id not in self.table.deleted_machines
         )
--- a/appledock/core/workers/command_reconciler.py
+++ b/appledock/core/workers/command_reconciler.py
@@ -6,6 +6,7 @@
 
 from appledock import constants, wire
 from appledock.core.membership.membership import Membership
+from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.records.job import Attempt, Job
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
@@ -23,10 +24,17 @@
 class CommandReconciler:
     """Makes the commands for a worker."""
 
-    def __init__(self, runtime: Runtime, replica: Replica, membership: Membership) -> None:
+    def __init__(
+        self,
+        runtime: Runtime,
+        replica: Replica,
+        membership: Membership,
+        view_requests: ViewChangeRequests,
+    ) -> None:
         self.runtime = runtime
         self.replica = replica
         self.membership = membership
+        self.view_requests = view_requests
 
     def commands_for(self, worker: Worker, pushed: bool) -> list[wire.Command]:
         """The commands due now: halts and forgets first, then launches.
@@ -53,7 +61,7 @@
                     worker.commanded.repeatable_launches.pop(key, None)
                     commands.append(wire.Command(CommandKind.FORGET.value, *key))
         if retained > constants.KEPT_MAX:
-            self.membership.want_term = True
+            self.view_requests.new_term = True
         return commands + self._launches(worker, recorded)
 
     @staticmethod
@@ -77,13 +85,13 @@
         """Tasks with an open attempt in the worker's agent epoch."""
         agent_epoch = worker.agent_epoch
         recorded = {}
-        for job_id, attempts in sorted(self.replica.by_machine.get(worker.id, {}).items()):
+        for job_id, attempts in sorted(self.replica.attempts_by_machine.get(worker.id, {}).items()):
             job = self.replica.jobs[job_id]
             for attempt in attempts:
-                if attempt.session == agent_epoch:
+                if attempt.agent_epoch == agent_epoch:
                     row = RecordedTask(job, attempt)
                     for number in attempt.tasks:
-                        recorded[(f"{job_id}/{number}", attempt.number)] = row
+                        recorded[(f"{job_id}/{number}", attempt.attempt_number)] = row
         return recorded
 
     def _halt(
--- a/appledock/core/workers/detached_members.py
+++ b/appledock/core/workers/detached_members.py
@@ -12,7 +12,7 @@
 
 from appledock import constants
 from appledock.core.membership.heartbeats import Heartbeats
-from appledock.core.membership.membership import Membership
+from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
 from appledock.core.workers.table import WorkerTable
@@ -27,13 +27,13 @@
         self,
         runtime: Runtime,
         replica: Replica,
-        membership: Membership,
+        view_requests: ViewChangeRequests,
         heartbeats: Heartbeats,
         table: WorkerTable,
     ) -> None:
         self.runtime = runtime
         self.replica = replica
-        self.membership = membership
+        self.view_requests = view_requests
         self.heartbeats = heartbeats
         self.table = table
         self._timed_out: dict[str, dict[str, float]] = {}
@@ -56,11 +56,11 @@
         for owner in list(self._timed_out):
             self._drop_old(owner)
             if owner in self._timed_out and self._is_unreachable(owner):
-                self.membership.want_detached.add(owner)
+                self.view_requests.members_to_detach.add(owner)
                 del self._timed_out[owner]
 
     def _is_unreachable(self, owner: str) -> bool:
-        timed_out = len(self._timed_out[owner]) + self.heartbeats.unanswered_elsewhere(owner)
+        timed_out = len(self._timed_out[owner]) + self.heartbeats.unanswered_workers_at_peers(owner)
         if timed_out < constants.DETACH_MIN or not self._can_detach(owner):
             return False
         workers = self._live_workers_of(owner)
@@ -89,7 +89,7 @@
     def _can_detach(self, owner: str) -> bool:
         view = self.replica.view
         assert view is not None
-        return owner in view.attached() and not self.heartbeats.hears_workers(owner)
+        return owner in view.attached() and not self.heartbeats.receives_worker_reports(owner)
 
     def _live_workers_of(self, owner: str) -> int:
         """Workers of the owner of which any controller has received a heartbeat lately."""
--- a/appledock/core/workers/dissemination.py
+++ b/appledock/core/workers/dissemination.py
@@ -141,7 +141,7 @@
 
         The first message may have been lost with its link.
         """
-        machines = self.replica.by_machine
+        machines = self.replica.attempts_by_machine
         deleted = [machine for machine in machines if machine in self.table.deleted_machines]
         if deleted:
             self._send_deleted(deleted)
--- a/appledock/core/workers/heartbeat_intake.py
+++ b/appledock/core/workers/heartbeat_intake.py
@@ -6,7 +6,7 @@
 
 from appledock import constants, wire
 from appledock.core.membership.membership import Membership
-from appledock.core.records.job import split_task
+from appledock.core.records.job import split_task_name
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
 from appledock.core.workers.dissemination import Dissemination
@@ -129,12 +129,12 @@
                     self._log_start(worker, entry)
                 running_since[key] = was_running.get(key, now)
             elif is_done and key in was_running:
-                completed = jobs.get(split_task(entry.task)[0])
+                completed = jobs.get(split_task_name(entry.task)[0])
                 if completed is not None:
                     self.observers.on_task_completed(worker.id, completed, now - was_running[key])
             is_busy = is_busy or entry.state != TaskState.EXITED
             if is_running or is_done or entry.state == TaskState.SAVING:
-                job = jobs.get(split_task(entry.task)[0])
+                job = jobs.get(split_task_name(entry.task)[0])
                 if job is not None:
                     worker.status.image_seen_at[job.spec.image] = now
         worker.status.running_since = running_since
--- a/appledock/core/workers/heartbeat_responder.py
+++ b/appledock/core/workers/heartbeat_responder.py
@@ -42,7 +42,7 @@
 
     def on_heartbeat(self, request_id: int, report: wire.Report) -> None:
         """Take in a heartbeat that came straight from its worker, and answer it."""
-        if not self.membership.acting():
+        if not self.membership.can_act():
             self._ingest_without_authority(report)
             self._refuse(request_id, "not entitled")
         elif report.worker in self.table.deleted_machines:
--- a/appledock/core/workers/lease_expiry.py
+++ b/appledock/core/workers/lease_expiry.py
@@ -51,7 +51,7 @@
             return
         # The view must be proven to have been the newest until then: the owner under a
         # newer one may have renewed the lease.
-        if self.membership.view_sent < ends_at:
+        if self.membership.view_confirmed_at < ends_at:
             self.membership.confirm()
             return
         log.info("lease expired: machine=%s agent_epoch=%d", worker.id, agent_epoch)
@@ -84,5 +84,5 @@
         return lease_s * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN_S
 
     def _newest_recorded_epoch(self, machine: str) -> int:
-        attempts = self.replica.by_machine[machine].values()
-        return max((attempt.session for row in attempts for attempt in row), default=0)
+        attempts = self.replica.attempts_by_machine[machine].values()
+        return max((attempt.agent_epoch for row in attempts for attempt in row), default=0)
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -7,6 +7,7 @@
 from appledock import constants, wire
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
+from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.messages import WorkerMessage
 from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job
@@ -37,6 +38,7 @@
         runtime: Runtime,
         replica: Replica,
         membership: Membership,
+        view_requests: ViewChangeRequests,
         heartbeats: Heartbeats,
         triggers: ReconcileTriggers,
         observers: WorkerObservers,
@@ -57,7 +59,7 @@
             self.dissemination,
         )
         self.peer_updates = PeerUpdates(runtime, self.worker_table, self.intake, observers)
-        self.command_reconciler = CommandReconciler(runtime, replica, membership)
+        self.command_reconciler = CommandReconciler(runtime, replica, membership, view_requests)
         self.command_pusher = CommandPusher(
             runtime, membership, self.worker_table, self.command_reconciler, self.intake
         )
@@ -66,13 +68,15 @@
         )
         self.probes = Probes(runtime, replica, self.intake)
         self.detached_members = DetachedMembers(
-            runtime, replica, membership, heartbeats, self.worker_table
+            runtime, replica, view_requests, heartbeats, self.worker_table
+        )
+        self.own_reachability = OwnReachability(
+            runtime, replica, membership, view_requests, self.worker_table
         )
-        self.own_reachability = OwnReachability(runtime, replica, membership, self.worker_table)
         self.redirects = Redirects(
             runtime,
             replica,
-            membership,
+            view_requests,
             heartbeats,
             self.worker_table,
             self.intake,
@@ -115,7 +119,7 @@
 
     def tick(self) -> None:
         """Send the peers what is due; check leases, and members that workers do not reach."""
-        if not self.membership.acting():
+        if not self.membership.can_act():
             return
         self.dissemination.tick()
         if self.runtime.now >= self._next_check_at:
@@ -125,7 +129,7 @@
             self._check_workers_with_attempts()
 
     def _check_workers_with_attempts(self) -> None:
-        for machine in list(self.replica.by_machine):
+        for machine in list(self.replica.attempts_by_machine):
             worker = self.worker_table.get_or_create(machine)
             if machine not in self.worker_table.deleted_machines:
                 self.lease_expiry.check(worker)
--- a/appledock/core/workers/own_reachability.py
+++ b/appledock/core/workers/own_reachability.py
@@ -5,6 +5,7 @@
 from appledock import constants
 from appledock.core.events import WorkerCall, WorkerReply
 from appledock.core.membership.membership import Membership
+from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
 from appledock.core.workers.record import Worker
@@ -19,11 +20,17 @@
     """
 
     def __init__(
-        self, runtime: Runtime, replica: Replica, membership: Membership, table: WorkerTable
+        self,
+        runtime: Runtime,
+        replica: Replica,
+        membership: Membership,
+        view_requests: ViewChangeRequests,
+        table: WorkerTable,
     ) -> None:
         self.runtime = runtime
         self.replica = replica
         self.membership = membership
+        self.view_requests = view_requests
         self.table = table
         self._next_round_at = 0.0
         self._answered_rounds = 0
@@ -35,7 +42,7 @@
         Counted among those of which any controller has received a heartbeat.
         """
         now = self.runtime.now
-        if self.replica.view is None or self.membership.detached():
+        if self.replica.view is None or self.membership.is_detached():
             return 0.0
         recent_s = constants.REPORTING_INTERVALS * self.runtime.settings.cluster.workers.report_s
         live = [
@@ -50,13 +57,13 @@
     def tick(self) -> None:
         """While detached, probe some workers; once they answer, ask to be attached."""
         now = self.runtime.now
-        if not self.membership.detached():
+        if not self.membership.is_detached():
             self._answered_rounds = 0
             return
         if now < self._next_round_at:
             return
         self._next_round_at = now + constants.SHOW_EVERY_S
-        self.membership.want_attached = self._answered_rounds >= constants.PROBE_ROUNDS
+        self.view_requests.attach_self = self._answered_rounds >= constants.PROBE_ROUNDS
         known = [
             worker for _, worker in sorted(self.table.rows.items()) if worker.report is not None
         ]
@@ -80,7 +87,7 @@
             nonlocal left
             if reply.report is None:
                 self._answered_rounds, left = 0, -1
-                self.membership.want_attached = False
+                self.view_requests.attach_self = False
                 return
             left -= 1
             self._answered_rounds += left == 0
--- a/appledock/core/workers/probes.py
+++ b/appledock/core/workers/probes.py
@@ -53,10 +53,8 @@
     def _has_open_attempt(self, worker: Worker) -> bool:
         """Does a job that this controller owns have an attempt in a live epoch of the worker?"""
         replica = self.replica
-        if replica.view is None:
-            return False
         return any(
-            replica.job_owner(replica.jobs[job_id]) == self.runtime.node
-            and any(attempt.session > worker.lease.expired_epoch for attempt in attempts)
-            for job_id, attempts in replica.by_machine.get(worker.id, {}).items()
+            replica.owns_job(self.runtime.node, replica.jobs[job_id])
+            and any(attempt.agent_epoch > worker.lease.expired_epoch for attempt in attempts)
+            for job_id, attempts in replica.attempts_by_machine.get(worker.id, {}).items()
         )
--- a/appledock/core/workers/redirects.py
+++ b/appledock/core/workers/redirects.py
@@ -6,7 +6,7 @@
 
 from appledock import constants, wire
 from appledock.core.membership.heartbeats import Heartbeats
-from appledock.core.membership.membership import Membership
+from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
 from appledock.core.workers.detached_members import DetachedMembers
@@ -27,7 +27,7 @@
         self,
         runtime: Runtime,
         replica: Replica,
-        membership: Membership,
+        view_requests: ViewChangeRequests,
         heartbeats: Heartbeats,
         table: WorkerTable,
         intake: HeartbeatIntake,
@@ -35,7 +35,7 @@
     ) -> None:
         self.runtime = runtime
         self.replica = replica
-        self.membership = membership
+        self.view_requests = view_requests
         self.heartbeats = heartbeats
         self.table = table
         self.intake = intake
@@ -63,9 +63,9 @@
         again, perhaps until its lease expires. Without a node it comes to the next one a second
         later, and from there back here: until then a new view should have moved it.
         """
-        if self.heartbeats.hears_workers(owner):
+        if self.heartbeats.receives_worker_reports(owner):
             return owner
-        reached_peer = self.heartbeats.peer_reached_by_workers_of(owner)
+        reached_peer = self.heartbeats.peer_contacted_by_workers_of(owner)
         if has_timed_out:
             return None
         return reached_peer or owner
@@ -91,4 +91,4 @@
         reachability.misdirected = MisdirectedHeartbeats(since_at, tries)
         if tries >= constants.OVERRIDE_MIN_TRIES and now - since_at >= constants.OVERRIDE_AFTER_S:
             log.warning("worker cannot reach its owner: machine=%s owner=%s", worker.id, owner)
-            self.membership.want_override[worker.id] = self.runtime.node
+            self.view_requests.overrides[worker.id] = self.runtime.node
--- a/appledock/core/workers/settlement_evidence.py
+++ b/appledock/core/workers/settlement_evidence.py
@@ -31,11 +31,12 @@
         if worker is None:
             return None
         epoch_is_over = (
-            attempt.session <= worker.lease.expired_epoch or worker.agent_epoch > attempt.session
+            attempt.agent_epoch <= worker.lease.expired_epoch
+            or worker.agent_epoch > attempt.agent_epoch
         )
-        if worker.report is None or worker.agent_epoch != attempt.session:
+        if worker.report is None or worker.agent_epoch != attempt.agent_epoch:
             return AttemptVerdict.SETTLED if epoch_is_over else None
-        key = (f"{job.id}/{task}", attempt.number)
+        key = (f"{job.id}/{task}", attempt.attempt_number)
         entry = worker.tasks.get(key)
         if entry is not None and entry.state == TaskState.EXITED:
             return _verdict_of_exited(job, entry)
--- a/appledock/core/workers/table.py
+++ b/appledock/core/workers/table.py
@@ -81,5 +81,5 @@
     def _drop_oldest_deleted(self) -> None:
         oldest_first = sorted(self.deleted_machines, key=self.deleted_machines.__getitem__)
         for machine in oldest_first[: constants.GONE_MAX // 2]:
-            if machine not in self.replica.by_machine:
+            if machine not in self.replica.attempts_by_machine:
                 del self.deleted_machines[machine]
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -10,7 +10,9 @@
 from appledock import wire
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.jobs.cancellation import CancellationEnforcer
-from appledock.core.quota import quota
+from appledock.core.quota import allocation, usage
+from appledock.core.quota.allocation import QuotaAllocation
+from appledock.core.quota.resources import NO_RESOURCES, Resources
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.client import StoreClient
@@ -21,11 +23,11 @@
 from appledock.core.workers.table import WorkerTable
 
 Patch = pytest.MonkeyPatch
-VERDICT, COMMANDS, SUBMIT, SHARES = (
+VERDICT, COMMANDS, SUBMIT, ALLOCATED = (
     Workers.verdict,
     CommandReconciler.commands_for,
     StoreClient.submit,
-    quota.Quota.shares,
+    QuotaAllocation.allocated,
 )
 
 
@@ -49,8 +51,8 @@
         worker = self.table.get(attempt.machine)
         if (
             worker is not None
-            and worker.agent_epoch == attempt.session
-            and (f"{job.id}/{task}", attempt.number) not in worker.tasks
+            and worker.agent_epoch == attempt.agent_epoch
+            and (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks
         ):
             return "settled"
         return VERDICT(self, job, attempt, task)
@@ -78,20 +80,21 @@
 def old_shares_hold(patch: Patch) -> None:
     """Shares of a team's limit are kept from one view to the next."""
 
-    def shares(self: quota.Quota, name: str) -> quota.Shares:
-        team, view = self.e.replica.team(name), self.e.replica.view
+    def allocated(self: QuotaAllocation, team: str) -> dict[str, Resources]:
+        record, view = self._replica.team(team), self._replica.view
         assert view is not None
-        kept, team.term = team.term, view.term
+        kept, record.term = record.term, view.term
         try:
-            return SHARES(self, name)
+            return ALLOCATED(self, team)
         finally:
-            team.term = kept
+            record.term = kept
 
-    patch.setattr(quota.Quota, "shares", shares)
+    patch.setattr(QuotaAllocation, "allocated", allocated)
 
 
 def no_charges(patch: Patch) -> None:
-    patch.setattr(quota, "charge", lambda job: quota.NOTHING)
+    for module in (usage, allocation):
+        patch.setattr(module, "reservation_of", lambda job: NO_RESOURCES)
 
 
 def zones_unseen(patch: Patch) -> None:
@@ -117,7 +120,7 @@
 
 def no_word_of_mouth(patch: Patch) -> None:
     """Nor deletions: what is left is time, since leases end in `cancel_s`."""
-    patch.setattr(CancellationEnforcer, "told", lambda *_: None)
+    patch.setattr(CancellationEnforcer, "broadcast", lambda *_: None)
     patch.setattr(CancellationEnforcer, "_halt", lambda *_: None)
     patch.setattr(CancellationEnforcer, "_delete", lambda *_: None)
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,12 +13,14 @@
 from appledock import wire
 from appledock.core.fleet import MachineKind
 from appledock.core.fleet.model import BootingMachine
+from appledock.core.jobs.reconcile_queue import PendingReason
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.messages import Heartbeat
-from appledock.core.quota import quota
-from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.quota.admission import QueuedDemand, admit_queue
+from appledock.core.quota.resources import Resources
+from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling import placement, preemption
-from appledock.core.scheduling.objectives import Objectives
+from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.placement import Sampling
 from appledock.core.store.keys import JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
@@ -118,14 +120,17 @@
 ) -> None:
     """The walk decides a whole queue; the reference deals single cores in turn."""
     nodes = ["n0", "n1", "n2"]
-    shares = {n: quota.Amounts(u + f) for n, u, f in zip(nodes, used, unused, strict=True)}
-    held = {n: quota.Amounts(u) for n, u in zip(nodes, used, strict=True)}
-    most = quota.Amounts(sum(used) + sum(unused) + spare)
-    rows = [(f"job-{i}", nodes[n], quota.Amounts(wish)) for i, (n, wish) in enumerate(queue)]
-    allowed, release = quota.walk(most, shares, held, "n0", rows)
+    shares = {n: Resources(u + f) for n, u, f in zip(nodes, used, unused, strict=True)}
+    held = {n: Resources(u) for n, u in zip(nodes, used, strict=True)}
+    most = Resources(sum(used) + sum(unused) + spare)
+    rows = [
+        QueuedDemand(f"job-{i}", nodes[n], Resources(wish)) for i, (n, wish) in enumerate(queue)
+    ]
+    admission = admit_queue(most, shares, held, "n0", rows)
+    allowed, release = admission.admitted, admission.releasable
     pool, free, lent, plain = spare, dict(zip(nodes, unused, strict=True)), 0, {}
-    for job, owner, wish in rows:
-        for _ in range(int(wish.cpus)):
+    for job, owner, demand in rows:
+        for _ in range(int(demand.cpus)):
             if free[owner]:
                 free[owner] -= 1
             elif pool:
@@ -166,7 +171,7 @@
     chosen = preemption.select_victims(job, room("m", 0), victims)
     assert [v.task for v in chosen or ()] == [1, 2]
     assert preemption.select_victims(job, room("m", 0, memory=0.0), victims[:1]) is None
-    chosen = preemption.select_victims(job, room("m", 4), victims, quota.Amounts(3.0))
+    chosen = preemption.select_victims(job, room("m", 4), victims, Resources(3.0))
     assert len(chosen or ()) == 2
 
 
@@ -273,12 +278,14 @@
 
 
 def test_records_survive_the_state_service() -> None:
-    job = Job(spec(crates=9, hulls=["h4"]), 5.0, 3, 4, cancelled=True, handoff=("n1", "x"))
-    job.done.add(0)
+    job = Job(spec(crates=9, hulls=["h4"]), 5.0, 3, 4, cancelled=True, handoff_target=("n1", "x"))
+    job.completed_tasks.add(0)
     job.attempts.append(Attempt("vm-1", 2, 4, 7, True, {1, 2, 5}))
-    again = decode(msgspec.json.decode(wire.encode(job.encode())), 3)
+    again = decode_job(msgspec.json.decode(wire.encode(job.encode())), 3)
     assert again.encode() == job.encode()
-    assert again.queued_tasks(9) == [3, 4, 6, 7, 8] and again.queued == 0  # cancelled
+    assert (
+        again.first_queued_tasks(9) == [3, 4, 6, 7, 8] and again.queued_task_count == 0
+    )  # cancelled
 
 
 def test_malformed_records_are_logged_and_left_out() -> None:
@@ -377,10 +384,10 @@
     e = engine()
     job = Job(spec(crates=4), 0, 5)
     job.attempts.append(Attempt("vm-1", 1, 1, 1, False, {0, 1, 2}))
-    e.job_writer.busy.add(job.id)
-    e.reconciler.stop(job.id, "vm-1", {0})
-    e.reconciler.stop(job.id, "vm-1", {2})
-    assert e.reconciler._apply_stops(job)
+    e.job_writer.jobs_in_flight.add(job.id)
+    e.stop_requests.add(job.id, "vm-1", {0})
+    e.stop_requests.add(job.id, "vm-1", {2})
+    assert e.stop_requests.mark_stopping(job)
     assert sorted((a.stopping, sorted(a.tasks)) for a in job.attempts) == [
         (False, [1]),
         (True, [0, 2]),
@@ -398,7 +405,7 @@
         wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, True, notice_s=9.0)
     )
     e.fleet.cordons.drain(())
-    assert e.reconciler.stops == {"job-1": {"vm-1": {0}}}
+    assert e.stop_requests.pending == {"job-1": {"vm-1": {0}}}
 
 
 def test_machines_that_died_idle_are_given_back_too() -> None:
@@ -510,7 +517,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
-    objectives = Objectives(
+    objectives = ServiceLevelObjectives(
         [
             Objective("deadline", "seal", times=1.5),
             Objective("deadline", "seal", times=1.0),
@@ -538,9 +545,9 @@
     e = engine()
     e.wall = 1000.0
     young = Job(spec(id="job-000001", sail_s=500.0), 1000.0 - 5, 1)
-    passed = Job(spec(id="job-000002", crates=9, sail_s=500.0), 1000.0 - 70, 1, steps=3)
+    passed = Job(spec(id="job-000002", crates=9, sail_s=500.0), 1000.0 - 70, 1, last_step=3)
     assert e.queue_order.sort_key(passed) < e.queue_order.sort_key(young)
-    passed.done.add(0)
+    passed.completed_tasks.add(0)
     assert e.queue_order.sort_key(passed) > e.queue_order.sort_key(young)
 
 
@@ -561,17 +568,20 @@
         -9.0,
     )
     e.handle([], e.now + 0.2, 0.0)
-    assert e.capacity_index.reserved_tasks == {vm: {mine[0]: 4}} and mine[0] in e.job_writer.busy
+    assert (
+        e.capacity_index.reserved_tasks == {vm: {mine[0]: 4}}
+        and mine[0] in e.job_writer.jobs_in_flight
+    )
     service = Job(spec(id=mine[1], crates=1, cores=4.0, rank="production", shape="daemon"), 0.0, 3)
     e.replica.set_job(service)
     for _ in range(3):
-        e.membership.touch_sent = e.membership.view_sent = e.now
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
         e.handle([], e.now + 0.11, 0.0)
     assert e.capacity_index.reserved_tasks == {vm: {mine[1]: 1}}
-    assert mine[0] not in e.job_writer.busy and mine[1] in e.job_writer.busy
+    assert mine[0] not in e.job_writer.jobs_in_flight and mine[1] in e.job_writer.jobs_in_flight
     # A stop takes the waiting write of its own job back too, but not an urgent one.
-    e.reconciler.stop(mine[1], vm, {0})
-    assert mine[1] in e.job_writer.busy
+    e.stop_requests.add(mine[1], vm, {0})
+    assert mine[1] in e.job_writer.jobs_in_flight
 
 
 def test_lists_of_finished_tasks_are_written_often_only_for_a_team_at_its_limit() -> None:
@@ -581,12 +591,12 @@
     e.replica.set_job(one)
     e.replica.set_job(other)
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_RELAXED_S
-    e.reconcile_queue.pending_reasons["job-000002"] = "team limit"
+    e.reconcile_queue.pending_reasons["job-000002"] = PendingReason.TEAM_LIMIT
     e.client.limiter.writes.level = 0.0
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_EVERY_S
     e.client.limiter.writes.level = e.client.limiter.writes.rate
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_SPARE_S  # nobody lacks these writes
-    e.reconcile_queue.pending_reasons["job-000002"] = "no room"
+    e.reconcile_queue.pending_reasons["job-000002"] = PendingReason.NO_CAPACITY
     for _ in range(c.CROWDED + 1):
         e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
     assert e.pacing.progress_interval_s(one) == c.PROGRESS_CROWDED_S
@@ -602,12 +612,12 @@
     running = Job(spec(id="job-000001", crates=full, owner="red", cores=1.0), 0.0, 1)
     running.attempts.append(Attempt("vm-1", 1, 1, 1, False, set(range(full - 1))))
     e.replica.set_job(running)
-    e.quota.forget_caches()
-    assert not e.quota.exhausted("red")  # one core is left, and one task waits
+    e.quota_allocation.clear_caches()
+    assert not e.quota_usage.is_limit_exhausted("red")  # one core is left, and one task waits
     waiting = Job(spec(id="job-000002", crates=1, owner="red", cores=2.0), 0.0, 2)
     e.replica.set_job(waiting)
-    e.quota.forget_caches()
-    assert e.quota.exhausted("red") and not e.reconcile_queue.pending_reasons
+    e.quota_allocation.clear_caches()
+    assert e.quota_usage.is_limit_exhausted("red") and not e.reconcile_queue.pending_reasons
     e.client.limiter.writes.level = e.client.limiter.writes.rate
     assert e.pacing.progress_interval_s(running) == c.PROGRESS_SPARE_S
 
@@ -625,8 +635,8 @@
     worker = e.workers.table["vm-1"]
     for term, wanted in ((4, False), (5, True)):
         worker.commanded.repeatable_launches = dict.fromkeys(worker.tasks, term)
-        e.membership.want_term = False
+        e.view_requests.new_term = False
         assert (
             e.workers.command_reconciler.commands_for(worker, pushed=False) == []
         )  # nothing is forgotten
-        assert e.membership.want_term == wanted
+        assert e.view_requests.new_term == wanted
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -8,12 +8,11 @@
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.membership.membership import Membership
-from appledock.core.quota import quota
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
 from appledock.core.workers import Workers
 from appledock.core.workers.command_reconciler import CommandReconciler
-from tests.guards import absence_settles, no_job_version, silence_settles
+from tests.guards import absence_settles, no_charges, no_job_version, silence_settles
 from tests.standins.faults import play
 from tests.standins.world import World
 
@@ -83,14 +82,14 @@
 
 
 def test_a_fenced_controller_that_still_writes_and_answers(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(Membership, "conditions", lambda self: {})
+    monkeypatch.setattr(Membership, "fencing_conditions", lambda self: {})
     assert "ran_twice" not in isolated_for_long()
-    monkeypatch.setattr(Membership, "authority", lambda self: self.joined)
+    monkeypatch.setattr(Membership, "has_authority", lambda self: self.joined)
     assert "ran_twice" in isolated_for_long()
 
 
 def test_steps_that_do_not_charge_the_team(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(quota, "charge", lambda job: quota.NOTHING)
+    no_charges(monkeypatch)
     assert "quota" in kinds(range(10))
 
 
