--- a/appledock/core/workers/lease_expiry.py
+++ b/appledock/core/workers/lease_expiry.py
@@ -9,6 +9,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica, View
 from appledock.core.workers.dissemination import Dissemination
+from appledock.core.workers.observers import WorkerObservers
 from appledock.core.workers.record import Worker
 from appledock.core.workers.table import WorkerTable
 
@@ -30,12 +31,14 @@
         membership: Membership,
         table: WorkerTable,
         dissemination: Dissemination,
+        observers: WorkerObservers,
     ) -> None:
         self.runtime = runtime
         self.replica = replica
         self.membership = membership
         self.table = table
         self.dissemination = dissemination
+        self.observers = observers
 
     def check(self, worker: Worker) -> None:
         """Mark the worker's agent epoch expired, and tell the peers, if that is proven."""
@@ -52,7 +55,7 @@
         # The view must be proven to have been the newest until then: the owner under a
         # newer one may have renewed the lease.
         if self.membership.view_confirmed_at < ends_at:
-            self.membership.confirm()
+            self.observers.on_view_in_doubt()
             return
         log.info("lease expired: machine=%s agent_epoch=%d", worker.id, agent_epoch)
         self.table.mark_expired(worker.id, agent_epoch)
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -64,7 +64,7 @@
             runtime, membership, self.worker_table, self.command_reconciler, self.intake
         )
         self.lease_expiry = LeaseExpiry(
-            runtime, replica, membership, self.worker_table, self.dissemination
+            runtime, replica, membership, self.worker_table, self.dissemination, observers
         )
         self.probes = Probes(runtime, replica, self.intake)
         self.detached_members = DetachedMembers(
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -16,6 +16,7 @@
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.controller import Controller
 from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.membership import MembershipState
 from appledock.core.messages import Heartbeat
 from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling.reconciler import Reconciler
@@ -137,7 +138,7 @@
         VIEW, {"term": 5, "members": {"n0": "x.1", "n1": "y", "n2": "z"}, "leader": "n0"}, 1
     )
     e.replica.view_changed = False
-    e.membership.joined, e.membership.incarnation = True, "x.1"
+    e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
     e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
         e.membership.store_answered_at
     ) = e.now
@@ -154,7 +155,7 @@
     e, fresh = owner_of_nothing(), owner_of_nothing()
     e.workers.ingest_heartbeat(report("vm-1", 50))
     e.workers.on_peer_connected("n1")
-    for effect in e.effects:
+    for effect in e.runtime.take_effects():
         assert isinstance(effect, ev.PeerSend)
         fresh.handle([ev.PeerMessage(json.loads(wire.encode(effect.message)))], fresh.now, 0.0)
     assert not fresh.workers.ingest_heartbeat(report("vm-1", 49))
