--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -21,6 +21,7 @@
 from appledock.core.jobs.settlement import Settlement
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.machines.eligibility import Eligibility
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
 from appledock.core.operator_settings import OperatorSettings
@@ -38,7 +39,7 @@
 from appledock.core.store.client import StoreClient
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
-from appledock.core.workers import Worker, Workers
+from appledock.core.workers import Workers
 from appledock.rebalancing.settings import Rebalancing
 from appledock.settings import Settings
 from appledock.settings import Team as TeamLimits
@@ -68,7 +69,16 @@
         self.membership = Membership(self)
         self.heartbeats = Heartbeats(self)
         self.workers = Workers(self)
-        self.capacity_index = CapacityIndex(self)
+        self.eligibility = Eligibility(self.runtime, self.workers, self.machine_types)
+        self.capacity_index = CapacityIndex(
+            runtime=self.runtime,
+            workers=self.workers,
+            replica=self.replica,
+            machine_types=self.machine_types,
+            eligibility=self.eligibility,
+            admission_of=lambda worker: self.partitions.gate(worker),  # noqa: PLW0108 -- built later
+            is_load_tracked=lambda: self.rebalancer.enabled or self.partitions.enabled,
+        )
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
         self.moves = Moves(self)
@@ -187,18 +197,3 @@
         if worker is not None and worker.report is not None:
             return worker.report.zone
         return self.fleet.zone_of(machine)
-
-    def placeable(self, worker: Worker) -> bool:
-        """May steps be placed on the worker's machine?"""
-        report = worker.report
-        return (
-            report is not None
-            and report.type in self.machine_types
-            and not worker.placement.cordon_reason
-            and worker.id not in self.workers.deleted_machines
-            and report.session > worker.lease.expired_epoch
-            and report.notice_s is None
-            and worker.has_shown_current_token
-            and self.now - worker.reachability.last_healthy_at
-            <= 2.5 * self.settings.cluster.workers.report_s
-        )
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -227,6 +227,6 @@
             self.reconcile_queue.placement_due = True
         self.fleet.read_catalogue()
         self.quota.allowed_cache.clear()  # depends on time, and on the watch
-        self.capacity_index.recheck_availability()
+        self.capacity_index.check_eligibility()
         self.reconciler.tick()
         self.workers.push_commands()
--- a/appledock/core/machines/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -1,26 +1,31 @@
-"""Free room of every machine that may take steps, adjusted by what changed.
+"""Index of the machines that may take tasks, with the free capacity of each.
 
-Reports, records, reservations and cordons name the machines they concern; only
-those are counted anew. Machines that fell silent are found by a sweep.
+The index is kept up to date incrementally: heartbeats, job records, reservations and cordons
+name the machines they concern, and only those are computed anew. Machines whose heartbeats
+cease are found by a periodic check, since no event announces that.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from typing import TYPE_CHECKING, NamedTuple
+from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Set as AbstractSet
+from typing import NamedTuple
 
-from appledock import constants as c
-from appledock import wire
-from appledock.core.machines.machine_capacity import MachineCapacity, is_allowed_on
-from appledock.core.workers import Worker
+from appledock import constants, wire
+from appledock.core.machines.eligibility import Eligibility
+from appledock.core.machines.machine_capacity import (
+    MachineCapacity,
+    PartitionAdmission,
+    is_allowed_on,
+)
+from appledock.core.runtime import Runtime
+from appledock.core.store.replica import Replica
+from appledock.core.workers import Worker, Workers
 from appledock.rebalancing.picture import Load, task_share
 
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
-
 
 class StepReservation(NamedTuple):
-    """Tasks of a step under way on one machine."""
+    """Capacity for tasks of a step on one machine, reserved while the step is written."""
 
     machine: str
     spec: wire.JobSpec
@@ -28,107 +33,137 @@
 
 
 class CapacityIndex:
-    """The machines that may take steps, with what they have free."""
+    """Free capacity by machine: what it has, less records, steps under way and moves.
+
+    `admission_of` says which jobs a worker's machine admits (None: any), `is_load_tracked`
+    whether committed shares are counted too.
+    """
 
-    def __init__(self, engine: Controller) -> None:
-        self.e = engine
+    def __init__(
+        self,
+        *,
+        runtime: Runtime,
+        workers: Workers,
+        replica: Replica,
+        machine_types: Mapping[str, wire.MachineType],
+        eligibility: Eligibility,
+        admission_of: Callable[[Worker], PartitionAdmission | None],
+        is_load_tracked: Callable[[], bool],
+    ) -> None:
+        self._runtime = runtime
+        self._workers = workers
+        self._replica = replica
+        self._machine_types = machine_types
+        self._eligibility = eligibility
+        self._admission_of = admission_of
+        self._is_load_tracked = is_load_tracked
         self.machines: dict[str, MachineCapacity] = {}
+        """all machines that may take tasks, as of the last `recompute`"""
         self.with_free_capacity: dict[str, MachineCapacity] = {}
-        """those that have anything free"""
+        """those with any CPU or GPU free"""
         self.machines_by_image: dict[str, set[str]] = {}
         """image -> machines that have it"""
-        self.changed: set[str] = set()
         self.step_reservations: dict[str, list[StepReservation]] = {}
         """job -> what its step under way will take"""
         self.reserved_tasks: dict[str, dict[str, int]] = {}
         """machine -> job -> tasks of its step under way"""
         self.move_reservations: dict[str, dict[str, wire.JobSpec]] = {}
         """machine -> job -> size of the task that is moving there"""
-        self.next_sweep = 0.0
+        self._changed: set[str] = set()
+        self._next_check_at = 0.0
 
-    # --- what changed -----------------------------------------------------
+    # --- changes ----------------------------------------------------------
     def mark_changed(self, machine: str) -> None:
-        """The machine's room is to be counted anew."""
-        self.changed.add(machine)
+        """Compute the machine's capacity anew with the next `recompute`."""
+        self._changed.add(machine)
 
     def mark_each_changed(self, machines: Iterable[str]) -> None:
-        """The free capacity of these machines is to be counted anew."""
-        self.changed.update(machines)
+        """Compute the capacity of these machines anew with the next `recompute`."""
+        self._changed.update(machines)
 
     def mark_all_changed(self) -> None:
-        """Types or owners changed."""
-        self.changed.update(self.e.workers.table)
-        self.changed.update(self.machines)
+        """Compute all machines anew: machine types or shard owners changed."""
+        self._changed.update(self._workers.table)
+        self._changed.update(self.machines)
 
-    def reserve_step(self, job_id: str, entries: list[StepReservation]) -> None:
-        """A step is being written: its room is taken until the outcome is known."""
-        self.step_reservations[job_id] = entries
-        for machine, _, count in entries:
-            self.reserved_tasks.setdefault(machine, {})[job_id] = count
-            self.changed.add(machine)
+    def check_eligibility(self) -> None:
+        """From time to time, mark machines whose worker has become ineligible.
+
+        Guards against placing on machines whose heartbeats ceased, which no event reports.
+        """
+        now = self._runtime.now
+        if now < self._next_check_at:
+            return
+        self._next_check_at = now + constants.SILENCE_EVERY_S
+        for name, machine in self.machines.items():
+            worker = self._workers.table.get(name)
+            if (
+                worker is None
+                or not self._eligibility.is_eligible(worker)
+                or machine.agent_epoch != worker.agent_epoch
+            ):
+                self._changed.add(name)
+
+    # --- reservations -----------------------------------------------------
+    def reserve_step(self, job_id: str, reservations: list[StepReservation]) -> None:
+        """Reserve what the job's step will take until the outcome of its write is known."""
+        self.step_reservations[job_id] = reservations
+        for machine, _, tasks in reservations:
+            self.reserved_tasks.setdefault(machine, {})[job_id] = tasks
+            self._changed.add(machine)
 
     def release_step(self, job_id: str) -> None:
-        """The outcome of the job's write is known: its record shows what it took."""
+        """The outcome of the job's write is known: from now on its record counts."""
         for machine, _, _ in self.step_reservations.pop(job_id, ()):
             jobs = self.reserved_tasks.get(machine)
             if jobs is not None:
                 jobs.pop(job_id, None)
                 if not jobs:
                     del self.reserved_tasks[machine]
-            self.changed.add(machine)
+            self._changed.add(machine)
 
     def reserve_for_move(self, machine: str, spec: wire.JobSpec) -> None:
-        """Keep room for a task of the job that is moving to the machine."""
+        """Reserve capacity for one task of the job that is moving to the machine."""
         self.move_reservations.setdefault(machine, {})[spec.id] = spec
-        self.changed.add(machine)
+        self._changed.add(machine)
 
-    def can_reserve_for_move(self, room: MachineCapacity, spec: wire.JobSpec) -> bool:
-        """Is no room kept there for another move, and may the job run there?"""
-        return not self.move_reservations.get(room.name) and is_allowed_on(spec, room)
+    def can_reserve_for_move(self, machine: MachineCapacity, spec: wire.JobSpec) -> bool:
+        """Is no other move bound for the machine, and may the job run there?"""
+        return not self.move_reservations.get(machine.name) and is_allowed_on(spec, machine)
 
     def release_move(self, machine: str, job_id: str) -> None:
-        """The room is needed no more, or taken."""
+        """The job's move to the machine has ended; nothing happens if there was none."""
         jobs = self.move_reservations.get(machine)
         if jobs is not None and jobs.pop(job_id, None) is not None:
-            self.changed.add(machine)
+            self._changed.add(machine)
             if not jobs:
                 del self.move_reservations[machine]
 
-    def recheck_availability(self) -> None:
-        """Machines stop taking steps by mere silence, which no message tells."""
-        if self.e.now < self.next_sweep:
-            return
-        self.next_sweep = self.e.now + c.SILENCE_EVERY_S
-        for name, room in self.machines.items():
-            worker = self.e.workers.table.get(name)
-            if (
-                worker is None
-                or not self.e.placeable(worker)
-                or (room.agent_epoch != worker.agent_epoch)
-            ):
-                self.changed.add(name)
-
-    # --- reading ----------------------------------------------------------
+    # --- computation ------------------------------------------------------
     def recompute(self) -> None:
-        """Count anew what has changed."""
-        for name in sorted(self.changed):
-            worker = self.e.workers.table.get(name)
-            if worker is None or not self.e.placeable(worker):
-                self._hold(name, frozenset())
+        """Compute the machines marked as changed anew; call it before reading the index.
+
+        In the order of their names, which is then the order in `machines` and so part of
+        what random samples draw.
+        """
+        for name in sorted(self._changed):
+            worker = self._workers.table.get(name)
+            if worker is None or not self._eligibility.is_eligible(worker):
+                self._index_images(name, frozenset())
                 self.machines.pop(name, None)
                 self.with_free_capacity.pop(name, None)
                 continue
-            room = self._count(worker)
-            self._hold(name, room.images)
-            self.machines[name] = room
-            if room.cpus > c.EPSILON or room.gpus > c.EPSILON:
-                self.with_free_capacity[name] = room
+            machine = self._capacity_of(worker)
+            self._index_images(name, machine.images)
+            self.machines[name] = machine
+            if machine.cpus > constants.EPSILON or machine.gpus > constants.EPSILON:
+                self.with_free_capacity[name] = machine
             else:
                 self.with_free_capacity.pop(name, None)
-        self.changed.clear()
+        self._changed.clear()
 
-    def _hold(self, name: str, images: frozenset[str] | set[str]) -> None:
-        """The machine has these images now."""
+    def _index_images(self, name: str, images: AbstractSet[str]) -> None:
+        """Note that the machine has these images now; before its entry is replaced."""
         old = self.machines.get(name)
         before = old.images if old is not None else frozenset()
         for image in images - before:
@@ -138,72 +173,81 @@
             if not self.machines_by_image[image]:
                 del self.machines_by_image[image]
 
-    def _count(self, worker: Worker) -> MachineCapacity:
+    def _capacity_of(self, worker: Worker) -> MachineCapacity:
+        """What an eligible worker's machine has free."""
         report = worker.report
         assert report is not None
-        kind = self.e.machine_types[report.type]
+        machine_type = self._machine_types[report.type]
         fetching: set[str] = set()
-        room = MachineCapacity(
-            worker.id,
-            kind,
-            report.zone,
-            report.spot,
-            report.session,
-            kind.cpus,
-            kind.gpus,
-            kind.memory_gb,
-            set(worker.status.image_seen_at),
-            fetching,
-            self.e.replica.owner_of(worker.id),
-            len(worker.placement.failed_jobs),
-            self.e.partitions.gate(worker),
-            Load() if self.e.rebalancer.enabled or self.e.partitions.enabled else None,
+        machine = MachineCapacity(
+            name=worker.id,
+            type=machine_type,
+            zone=report.zone,
+            spot=report.spot,
+            agent_epoch=report.session,
+            cpus=machine_type.cpus,
+            gpus=machine_type.gpus,
+            memory_gb=machine_type.memory_gb,
+            images=set(worker.status.image_seen_at),
+            fetching=fetching,
+            owner=self._replica.owner_of(worker.id),
+            failure_count=len(worker.placement.failed_jobs),
+            admission=self._admission_of(worker),
+            load=Load() if self._is_load_tracked() else None,
         )
-        recorded = self._take_recorded(worker, room, fetching)
-        if recorded < len(worker.tasks) and self._stray(worker):
-            room.cpus = room.memory_gb = -1.0  # a stray of unknown size
-        for job_id, count in self.reserved_tasks.get(worker.id, {}).items():
-            room.reserve(
-                next(
-                    spec
-                    for machine, spec, _ in self.step_reservations[job_id]
-                    if machine == worker.id
-                ),
-                count,
-            )
+        reported = self._reserve_recorded(worker, machine, fetching)
+        if reported < len(worker.tasks) and self._has_orphaned_task(worker):
+            # Its size is not known: nothing is placed beside it until it is stopped.
+            machine.cpus = machine.memory_gb = -1.0
+        for job_id, tasks in self.reserved_tasks.get(worker.id, {}).items():
+            machine.reserve(self._reserved_spec(job_id, worker.id), tasks)
         for spec in self.move_reservations.get(worker.id, {}).values():
-            room.reserve(spec)
-        return room
-
-    def _take_recorded(self, worker: Worker, room: MachineCapacity, fetching: set[str]) -> int:
-        """Charge the room with what the records put there; how much of it the worker shows."""
-        jobs = self.e.replica.jobs
-        shown = 0
-        for job_id, attempts in self.e.replica.by_machine.get(worker.id, {}).items():
+            machine.reserve(spec)
+        return machine
+
+    def _reserved_spec(self, job_id: str, machine: str) -> wire.JobSpec:
+        return next(
+            reservation.spec
+            for reservation in self.step_reservations[job_id]
+            if reservation.machine == machine
+        )
+
+    def _reserve_recorded(
+        self, worker: Worker, machine: MachineCapacity, fetching: set[str]
+    ) -> int:
+        """Reserve what job records place on the machine, noting in `fetching` their images.
+
+        Returns how many of the recorded tasks the worker reports.
+        """
+        jobs, reported_tasks = self._replica.jobs, worker.tasks
+        reported = 0
+        for job_id, attempts in self._replica.by_machine.get(worker.id, {}).items():
             spec = jobs[job_id].spec
             for attempt in attempts:
-                if attempt.session != room.agent_epoch:
+                if attempt.session != machine.agent_epoch:
                     continue
                 for task in attempt.tasks:
-                    entry = worker.tasks.get((f"{job_id}/{task}", attempt.number))
+                    entry = reported_tasks.get((f"{job_id}/{task}", attempt.number))
                     if entry is not None:
-                        shown += 1
+                        reported += 1
                         if entry.state == wire.EXITED:
                             continue
-                    room.reserve(spec)
-                    if attempt.stopping and room.load is not None:
-                        room.load.add(spec.team, task_share(spec, room.type), -1)  # it leaves
-                    if spec.image not in room.images and (
+                    machine.reserve(spec)
+                    if attempt.stopping and machine.load is not None:
+                        # A task that is being stopped still holds its capacity, but is no
+                        # load to balance against.
+                        machine.load.add(spec.team, task_share(spec, machine.type), -1)
+                    if spec.image not in machine.images and (
                         entry is None or entry.state == wire.FETCHING
                     ):
                         fetching.add(spec.image)
-        return shown
+        return reported
 
-    def _stray(self, worker: Worker) -> bool:
-        """Is a task there that no record explains?"""
+    def _has_orphaned_task(self, worker: Worker) -> bool:
+        """Does the worker report a task, not yet ended, that no record explains?"""
         known = {
             (f"{job_id}/{task}", attempt.number)
-            for job_id, attempts in self.e.replica.by_machine.get(worker.id, {}).items()
+            for job_id, attempts in self._replica.by_machine.get(worker.id, {}).items()
             for attempt in attempts
             for task in attempt.tasks
         }
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -50,16 +50,16 @@
     e = follower()
     e.handle([ev.PeerMessage(IDLE)], NOW, 0.0)
     live_on(e, c.CORDON_LAPSE_S)
-    assert not e.placeable(e.workers.table["vm-1"])
+    assert not e.eligibility.is_eligible(e.workers.table["vm-1"])
     live_on(e, c.CORDON_LAPSE_S + 3)
-    assert e.placeable(e.workers.table["vm-1"])
+    assert e.eligibility.is_eligible(e.workers.table["vm-1"])
 
 
 def test_a_former_leader_keeps_no_cordon() -> None:
     e = follower()
     e.fleet.returns.cordon("vm-1", "idle")
     live_on(e, c.CORDON_LAPSE_S + 3)
-    assert e.placeable(e.workers.table["vm-1"])
+    assert e.eligibility.is_eligible(e.workers.table["vm-1"])
 
 
 def test_what_operators_cordon_stays() -> None:
