--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -81,21 +81,21 @@
         return {
             "node": engine.settings.name,
             "healthy": engine.health.is_healthy(),
-            "authority": engine.membership.authority(),
+            "authority": engine.membership.has_authority(),
             "leader": view.leader if view else None,
             "term": view.term if view else 0,
             "members": view.members if view else {},
             "overrides": view.overrides if view else {},
             "detached": sorted(view.detached) if view else [],
-            "format": engine.replica.format[1],
+            "format": engine.replica.record_format.value,
             "formats": {
                 node: member.format for node, member in sorted(engine.replica.members.items())
             },
             "revision": engine.replica.revision,
             "jobs": len(engine.replica.jobs),
-            "queued_tasks": sum(job.queued for job in engine.replica.jobs.values()),
+            "queued_tasks": sum(job.queued_task_count for job in engine.replica.jobs.values()),
             "machines": sum(w.report is not None for w in engine.workers.table.values()),
-            "booting": len(engine.fleet.booting()) if engine.membership.leader() else None,
+            "booting": len(engine.fleet.booting()) if engine.membership.is_leader() else None,
             "calls_waiting": budget.size(),
             "users_waiting": len(engine.user_requests.open),
             "machine_types": sorted(engine.machine_types),
@@ -114,25 +114,27 @@
             "team": job.spec.team,
             "priority": job.spec.priority,
             "tasks": job.spec.tasks,
-            "done": len(job.done),
-            "open": job.open_tasks,
-            "queued": job.queued,
-            "cancelled": engine.replica.withdrawn(job.id),
+            "done": len(job.completed_tasks),
+            "open": job.open_task_count,
+            "queued": job.queued_task_count,
+            "cancelled": engine.replica.is_cancelled(job.id),
             "owner": engine.replica.job_owner(job) if engine.replica.view else None,
-            "failures": job.failures,
+            "failures": job.consecutive_failures,
             "waits_for": self._waits_for(job),
             "needs": job.spec.needs or [],
-            "needs_left": engine.replica.needs.left(job.id),
-            "needed_by": sorted(engine.replica.needs.dependents.get(job.id, ())),
+            "needs_left": engine.replica.dependencies.left(job.id),
+            "needed_by": sorted(engine.replica.dependencies.dependents.get(job.id, ())),
             "unsettled": [self._attempt(job, attempt) for attempt in job.attempts],
         }
 
     def _waits_for(self, job: Job) -> str | None:
-        needs = self.engine.replica.needs
+        needs = self.engine.replica.dependencies
         if job.id in needs.doomed:
             return "its end: a job that it needs is cancelled"
-        if job.id in needs.waiting:
-            unread = any(need in needs.unknown for need in needs.left(job.id))
+        if job.id in needs.waiting_jobs:
+            unread = any(
+                need in needs.unknown_outcomes for need in needs.unfinished_prerequisites(job.id)
+            )
             return "jobs that it needs" + (", some not read yet" if unread else "")
         return self.engine.reconcile_queue.pending_reasons.get(job.id)
 
@@ -141,18 +143,19 @@
         worker = self.engine.workers.table.get(attempt.machine)
         if worker is None or worker.report is None:
             reason = "machine not heard of"
-        elif worker.report.session != attempt.session:
+        elif worker.report.session != attempt.agent_epoch:
             reason = "session change not recorded yet"
         elif any(
-            (f"{job.id}/{task}", attempt.number) not in worker.tasks for task in attempt.tasks
+            (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks
+            for task in attempt.tasks
         ):
             reason = "launch not seen"
         else:
             reason = "stopping" if attempt.stopping or job.cancelled else "running"
         return {
             "machine": attempt.machine,
-            "session": attempt.session,
-            "attempt": attempt.number,
+            "session": attempt.agent_epoch,
+            "attempt": attempt.attempt_number,
             "term": attempt.term,
             "tasks": sorted(attempt.tasks),
             "state": reason,
@@ -216,7 +219,7 @@
     def settings(self) -> dict[str, Any]:
         """Values, defaults, ranges and reasons of the settings."""
         return {
-            "version": self.engine.replica.settings[0],
+            "version": self.engine.replica.stored_settings.version,
             "settings": {
                 name: {
                     "value": self.engine.operator_settings[name],
@@ -249,12 +252,12 @@
         if not isinstance(body, dict) or not isinstance(body.get("settings"), dict):
             self._answer(cmd, {"error": "settings: an object is needed"}, 400)
             return
-        version, stored = self.engine.replica.settings
-        asked = body.get("version", version)
+        stored = self.engine.replica.stored_settings
+        asked = body.get("version", stored.version)
         if isinstance(asked, bool) or not isinstance(asked, int):
             self._answer(cmd, {"error": "version: an integer is needed"}, 400)
             return
-        new = dict(stored)
+        new = dict(stored.value)
         try:
             for name, value in body["settings"].items():
                 if value is None and name in DECLARATIONS:
@@ -269,7 +272,7 @@
             match outcome:
                 case Committed():
                     self.engine.replica.put(SETTINGS, new, outcome.revision)
-                    self.engine.operator_settings.apply(self.engine.replica.settings[1])
+                    self.engine.operator_settings.apply(self.engine.replica.stored_settings.value)
                     self.engine.reconcile_queue.placement_due = True
                     self._answer(cmd, self.settings())
                 case Conflict():
@@ -290,7 +293,7 @@
         if worker is None or worker.report is None:
             self._answer(cmd, {"error": f"no such machine: {name}"}, 404)
             return
-        if not self.engine.membership.acting():
+        if not self.engine.membership.can_act():
             self._answer(cmd, {"error": "this controller has no authority now"}, 503)
             return
         self.engine.fleet.operate(name, action)
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -90,9 +90,9 @@
         replica = self.engine.replica
         return (
             self.enabled
-            and replica.format[1] >= c.CAPACITY_FORMAT
+            and replica.record_format.value >= c.CAPACITY_FORMAT
             and replica.view is not None
-            and replica.view.version > replica.format[0]
+            and replica.view.version > replica.record_format.version
         )
 
     def pool_of(self, worker: Worker) -> str | None:
@@ -147,7 +147,7 @@
         incarnation, since = self.seen.get(node, ("", self.engine.now))
         steady = self.engine.now - since >= c.PREFERRED_STEADY_S
         known = view.members.get(node) == incarnation
-        return node if known and steady and self.engine.heartbeats.reached(node) else None
+        return node if known and steady and self.engine.heartbeats.is_reachable(node) else None
 
     def _hand_over(self) -> None:
         """Hand a job of ours to its partition's controller; one after the other.
@@ -165,10 +165,10 @@
             node = self.preferred(job)
             if (
                 node not in (None, engine.settings.name)
-                and engine.owns_job(job)
-                and not engine.replica.withdrawn(job.id)
+                and engine.replica.owns_job(engine.settings.name, job)
+                and not engine.replica.is_cancelled(job.id)
                 and not engine.moves.rests(job.id)
-                and engine.job_writer.ready(job)
+                and engine.job_writer.can_write(job)
             ):
                 assert node is not None
                 engine.reconciler.hand_off(job, node)
@@ -185,7 +185,7 @@
     def tick(self) -> None:
         """Look at who holds what, if it is time to."""
         engine, settings = self.engine, self.settings
-        if settings is None or not engine.membership.acting():
+        if settings is None or not engine.membership.can_act():
             return
         self._note_members()
         self._hand_over()
@@ -193,12 +193,15 @@
             return
         self.next_pass = engine.now + settings.assign_every_s
         if not self.in_force():
-            if engine.replica.format[1] >= c.CAPACITY_FORMAT and engine.membership.leader():
+            if (
+                engine.replica.record_format.value >= c.CAPACITY_FORMAT
+                and engine.membership.is_leader()
+            ):
                 # Steps of before are void under a view that comes after the format.
-                engine.membership.want_term = True
+                engine.view_requests.new_term = True
             return
         self.drains.tick()
-        if engine.membership.leader():
+        if engine.membership.is_leader():
             self.holders.tick()
             self.drains.lead(settings.moves_in_flight)
 
@@ -220,7 +223,7 @@
             if self.pool_of(worker) == pool and name not in engine.workers.deleted_machines:
                 tasks: Counter[str] = Counter()
                 cost = 0.0
-                for job_id, attempts in engine.replica.by_machine.get(name, {}).items():
+                for job_id, attempts in engine.replica.attempts_by_machine.get(name, {}).items():
                     spec = engine.replica.jobs[job_id].spec
                     count = sum(len(attempt.tasks) for attempt in attempts)
                     tasks[self.partition_of(spec) or ""] += count
@@ -237,7 +240,7 @@
         longest = 0.0
         for attempt in attempts:
             for task in attempt.tasks:
-                key = (f"{spec.id}/{task}", attempt.number)
+                key = (f"{spec.id}/{task}", attempt.attempt_number)
                 ran = self.engine.now - worker.status.running_since.get(key, self.engine.now)
                 longest = max(longest, spec.estimate_s - ran, c.TASK_LEAVES_S)
         return longest
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -24,6 +24,7 @@
 from appledock.core.machines.eligibility import Eligibility
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
+from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.quota import Quota
 from appledock.core.rebalancing.rebalancer import Rebalancer
@@ -31,7 +32,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
 from appledock.core.scheduling.moves import Moves
-from appledock.core.scheduling.objectives import Objectives
+from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.pacing import Pacing
 from appledock.core.scheduling.preemption import Preemption
 from appledock.core.scheduling.queue_order import QueueOrder
@@ -61,11 +62,12 @@
         self.machine_types: dict[str, wire.MachineType] = {}
         """name -> machine type that the cloud offers; one object for all parts"""
         self.reconcile_queue = ReconcileQueue()
-        self.objectives = Objectives(settings.cluster.objectives)
+        self.objectives = ServiceLevelObjectives(settings.cluster.objectives)
         self.client = StoreClient(self.runtime)
         self.replica = Replica()
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
         self.reader = StateReader(self)
+        self.view_requests = ViewChangeRequests()
         self.membership = Membership(self)
         self.heartbeats = Heartbeats(self)
         self.workers = Workers(self)
@@ -83,12 +85,19 @@
         self.partitions = CapacityShares(self, capacity)
         self.moves = Moves(self)
         self.quota = Quota(self)
-        self.queue_order = QueueOrder(self)
+        self.queue_order = QueueOrder(self.runtime, self.replica, self.quota, self.objectives)
         self.settlement = Settlement(self)
         self.preemption = Preemption(self)
         self.job_writer = JobWriter(self)
-        self.handoff = HandOff(self)
-        self.pacing = Pacing(self)
+        self.handoff = HandOff(self.runtime, self.replica)
+        self.pacing = Pacing(
+            self.runtime,
+            self.client.limiter,
+            self.replica,
+            self.quota,
+            self.reconcile_queue,
+            self.heartbeats.is_any_peer_under_pressure,
+        )
         self.reconciler = Reconciler(self)
         self.cancellation = CancellationEnforcer(self)
         self.fleet = Fleet(self)
@@ -176,10 +185,6 @@
         """Emit a call whose answer goes to `done`."""
         self.runtime.call(make, done)
 
-    def owns_job(self, job: Job) -> bool:
-        """Is the job ours to move on, by the newest view known?"""
-        return self.replica.view is not None and self.replica.job_owner(job) == self.settings.name
-
     def running(self, job: Job) -> int:
         """Tasks that reports show as running, for display."""
         count = 0
@@ -187,7 +192,7 @@
             worker = self.workers.table.get(attempt.machine)
             if worker is not None:
                 for task in attempt.tasks:
-                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.number))
+                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.attempt_number))
                     count += entry is not None and entry.state == wire.RUNNING
         return count
 
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -33,24 +33,24 @@
             for machine_type in engine.machine_types.values()
         ):
             continue
-        if job.failures >= c.RENT_FAILURES:
+        if job.consecutive_failures >= c.RENT_FAILURES:
             continue  # a job that fails everywhere is not worth machines
         used = held.get(job.spec.team)
         if used is None:
             used = engine.quota.held_in_all(job.spec.team)
         tasks = min(
-            job.queued,
+            job.queued_task_count,
             (quota.limit(limits) - used).most(quota.NOTHING).count(job.spec),
         )
         if tasks:
             held[job.spec.team] = used + quota.need(job.spec, tasks)
-            result.append(Demand(job, tasks, job.id in engine.replica.queued))
+            result.append(Demand(job, tasks, job.id in engine.replica.queued_jobs))
     return result
 
 
 def _most_urgent_first(engine: Controller) -> list[Job]:
     return sorted(
-        (engine.replica.jobs[job_id] for job_id in engine.replica.queued),
+        (engine.replica.jobs[job_id] for job_id in engine.replica.queued_jobs),
         key=lambda job: (engine.queue_order.sort_key(job), job.id),
     )
 
@@ -60,7 +60,7 @@
     for name, room in engine.capacity_index.machines.items():
         worker = engine.workers.table[name]
         freed = MachineCapacity("", room.type, room.zone, room.spot, 0, 0.0, 0.0, 0.0)
-        for job_id, attempts in engine.replica.by_machine.get(name, {}).items():
+        for job_id, attempts in engine.replica.attempts_by_machine.get(name, {}).items():
             spec = engine.replica.jobs[job_id].spec
             if spec.service or spec.estimate_s <= 0:
                 continue
@@ -68,7 +68,7 @@
             for attempt in attempts:
                 for task in attempt.tasks:
                     left_s = _expected_left_s(
-                        engine.now, spec, worker, (f"{job_id}/{task}", attempt.number)
+                        engine.now, spec, worker, (f"{job_id}/{task}", attempt.attempt_number)
                     )
                     if left_s is not None and left_s < horizon_s:
                         freed.reserve(spec, -1)
--- a/appledock/core/fleet/returns.py
+++ b/appledock/core/fleet/returns.py
@@ -103,7 +103,7 @@
 
     def _surely_empty(self, name: str) -> bool:
         """Is it empty, and would we have heard of a step that its owner places there?"""
-        return self.machines.empty(name) and self.engine.heartbeats.reached(
+        return self.machines.empty(name) and self.engine.heartbeats.is_reachable(
             self.engine.replica.owner_of(name)
         )
 
@@ -157,7 +157,7 @@
         """Silent for so long that nothing of ours can still run there?"""
         return self.engine.now - worker.reachability.last_heartbeat_at > c.SILENT_DELETE_S and (
             worker.lease.expired_epoch >= worker.agent_epoch
-            or worker.id not in self.engine.replica.by_machine
+            or worker.id not in self.engine.replica.attempts_by_machine
         )
 
     # --- on the way out ---------------------------------------------------
--- a/appledock/core/machines/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -221,13 +221,13 @@
         """
         jobs, reported_tasks = self._replica.jobs, worker.tasks
         reported = 0
-        for job_id, attempts in self._replica.by_machine.get(worker.id, {}).items():
+        for job_id, attempts in self._replica.attempts_by_machine.get(worker.id, {}).items():
             spec = jobs[job_id].spec
             for attempt in attempts:
-                if attempt.session != machine.agent_epoch:
+                if attempt.agent_epoch != machine.agent_epoch:
                     continue
                 for task in attempt.tasks:
-                    entry = reported_tasks.get((f"{job_id}/{task}", attempt.number))
+                    entry = reported_tasks.get((f"{job_id}/{task}", attempt.attempt_number))
                     if entry is not None:
                         reported += 1
                         if entry.state == wire.EXITED:
@@ -246,8 +246,8 @@
     def _has_orphaned_task(self, worker: Worker) -> bool:
         """Does the worker report a task, not yet ended, that no record explains?"""
         known = {
-            (f"{job_id}/{task}", attempt.number)
-            for job_id, attempts in self._replica.by_machine.get(worker.id, {}).items()
+            (f"{job_id}/{task}", attempt.attempt_number)
+            for job_id, attempts in self._replica.attempts_by_machine.get(worker.id, {}).items()
             for attempt in attempts
             for task in attempt.tasks
         }
--- a/appledock/core/quota/quota.py
+++ b/appledock/core/quota/quota.py
@@ -91,7 +91,7 @@
 
 def charge(job: Job) -> Amounts:
     """What the job's unsettled attempts hold."""
-    return need(job.spec, job.open_tasks)
+    return need(job.spec, job.open_task_count)
 
 
 def total(shares: Shares) -> Amounts:
@@ -173,7 +173,7 @@
         if shares is None:
             shares = {}
             replica = self.e.replica
-            for job_id in sorted(replica.by_team.get(team, ())):
+            for job_id in sorted(replica.jobs_by_team.get(team, ())):
                 job = replica.jobs[job_id]
                 amount = self.holds(job)
                 if amount.some():
@@ -202,7 +202,7 @@
         limits = self.e.teams.get(job.spec.team)
         if limits is None:
             return False
-        more = need(job.spec, job.queued)
+        more = need(job.spec, job.queued_task_count)
         return (self.held_in_all(job.spec.team) + more).fits(guarantee(limits))
 
     def exhausted(self, team: str) -> bool:
@@ -214,7 +214,7 @@
         held = self.held_in_all(team)
         return any(
             not (held + need(replica.jobs[job_id].spec, 1)).fits(limit(limits))
-            for job_id in replica.by_team.get(team, set()) & replica.queued
+            for job_id in replica.jobs_by_team.get(team, set()) & replica.queued_jobs
         )
 
     # --- shares -----------------------------------------------------------
@@ -246,16 +246,21 @@
             limits = self.e.teams.get(name)
             if limits is None or not self.known(name):
                 return {}, NOTHING
-            jobs = [replica.jobs[j] for j in replica.by_team.get(name, set()) & replica.queued]
+            jobs = [
+                replica.jobs[j] for j in replica.jobs_by_team.get(name, set()) & replica.queued_jobs
+            ]
             # A job that fails everywhere keeps nothing from the others.
             jobs.sort(
                 key=lambda job: (
-                    job.failures >= c.FAILING,
+                    job.consecutive_failures >= c.FAILING,
                     self.e.queue_order.sort_key(job),
                     job.id,
                 )
             )
-            queue = [(job.id, replica.job_owner(job), need(job.spec, job.queued)) for job in jobs]
+            queue = [
+                (job.id, replica.job_owner(job), need(job.spec, job.queued_task_count))
+                for job in jobs
+            ]
             entry = walk(
                 limit(limits), self.shares(name), self.held(name), self.e.settings.name, queue
             )
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -107,7 +107,9 @@
             if (
                 left
                 and job is not None
-                and (job.queued > 0 or job_id in self.e.reconcile_queue.capacity_freed_at)
+                and (
+                    job.queued_task_count > 0 or job_id in self.e.reconcile_queue.capacity_freed_at
+                )
             ):
                 self.claims[job_id] = left
             else:
@@ -135,22 +137,22 @@
         result: list[Victim] = []
         if worker is None:
             return result
-        for other_id, attempts in self.e.replica.by_machine.get(room.name, {}).items():
+        for other_id, attempts in self.e.replica.attempts_by_machine.get(room.name, {}).items():
             other = self.e.replica.jobs[other_id]
             # A job that others need is spared as they are, but stops nobody for their sake:
             # wide early stages with the rank of the last one had 600 tasks stopped and
             # started again on one day, and the writes that this took were what lacked.
             if (
-                self.e.replica.needs.inherited_rank(other) >= job.spec.rank
+                self.e.replica.dependencies.inherited_rank(other) >= job.spec.rank
                 or other.cancelled
                 or other.spec.gang
             ):
                 continue
             for attempt in attempts:
-                if attempt.stopping or attempt.session != room.agent_epoch:
+                if attempt.stopping or attempt.agent_epoch != room.agent_epoch:
                     continue
                 for task in attempt.tasks:
-                    key = (f"{other_id}/{task}", attempt.number)
+                    key = (f"{other_id}/{task}", attempt.attempt_number)
                     shown = worker.tasks.get(key)
                     if shown is not None and shown.state == wire.EXITED:
                         continue  # over, and only not recorded yet
--- a/appledock/core/workers/commands.py
+++ b/appledock/core/workers/commands.py
@@ -44,7 +44,7 @@
                     worker.commanded.repeatable_launches.pop(key, None)
                     result.append(wire.Command(wire.FORGET, *key))
         if kept > c.KEPT_MAX:
-            self.engine.membership.want_term = True
+            self.engine.view_requests.new_term = True
         return result + self._launches(worker, recorded)
 
     def _recorded(self, worker: Worker) -> dict[TaskKey, Recorded]:
@@ -52,13 +52,13 @@
         session = worker.agent_epoch
         replica = self.engine.replica
         recorded = {}
-        for job_id, attempts in sorted(replica.by_machine.get(worker.id, {}).items()):
+        for job_id, attempts in sorted(replica.attempts_by_machine.get(worker.id, {}).items()):
             job = replica.jobs[job_id]
             for attempt in attempts:
-                if attempt.session == session:
+                if attempt.agent_epoch == session:
                     row = (job, attempt)
                     for number in attempt.tasks:
-                        recorded[(f"{job_id}/{number}", attempt.number)] = row
+                        recorded[(f"{job_id}/{number}", attempt.attempt_number)] = row
         return recorded
 
     def _halt(
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -23,7 +23,7 @@
     """The machine goes on reporting, the controller keeps its authority."""
     effects: list[ev.Effect] = []
     for step in range(int(seconds)):
-        e.membership.touch_sent = e.membership.view_sent = NOW + step
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = NOW + step
         seq = e.workers.table["vm-1"].status.newest.seq + 1
         effects += e.handle([ev.Reported(seq, report(seq)), ev.Tick()], NOW + step, 0.0)
     return effects
@@ -97,7 +97,7 @@
         for queue in e.client.limiter.queues:
             queue.clear()
         if puts:
-            version = e.replica.catalogue[0] + 1
+            version = e.replica.catalogue.version + 1
             e.replica.put(CATALOGUE, json.loads(wire.encode(puts[0].value)), version)
         return bool(puts)
 
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -17,7 +17,7 @@
 from appledock.core.controller import Controller
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.messages import Heartbeat
-from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.keys import JOBS, VIEW
 from appledock.core.store_calls import Transaction
@@ -68,9 +68,9 @@
     for step in range(400):
         world.clock.run(30.0 + step / 10)
         for key, row in world.state.rows.items():
-            for place in decode(row[0], row[1]).attempts if key.startswith(JOBS) else ():
-                if place.machine == victim and (key, place.number) not in seen:
-                    seen.add((key, place.number))
+            for place in decode_job(row[0], row[1]).attempts if key.startswith(JOBS) else ():
+                if place.machine == victim and (key, place.attempt_number) not in seen:
+                    seen.add((key, place.attempt_number))
                     late += step > 120  # later than 12 s, one lease
         down += 0.1 * ("job-000001/0" not in world.judge.on)
     assert world.judge.broken == []
@@ -115,7 +115,7 @@
             place.machine
             for key, row in world.state.rows.items()
             if key.startswith(JOBS)
-            for place in decode(row[0], row[1]).attempts
+            for place in decode_job(row[0], row[1]).attempts
         }
     assert world.judge.broken == []
     return used & {victim}
@@ -137,7 +137,9 @@
     )
     e.replica.view_changed = False
     e.membership.joined, e.membership.incarnation = True, "x.1"
-    e.membership.touch_sent = e.membership.view_sent = e.membership.served_at = e.now
+    e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
+        e.membership.store_answered_at
+    ) = e.now
     e.replica.advance(1)
     return e
 
@@ -183,9 +185,9 @@
         name = next(f"vm-{i}" for i in range(99) if e.replica.owner_of(f"vm-{i}") == "n1")
         e.workers.ingest_heartbeat(report(name, 50))
         for step in range(12):
-            e.membership.touch_sent = e.membership.view_sent = e.now
+            e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
             e.handle([ev.Reported(step, report(name, 20 + step))], e.now + 0.9, 0.0)
-        return e.membership.want_override
+        return e.view_requests.overrides
 
     assert wanted() == {}
     monkeypatch.setattr(Workers, "ingest_heartbeat", lambda self, report: True)
@@ -218,7 +220,7 @@
 
 def test_whoever_is_shut_out_alone_steps_aside_and_comes_back(monkeypatch: Patch) -> None:
     assert not any(alone()[0])
-    monkeypatch.setattr(Heartbeats, "shut_out", lambda self: False)
+    monkeypatch.setattr(Heartbeats, "is_isolated", lambda self: False)
     assert any(alone()[0])
 
 
@@ -251,7 +253,7 @@
         return world.judge.begun[job] - world.judge.accepted[job]
 
     assert begin_s() < 5.0
-    monkeypatch.setattr(Heartbeats, "works", lambda self, node: True)
+    monkeypatch.setattr(Heartbeats, "is_served", lambda self, node: True)
     assert begin_s() > 6.0
 
 
@@ -273,7 +275,7 @@
 
     e, gone = returned()
     assert gone == {name for name in names if e.replica.owner_of(name) != "n2"}
-    monkeypatch.setattr(Heartbeats, "reached", lambda self, node: True)
+    monkeypatch.setattr(Heartbeats, "is_reachable", lambda self, node: True)
     assert returned()[1] == set(names)
 
 
@@ -314,7 +316,7 @@
 
     def hasty(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
         worker = self.table.get(attempt.machine)
-        if worker is not None and (f"{job.id}/{task}", attempt.number) not in worker.tasks:
+        if worker is not None and (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks:
             return "settled"
         return verdict(self, job, attempt, task)
 
@@ -401,7 +403,7 @@
             if not silent:
                 e.workers.ingest_heartbeat(report("vm-1", 2 + step))
             Reconciler._watch_lost(e.reconciler)
-        return e.membership.want_term
+        return e.view_requests.new_term
 
     assert wants(silent=False)
     assert not wants(silent=True)
