--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -14,7 +14,7 @@
 from appledock.core.api.console_feed import ConsoleFeed
 from appledock.core.events import Admin, Reply, SetLogLevel
 from appledock.core.operator_settings import DECLARATIONS, InvalidSettingError, validate
-from appledock.core.quota.quota import NOTHING
+from appledock.core.quota.resources import NO_RESOURCES
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import SETTINGS
 from appledock.core.store.rate_limiter import Priority
@@ -122,14 +122,14 @@
             "failures": job.consecutive_failures,
             "waits_for": self._waits_for(job),
             "needs": job.spec.needs or [],
-            "needs_left": engine.replica.dependencies.left(job.id),
+            "needs_left": engine.replica.dependencies.unfinished_prerequisites(job.id),
             "needed_by": sorted(engine.replica.dependencies.dependents.get(job.id, ())),
             "unsettled": [self._attempt(job, attempt) for attempt in job.attempts],
         }
 
     def _waits_for(self, job: Job) -> str | None:
         needs = self.engine.replica.dependencies
-        if job.id in needs.doomed:
+        if job.id in needs.cancelled_by_dependency:
             return "its end: a job that it needs is cancelled"
         if job.id in needs.waiting_jobs:
             unread = any(
@@ -197,7 +197,7 @@
         rows = []
         for name, team in sorted(self.engine.teams.items()):
             known = self.engine.replica.view is not None
-            held = self.engine.quota.held_in_all(name) if known else NOTHING
+            held = self.engine.quota_usage.held_by_team(name) if known else NO_RESOURCES
             record = self.engine.replica.team(name)
             rows.append(
                 {
--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -18,7 +18,7 @@
 from appledock import wire
 from appledock.core.events import Cancel, Poll, Reply, Submit
 from appledock.core.machines.machine_capacity import can_run_on_type
-from appledock.core.quota import quota
+from appledock.core.quota.resources import demand_of, limit_of
 from appledock.core.records.job import Job
 from appledock.core.store.keys import FINAL, JOBS
 from appledock.core.store.rate_limiter import Priority
@@ -130,9 +130,9 @@
         taken back here. The proof's revision is later than any such cancellation.
         """
         replica = self.e.replica
-        if replica.is_cancelled(asked.job) or asked.job not in replica.dependencies.waiting:
+        if replica.is_cancelled(asked.job) or asked.job not in replica.dependencies.waiting_jobs:
             self._tell(asked, False)
-        elif replica.revision < revision or replica.dependencies.undecided(asked.job):
+        elif replica.revision < revision or replica.dependencies.has_unknown_outcome(asked.job):
             self.lagging.append((asked, revision))
         else:
             self._tell(asked, False)
@@ -140,7 +140,7 @@
     def _read_outcomes(self) -> None:
         """How needed jobs ended that are not in the picture: after a start, or if they
         ended long ago. A few at a time."""
-        unknown = self.e.replica.dependencies.unknown
+        unknown = self.e.replica.dependencies.unknown_outcomes
         if not unknown or not self.e.reader.loaded:
             return
         for need in sorted(unknown):
@@ -152,7 +152,7 @@
 
             def ended(need: str = need) -> None:
                 self.reading.discard(need)
-                if need in self.e.replica.dependencies.unknown:
+                if need in self.e.replica.dependencies.unknown_outcomes:
                     self.read_at[need] = self.e.now + c.RETRY_MAX_S
                 else:
                     self.read_at.pop(need, None)
@@ -236,7 +236,7 @@
         if team is None:
             return f"unknown team {spec.team}"
         tasks = 1 if spec.kind == wire.ARRAY else spec.tasks
-        if not quota.need(spec, tasks).fits(quota.limit(team)):
+        if not demand_of(spec, tasks).fits_in(limit_of(team)):
             return "more than the team's limit"
         record = wire.encode(self.e.codec.encode(Job(spec, self.e.wall)))
         if len(record) > c.DESCRIPTION_SHARE * self.e.client.max_value_bytes:
@@ -383,7 +383,7 @@
         )
 
     def _tell_proven(self, asked: Asked, absent: bool, revision: int) -> None:
-        if asked.job in self.e.replica.dependencies.waiting:
+        if asked.job in self.e.replica.dependencies.waiting_jobs:
             self._tell_current(asked, revision)
         else:
             self._tell(asked, absent)
@@ -392,7 +392,7 @@
         """The cached version was old: read both keys, then answer."""
 
         def read() -> None:
-            if asked.job in self.e.replica.dependencies.waiting:
+            if asked.job in self.e.replica.dependencies.waiting_jobs:
                 self._poll(asked)  # the proof tells how far the picture must reach
             else:
                 self._tell(asked, True)
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -19,6 +19,7 @@
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
+from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.machines.eligibility import Eligibility
@@ -26,7 +27,8 @@
 from appledock.core.membership.membership import Membership
 from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.operator_settings import OperatorSettings
-from appledock.core.quota.quota import Quota
+from appledock.core.quota.allocation import QuotaAllocation
+from appledock.core.quota.usage import QuotaUsage
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
@@ -84,17 +86,23 @@
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
         self.moves = Moves(self)
-        self.quota = Quota(self)
-        self.queue_order = QueueOrder(self.runtime, self.replica, self.quota, self.objectives)
+        self.quota_usage = QuotaUsage(self.runtime, self.replica)
+        self.queue_order = QueueOrder(self.runtime, self.replica, self.quota_usage, self.objectives)
+        self.quota_allocation = QuotaAllocation(
+            self.runtime, self.replica, self.quota_usage, self.queue_order
+        )
         self.settlement = Settlement(self)
         self.preemption = Preemption(self)
         self.job_writer = JobWriter(self)
+        self.stop_requests = StopRequests(
+            self.runtime, self.replica, self.job_writer, self.reconcile_queue
+        )
         self.handoff = HandOff(self.runtime, self.replica)
         self.pacing = Pacing(
             self.runtime,
             self.client.limiter,
             self.replica,
-            self.quota,
+            self.quota_usage,
             self.reconcile_queue,
             self.heartbeats.is_any_peer_under_pressure,
         )
@@ -116,10 +124,11 @@
             rebalancer=self.rebalancer,
             partitions=self.partitions,
             moves=self.moves,
-            quota=self.quota,
+            quota_allocation=self.quota_allocation,
             queue_order=self.queue_order,
             reconcile_queue=self.reconcile_queue,
             settlement=self.settlement,
+            stop_requests=self.stop_requests,
             reconciler=self.reconciler,
             cancellation=self.cancellation,
             fleet=self.fleet,
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -15,11 +15,12 @@
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
+from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
 from appledock.core.operator_settings import OperatorSettings
-from appledock.core.quota.quota import Quota
+from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.moves import Moves
@@ -50,10 +51,11 @@
         rebalancer: Rebalancer,
         partitions: CapacityShares,
         moves: Moves,
-        quota: Quota,
+        quota_allocation: QuotaAllocation,
         queue_order: QueueOrder,
         reconcile_queue: ReconcileQueue,
         settlement: Settlement,
+        stop_requests: StopRequests,
         reconciler: Reconciler,
         cancellation: CancellationEnforcer,
         fleet: Fleet,
@@ -73,10 +75,11 @@
         self.rebalancer = rebalancer
         self.partitions = partitions
         self.moves = moves
-        self.quota = quota
+        self.quota_allocation = quota_allocation
         self.queue_order = queue_order
         self.reconcile_queue = reconcile_queue
         self.settlement = settlement
+        self.stop_requests = stop_requests
         self.reconciler = reconciler
         self.cancellation = cancellation
         self.fleet = fleet
@@ -158,7 +161,7 @@
             case messages.MachinesRented() | messages.MachineCordoned():
                 self.fleet.on_peer(message)
             case messages.StopTasks():
-                self.reconciler.stop(message.job, message.machine, set(message.tasks))
+                self.stop_requests.add(message.job, message.machine, set(message.tasks))
             case messages.JobCancelled():
                 self.cancellation.on_peer(message)
             case messages.MoveRequested() | messages.MoveHeld() | messages.MoveEnded():
@@ -195,7 +198,7 @@
             assert view is not None
             self.workers.on_view(self._applied_view)
             self.membership.on_view()
-            self.quota.on_view()
+            self.quota_allocation.on_view()
             self.moves.on_view()
             self.capacity_index.mark_all_changed()
             self._applied_view = view
@@ -210,14 +213,14 @@
             self.reconcile_queue.placement_due = True
         if replica.changed_jobs:
             for team in replica.changed_teams:
-                self.quota.forget(team)
+                self.quota_allocation.clear_caches_of(team)
             replica.changed_teams.clear()
             for job_id in sorted(replica.changed_jobs):
                 if job_id in replica.jobs:
                     self.fleet.note(replica.jobs[job_id])
                     if (
-                        job_id in replica.dependencies.needs
-                        and job_id not in replica.dependencies.waiting
+                        job_id in replica.dependencies.prerequisites
+                        and job_id not in replica.dependencies.waiting_jobs
                     ):
                         self.queue_order.ready_at.setdefault(job_id, self.runtime.wall)
                 self.reconcile_queue.jobs.add(job_id)
@@ -229,7 +232,7 @@
             replica.changed_machines.clear()
             self.reconcile_queue.placement_due = True
         self.fleet.read_catalogue()
-        self.quota.allowed_cache.clear()  # depends on time, and on the watch
+        self.quota_allocation.clear_admissions()
         self.capacity_index.check_eligibility()
         self.reconciler.tick()
         self.workers.push_commands()
