--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -22,6 +22,7 @@
 from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.machines.eligibility import Eligibility
 from appledock.core.membership.format_upgrade import NEWEST_FORMAT
 from appledock.core.membership.heartbeats import Heartbeats, LocalStatus
 from appledock.core.membership.membership import Membership
@@ -43,7 +44,7 @@
 from appledock.core.store.client import StoreClient
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
-from appledock.core.workers import Worker, WorkerObservers, Workers
+from appledock.core.workers import WorkerObservers, Workers
 from appledock.rebalancing.settings import Rebalancing
 from appledock.settings import Settings
 from appledock.settings import Team as TeamLimits
@@ -102,7 +103,16 @@
             is_deleted=lambda machine: machine in self.workers.deleted_machines,
             newest_format=NEWEST_FORMAT if capacity is None else constants.CAPACITY_FORMAT,
         )
-        self.capacity_index = CapacityIndex(self)
+        self.eligibility = Eligibility(self.runtime, self.workers, self.machine_types)
+        self.capacity_index = CapacityIndex(
+            runtime=self.runtime,
+            workers=self.workers,
+            replica=self.replica,
+            machine_types=self.machine_types,
+            eligibility=self.eligibility,
+            admission_of=lambda worker: self.partitions.gate(worker),  # noqa: PLW0108 -- built later
+            is_load_tracked=lambda: self.rebalancer.enabled or self.partitions.enabled,
+        )
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
         self.moves = Moves(self)
@@ -111,7 +121,11 @@
         self.quota_allocation = QuotaAllocation(
             self.runtime, self.replica, self.quota_usage, self.queue_order
         )
-        self.settlement = Settlement(self)
+        self.settlement = Settlement(
+            self.replica,
+            self.workers.verdict,
+            lambda machine, job_id: self.fleet.task_failed(machine, job_id),  # noqa: PLW0108 -- built later
+        )
         self.preemption = Preemption(self)
         self.job_writer = JobWriter(self)
         self.stop_requests = StopRequests(
@@ -254,18 +268,3 @@
         if worker is not None and worker.report is not None:
             return worker.report.zone
         return self.fleet.zone_of(machine)
-
-    def placeable(self, worker: Worker) -> bool:
-        """May steps be placed on the worker's machine?"""
-        report = worker.report
-        return (
-            report is not None
-            and report.type in self.machine_types
-            and not worker.placement.cordon_reason
-            and worker.id not in self.workers.deleted_machines
-            and report.session > worker.lease.expired_epoch
-            and report.notice_s is None
-            and worker.has_shown_current_token
-            and self.now - worker.reachability.last_healthy_at
-            <= 2.5 * self.settings.cluster.workers.report_s
-        )
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -233,6 +233,6 @@
             self.reconcile_queue.placement_due = True
         self.fleet.read_catalogue()
         self.quota_allocation.clear_admissions()
-        self.capacity_index.recheck_availability()
+        self.capacity_index.check_eligibility()
         self.reconciler.tick()
         self.workers.push_commands()
