--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -52,7 +52,7 @@
         for machine, since in self._returning.items():
             if engine.now - since >= self.shares.settings.give_back_s:
                 for job_id, tasks in self._savers(machine).items():
-                    engine.reconciler.ask_to_stop(engine.replica.jobs[job_id], machine, tasks)
+                    engine.stop_requests.send_to_owner(engine.replica.jobs[job_id], machine, tasks)
 
     def _savers(self, machine: str) -> dict[str, set[int]]:
         """Job -> its tasks on the machine that save, and that nobody has told to stop."""
@@ -139,7 +139,7 @@
                 worker is None
                 or not self.shares.moves_off(job.spec, machine)
                 or engine.replica.is_cancelled(job_id)
-                or job.queued
+                or job.queued_task_count
                 or engine.moves.rests(job_id)
                 or not engine.moves.hears(engine.replica.job_owner(job))
             ):
@@ -149,7 +149,9 @@
             if attempt is not None and destination is not None:
                 name, load = destination
                 task = min(attempt.tasks)
-                result.append(Proposal(job_id, task, attempt.number, machine, name, 0.0, load))
+                result.append(
+                    Proposal(job_id, task, attempt.attempt_number, machine, name, 0.0, load)
+                )
         return result
 
     def _destination(self, spec: wire.JobSpec) -> tuple[str, float] | None:
@@ -181,4 +183,4 @@
                     continue
                 for job_id, tasks in self._savers(machine).items():
                     if engine.replica.owns_job(engine.settings.name, engine.replica.jobs[job_id]):
-                        engine.reconciler.stop(job_id, machine, tasks)
+                        engine.stop_requests.add(job_id, machine, tasks)
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -15,11 +15,12 @@
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
+from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.heartbeats import Heartbeats
-from appledock.core.membership.membership import Membership
+from appledock.core.membership.protocol import MembershipProtocol
 from appledock.core.operator_settings import OperatorSettings
-from appledock.core.quota.quota import Quota
+from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
@@ -44,17 +45,18 @@
         client: StoreClient,
         replica: Replica,
         reader: StateReader,
-        membership: Membership,
+        membership_protocol: MembershipProtocol,
         heartbeats: Heartbeats,
         workers: Workers,
         capacity_index: CapacityIndex,
         rebalancer: Rebalancer,
         partitions: CapacityShares,
         moves: Moves,
-        quota: Quota,
+        quota_allocation: QuotaAllocation,
         queue_order: QueueOrder,
         reconcile_queue: ReconcileQueue,
         settlement: Settlement,
+        stop_requests: StopRequests,
         reconciler: Reconciler,
         cancellation: CancellationEnforcer,
         fleet: Fleet,
@@ -67,17 +69,18 @@
         self.client = client
         self.replica = replica
         self.reader = reader
-        self.membership = membership
+        self.membership_protocol = membership_protocol
         self.heartbeats = heartbeats
         self.workers = workers
         self.capacity_index = capacity_index
         self.rebalancer = rebalancer
         self.partitions = partitions
         self.moves = moves
-        self.quota = quota
+        self.quota_allocation = quota_allocation
         self.queue_order = queue_order
         self.reconcile_queue = reconcile_queue
         self.settlement = settlement
+        self.stop_requests = stop_requests
         self.reconciler = reconciler
         self.cancellation = cancellation
         self.fleet = fleet
@@ -94,7 +97,7 @@
         """Work through a batch; `now` is the steady clock, `wall` the time of day."""
         self.runtime.now, self.runtime.wall = now, wall
         if not self._started:
-            self.workers.initial_renewable_until = now + self.runtime.lease_ttl_s
+            self.workers.on_start()
             self._started = True
         for command in batch:
             try:
@@ -105,7 +108,7 @@
                 log.exception("command %s failed", type(command).__name__)
                 request_id = getattr(command, "request_id", None)
                 if request_id is not None:
-                    self.user_requests.open.pop(request_id, None)
+                    self.user_requests.open_requests.discard(request_id)
                     self.runtime.emit(ev.Reply(request_id, 500, {"error": "internal error"}))
         for follow in (self._after, self.client.flush):
             # One after the other: whatever fails, leases are renewed and users answered.
@@ -159,7 +162,7 @@
             case messages.MachinesRented() | messages.MachineCordoned():
                 self.fleet.on_peer(message)
             case messages.StopTasks():
-                self.reconciler.stop(message.job, message.machine, set(message.tasks))
+                self.stop_requests.add(message.job, message.machine, set(message.tasks))
             case messages.JobCancelled():
                 self.cancellation.on_peer(message)
             case messages.MoveRequested() | messages.MoveHeld() | messages.MoveEnded():
@@ -172,7 +175,7 @@
     def _tick(self) -> None:
         self.reader.tick()
         for tick in (
-            self.membership.tick,
+            self.membership_protocol.tick,
             self.heartbeats.tick,
             self.workers.tick,
             self.cancellation.tick,
@@ -195,8 +198,8 @@
             view = replica.view
             assert view is not None
             self.workers.on_view(self._applied_view)
-            self.membership.on_view()
-            self.quota.on_view()
+            self.membership_protocol.on_view()
+            self.quota_allocation.on_view()
             self.moves.on_view()
             self.capacity_index.mark_all_changed()
             self._applied_view = view
@@ -211,26 +214,26 @@
             self.reconcile_queue.placement_due = True
         if replica.changes.jobs:
             for team in replica.changes.teams:
-                self.quota.forget(team)
+                self.quota_allocation.clear_caches_of(team)
             replica.changes.teams.clear()
             for job_id in sorted(replica.changes.jobs):
                 if job_id in replica.jobs:
                     self.fleet.note(replica.jobs[job_id])
                     if (
-                        job_id in replica.dependencies.needs
-                        and job_id not in replica.dependencies.waiting
+                        job_id in replica.dependencies.prerequisites
+                        and job_id not in replica.dependencies.waiting_jobs
                     ):
                         self.queue_order.ready_at.setdefault(job_id, self.runtime.wall)
                 self.reconcile_queue.jobs.add(job_id)
             replica.changes.jobs.clear()
             for machine in replica.changes.machines:
-                self.settlement.machine_changed(machine)
-            self.workers.commands_due |= replica.changes.machines
+                self.settlement.on_machine_changed(machine)
+            self.workers.request_commands(replica.changes.machines)
             self.capacity_index.mark_each_changed(replica.changes.machines)
             replica.changes.machines.clear()
             self.reconcile_queue.placement_due = True
         self.fleet.read_catalogue()
-        self.quota.allowed_cache.clear()  # depends on time, and on the watch
-        self.capacity_index.recheck_availability()
+        self.quota_allocation.clear_admissions()
+        self.capacity_index.check_eligibility()
         self.reconciler.tick()
         self.workers.push_commands()
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -10,7 +10,7 @@
 from appledock.core.fleet.forecast import Forecast, left_by_estimate_s
 from appledock.core.fleet.model import Demand
 from appledock.core.machines.machine_capacity import MachineCapacity, can_run_on_type
-from appledock.core.quota import quota
+from appledock.core.quota.resources import Resources, demand_of, limit_of
 from appledock.core.records.job import Job
 from appledock.core.workers import Worker
 
@@ -23,7 +23,7 @@
 
     Those of jobs that will be ready soon come after all that is queued.
     """
-    held: dict[str, quota.Amounts] = {}
+    held: dict[str, Resources] = {}
     result = []
     queued = _most_urgent_first(engine)
     for job in queued + Forecast(engine).upcoming():
@@ -33,17 +33,17 @@
             for machine_type in engine.machine_types.values()
         ):
             continue
-        if job.failures >= c.RENT_FAILURES:
+        if job.consecutive_failures >= c.RENT_FAILURES:
             continue  # a job that fails everywhere is not worth machines
         used = held.get(job.spec.team)
         if used is None:
-            used = engine.quota.held_in_all(job.spec.team)
+            used = engine.quota_usage.held_by_team(job.spec.team)
         tasks = min(
-            job.queued,
-            (quota.limit(limits) - used).most(quota.NOTHING).count(job.spec),
+            job.queued_task_count,
+            limit_of(limits).above(used).count_tasks(job.spec),
         )
         if tasks:
-            held[job.spec.team] = used + quota.need(job.spec, tasks)
+            held[job.spec.team] = used + demand_of(job.spec, tasks)
             result.append(Demand(job, tasks, job.id in engine.replica.queued_jobs))
     return result
 
@@ -68,7 +68,7 @@
             for attempt in attempts:
                 for task in attempt.tasks:
                     left_s = _expected_left_s(
-                        engine.now, spec, worker, (f"{job_id}/{task}", attempt.number)
+                        engine.now, spec, worker, (f"{job_id}/{task}", attempt.attempt_number)
                     )
                     if left_s is not None and left_s < horizon_s:
                         freed.reserve(spec, -1)
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -111,7 +111,7 @@
     def tick(self) -> None:
         """Plan moves, if it is time to."""
         engine, settings = self.engine, self.settings
-        if settings is None or not engine.membership.acting():
+        if settings is None or not engine.membership.can_act():
             return
         engine.capacity_index.recompute()
         self.refresh_means()
@@ -123,7 +123,7 @@
             return
         self.blocked = {name: row for name, row in self.blocked.items() if row[0] > engine.now}
         self._plan_own()
-        if engine.membership.leader():
+        if engine.membership.is_leader():
             self._plan_between_owners()
 
     def _smooth(self, time_constant_s: float) -> None:
@@ -239,22 +239,22 @@
             job = engine.replica.jobs[job_id]
             free = (
                 self.planner.movable(job.spec)
-                and job.queued == 0
+                and job.queued_task_count == 0
                 and not engine.replica.is_cancelled(job_id)
                 and not engine.moves.rests(job_id)
                 and engine.moves.hears(engine.replica.job_owner(job))
             )
             for attempt in attempts:
-                if attempt.stopping or attempt.session != worker.agent_epoch:
+                if attempt.stopping or attempt.agent_epoch != worker.agent_epoch:
                     continue
                 for task in attempt.tasks:
-                    key = (f"{job_id}/{task}", attempt.number)
+                    key = (f"{job_id}/{task}", attempt.attempt_number)
                     shown = worker.tasks.get(key)
                     running = shown is not None and shown.state == wire.RUNNING
                     ran = engine.now - worker.status.running_since.get(key, engine.now)
                     lost = _lost_core_s(job.spec, ran)
                     result.append(
-                        RunningTask(job.spec, task, attempt.number, lost, free and running)
+                        RunningTask(job.spec, task, attempt.attempt_number, lost, free and running)
                     )
         return result
 
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -15,8 +15,8 @@
 
 from appledock import constants
 from appledock.core.records.capacity import CAPACITY, CapacityRecords
-from appledock.core.records.dependencies import Dependencies
-from appledock.core.records.job import Attempt, Job, decode
+from appledock.core.records.dependencies import DependencyGraph
+from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.records.membership_view import Member, View
 from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.records.versioned import Versioned
@@ -72,7 +72,7 @@
         self.cancelled_jobs: set[str] = set()
         """open jobs that are cancelled by their own record"""
         self.capacity = CapacityRecords()
-        self.dependencies = Dependencies()
+        self.dependencies = DependencyGraph()
         self.queued_jobs: set[str] = set()
         """open jobs with tasks that wait for a step, and for no other job"""
         self.changes = ReplicaChanges()
@@ -87,7 +87,7 @@
         return {
             JOBS: RecordKind(
                 lambda name: self.jobs[name].version if name in self.jobs else 0,
-                lambda _name, value, version: self._store_job(decode(value, version)),
+                lambda _name, value, version: self._store_job(decode_job(value, version)),
                 self._remove_job,
                 lambda: self.jobs,
             ),
@@ -141,8 +141,8 @@
     def job_owner(self, job: Job) -> str:
         """Owner of a job: the member that it was handed to, else the derived one."""
         assert self.view is not None
-        if job.handoff and self.view.has_member(*job.handoff):
-            return job.handoff[0]
+        if job.handoff_target and self.view.has_member(*job.handoff_target):
+            return job.handoff_target[0]
         return self.owner_of(job.id)
 
     def owns_job(self, node: str, job: Job) -> bool:
@@ -151,7 +151,7 @@
 
     def is_cancelled(self, job_id: str) -> bool:
         """Is the open job cancelled, by its user or with one that it depends on?"""
-        return job_id in self.cancelled_jobs or job_id in self.dependencies.doomed
+        return job_id in self.cancelled_jobs or job_id in self.dependencies.cancelled_by_dependency
 
     def allocation_of(self, team: str) -> TeamAllocation:
         """How the team's quota is divided; an empty allocation if nothing is stored."""
@@ -188,7 +188,7 @@
         self.final_states[job_id] = state
         if len(self.final_states) > constants.FINAL_CACHE:
             self.final_states.popitem(last=False)
-        self.dependencies.final(job_id, state)
+        self.dependencies.on_job_ended(job_id, state)
         self._follow_dependencies()
 
     def load(self, rows: list[Row], revision: int) -> None:
@@ -266,7 +266,7 @@
         job.seal()
         self._index_attempts(job.id, old, job)
         self.jobs_by_team.setdefault(job.spec.team, set()).add(job.id)
-        self.dependencies.job(job, self.jobs, self.final_states)
+        self.dependencies.on_job_recorded(job, self.jobs, self.final_states)
         self._update_queued(job)
         if job.cancelled:
             self.cancelled_jobs.add(job.id)
@@ -281,14 +281,14 @@
         self._index_attempts(job_id, job, None)
         self.queued_jobs.discard(job_id)
         self.cancelled_jobs.discard(job_id)
-        self.dependencies.dropped(job_id)
+        self.dependencies.on_record_deleted(job_id)
         _discard(self.jobs_by_team, job.spec.team, job_id)
         self.changes.teams.add(job.spec.team)
         self.changes.jobs.add(job_id)
 
     def _follow_dependencies(self) -> None:
         """Update jobs that became ready, or are cancelled with one that they depend on."""
-        changed, self.dependencies.changed = self.dependencies.changed, set()
+        changed, self.dependencies.changed_jobs = self.dependencies.changed_jobs, set()
         for job_id in changed:
             job = self.jobs.get(job_id)
             if job is not None:
@@ -297,7 +297,7 @@
                 self.changes.teams.add(job.spec.team)
 
     def _update_queued(self, job: Job) -> None:
-        if job.queued > 0 and job.id not in self.dependencies.waiting:
+        if job.queued_task_count > 0 and job.id not in self.dependencies.waiting_jobs:
             self.queued_jobs.add(job.id)
         else:
             self.queued_jobs.discard(job.id)
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -8,8 +8,8 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.api.user_requests import UserRequests
-from appledock.core.records.dependencies import Dependencies
+from appledock.core.api.status_polls import StatusPolls
+from appledock.core.records.dependencies import DependencyGraph
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import FINAL, FORMAT, JOBS
 from appledock.core.store.replica import Replica
@@ -69,18 +69,18 @@
 
 
 def test_tasks_that_do_not_wait_are_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    check = Dependencies._check
+    check = DependencyGraph._check
 
-    def ready(self: Dependencies, job_id: str) -> None:
+    def ready(self: DependencyGraph, job_id: str) -> None:
         check(self, job_id)
-        self.waiting.clear()
+        self.waiting_jobs.clear()
 
-    monkeypatch.setattr(Dependencies, "_check", ready)
+    monkeypatch.setattr(DependencyGraph, "_check", ready)
     assert "too_early" in day(1).judge.kinds()
 
 
 def test_a_cascade_that_stops_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Dependencies, "_ended_badly", lambda self, need: False)
+    monkeypatch.setattr(DependencyGraph, "_ended_badly", lambda self, need: False)
     assert "orphaned" in day(1, until=60.0).judge.kinds()
 
 
@@ -119,7 +119,9 @@
     assert {world.judge.final[job][0] for job in world.judge.accepted} == {"withdrawn"}
     # Answered once its own record is proven, whatever the picture has of the others.
     monkeypatch.setattr(
-        UserRequests, "_tell_current", lambda self, asked, revision: self._tell(asked, False)
+        StatusPolls,
+        "answer_at_revision",
+        lambda self, request, revision: self.answer(request, is_absence_confirmed=False),
     )
     assert "went_back" in lagging().judge.kinds()
 
@@ -190,7 +192,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        UserRequests, "_tell_current", lambda self, asked, revision: self._tell(asked, False)
+        StatusPolls,
+        "answer_at_revision",
+        lambda self, request, revision: self.answer(request, is_absence_confirmed=False),
     )
     assert cancelled_at_the_root(1, DEEP)[2] != []
 
@@ -219,15 +223,15 @@
     stages: Stages, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with monkeypatch.context() as changed:
-        changed.setattr(Dependencies, "_ended_badly", lambda self, need: False)
+        changed.setattr(DependencyGraph, "_ended_badly", lambda self, need: False)
         assert "orphaned" in cancelled_at_the_root(1, stages)[0].judge.kinds()
-    check = Dependencies._check
+    check = DependencyGraph._check
 
-    def ready(self: Dependencies, job_id: str) -> None:
+    def ready(self: DependencyGraph, job_id: str) -> None:
         check(self, job_id)
-        self.waiting.clear()
+        self.waiting_jobs.clear()
 
-    monkeypatch.setattr(Dependencies, "_check", ready)
+    monkeypatch.setattr(DependencyGraph, "_check", ready)
     assert "too_early" in done_in_order(stages)[0].judge.kinds()
 
 
@@ -407,7 +411,9 @@
     """It is read; until then the job behind it is neither placed nor answered for."""
     e = ready_engine()
     e.replica.set_job(Job(spec(id="job-2", tethers=["job-1"]), 0.0, 3))
-    assert "job-2" not in e.replica.queued_jobs and e.replica.dependencies.undecided("job-2")
+    assert "job-2" not in e.replica.queued_jobs and e.replica.dependencies.has_unknown_outcome(
+        "job-2"
+    )
     effects = e.handle([ev.Tick()], 100.1, 0.0)
     read = next(x for x in calls(effects, GetKey) if x.request.key.startswith(JOBS))
     effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(9))], 100.2, 0.0)
@@ -432,7 +438,7 @@
 def test_a_job_that_others_need_is_spared_as_they_are_and_stops_nobody_for_their_sake() -> None:
     e = ready_engine()
     room = type("Place", (), {"name": "vm-1", "agent_epoch": 1})()
-    e.workers.get_or_create("vm-1")
+    e.workers.worker_table.get_or_create("vm-1")
     running = [Attempt("vm-1", 1, 1, 1, False, {0})]
     e.replica.set_job(
         Job(spec(id="job-1", rank="best_effort", sail_s=None), 0.0, 2, attempts=running)
@@ -440,7 +446,7 @@
     standard = Job(spec(id="job-5", rank="standard"), 0.0, 3)
     assert [victim.job.id for victim in e.preemption.preemptible_tasks(standard, room)] == ["job-1"]
     e.replica.set_job(Job(spec(id="job-2", rank="urgent", tethers=["job-1"]), 0.0, 4))
-    assert e.rank(e.replica.jobs["job-1"]) == wire.RANKS["urgent"]
+    assert e.replica.dependencies.inherited_rank(e.replica.jobs["job-1"]) == wire.RANKS["urgent"]
     assert e.preemption.preemptible_tasks(standard, room) == []
     # Nor does its inherited rank stop others: that of `standard` is lower than urgent.
     e.replica.set_job(
@@ -451,6 +457,6 @@
             attempts=[Attempt("vm-2", 1, 1, 1, False, {0})],
         )
     )
-    e.workers.get_or_create("vm-2")
+    e.workers.worker_table.get_or_create("vm-2")
     other = type("Place", (), {"name": "vm-2", "agent_epoch": 1})()
     assert e.preemption.preemptible_tasks(e.replica.jobs["job-1"], other) == []
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -23,7 +23,7 @@
     """The machine goes on reporting, the controller keeps its authority."""
     effects: list[ev.Effect] = []
     for step in range(int(seconds)):
-        e.membership.touch_sent = e.membership.view_sent = NOW + step
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = NOW + step
         seq = e.workers.table["vm-1"].status.newest.seq + 1
         effects += e.handle([ev.Reported(seq, report(seq)), ev.Tick()], NOW + step, 0.0)
     return effects
@@ -50,16 +50,16 @@
     e = follower()
     e.handle([ev.PeerMessage(IDLE)], NOW, 0.0)
     live_on(e, c.CORDON_LAPSE_S)
-    assert not e.placeable(e.workers.table["vm-1"])
+    assert not e.eligibility.is_eligible(e.workers.table["vm-1"])
     live_on(e, c.CORDON_LAPSE_S + 3)
-    assert e.placeable(e.workers.table["vm-1"])
+    assert e.eligibility.is_eligible(e.workers.table["vm-1"])
 
 
 def test_a_former_leader_keeps_no_cordon() -> None:
     e = follower()
     e.fleet.returns.cordon("vm-1", "idle")
     live_on(e, c.CORDON_LAPSE_S + 3)
-    assert e.placeable(e.workers.table["vm-1"])
+    assert e.eligibility.is_eligible(e.workers.table["vm-1"])
 
 
 def test_what_operators_cordon_stays() -> None:
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -5,7 +5,7 @@
 import pytest
 
 from appledock import wire
-from appledock.core.workers.commands import Commands
+from appledock.core.workers.command_reconciler import CommandReconciler
 from tests.standins.world import World
 
 
@@ -64,7 +64,7 @@
     world = moved_twice(3)
     assert world.judge.broken == []
     # The guard taken out: the judge sees tasks on two machines.
-    monkeypatch.setattr(Commands, "may_come_again", staticmethod(lambda *_: False))
+    monkeypatch.setattr(CommandReconciler, "may_run_again", staticmethod(lambda *_: False))
     assert "ran_twice" in moved_twice(3).judge.kinds()
 
 
@@ -89,6 +89,6 @@
     assert world.judge.final["job-000000"][0] == wire.DONE
     assert sum(len(worker.tasks) for worker in world.cloud.workers.values()) == 3
     for node in world.nodes.values():
-        node.engine.membership.want_term = True
+        node.engine.view_requests.new_term = True
     world.clock.run(50.0)
     assert all(not worker.tasks for worker in world.cloud.workers.values())
