--- a/appledock/core/workers/command_reconciler.py
+++ b/appledock/core/workers/command_reconciler.py
@@ -51,7 +51,7 @@
                 if known is None or known.job.cancelled or known.attempt.stopping:
                     commands += self._halt(worker, key, entry, known)
             elif known is None and not pushed and self._is_outcome_certain(worker, key):
-                # Forgotten only once recorded: the worker's books are the only proof before.
+                # Forgotten only once recorded: until then the worker's memory is the only proof.
                 if self.may_run_again(worker, key):
                     # Those of earlier terms go as soon as the worker shows the present one:
                     # another new term would cost the cluster a view and gain nothing.
@@ -72,7 +72,7 @@
         launch for a new one, and the task would run here while its next attempt runs elsewhere,
         or long after its job was cancelled. A completed one would only be there for a moment, its
         result being kept, but that moment counts for its team's limit and for its job's zones.
-        So attempts stay on the worker's books until a higher term makes the copy void.
+        So the worker remembers attempts until a higher term makes the copy void.
         """
         return worker.commanded.repeatable_launches.get(key, -1) >= worker.fencing_token
 
--- a/appledock/core/workers/heartbeat_intake.py
+++ b/appledock/core/workers/heartbeat_intake.py
@@ -40,7 +40,7 @@
         self.dissemination = dissemination
 
     def ingest_and_broadcast(self, report: wire.Report) -> bool:
-        """Take in a heartbeat that came straight from its worker, and tell the peers of it.
+        """Take in a heartbeat that came straight from its worker, and broadcast it to the peers.
 
         False: it is no newer than the one known, and nothing was done.
         """
@@ -63,7 +63,7 @@
         old, old_tasks = worker.report, worker.tasks
         number = HeartbeatNumber(report.session, report.seq)
         # A number may be known without its heartbeat: a link that lost the heartbeat brought
-        # the message that later ones showed nothing new. Then the heartbeat itself is news.
+        # the message that later ones showed nothing new. Then the heartbeat itself is still new.
         if number < worker.status.newest or (old is not None and number <= (old.session, old.seq)):
             return False
         worker.status.newest = number
--- a/appledock/core/workers/lease_expiry.py
+++ b/appledock/core/workers/lease_expiry.py
@@ -41,7 +41,7 @@
         self.observers = observers
 
     def check(self, worker: Worker) -> None:
-        """Mark the worker's agent epoch expired, and tell the peers, if that is proven."""
+        """Mark the worker's agent epoch expired, and broadcast that, if it is proven."""
         # An epoch that was received from lives on for a lease even if nobody answers it.
         ends_at = (
             max(worker.lease.renewable_until, worker.reachability.last_heartbeat_at)
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -148,7 +148,7 @@
         self.responder.on_heartbeat(request_id, report)
 
     def ingest_heartbeat(self, report: wire.Report) -> bool:
-        """Take a heartbeat in if it is newer than the one known; the peers are not told."""
+        """Take a heartbeat in if it is newer than the one known, without a broadcast."""
         return self.intake.ingest(report)
 
     def request_commands(self, machines: Iterable[str]) -> None:
@@ -178,7 +178,7 @@
 
     # --- peers ------------------------------------------------------------
     def on_peer(self, message: WorkerMessage) -> None:
-        """A peer sent news of workers."""
+        """A peer sent an update about workers."""
         self.peer_updates.apply(message)
 
     def on_peer_connected(self, peer: str) -> None:
--- a/appledock/core/workers/observers.py
+++ b/appledock/core/workers/observers.py
@@ -1,4 +1,4 @@
-"""What the workers' parts tell the parts above them."""
+"""What the workers' parts publish to the parts above them."""
 
 from __future__ import annotations
 
--- a/appledock/core/workers/probes.py
+++ b/appledock/core/workers/probes.py
@@ -19,7 +19,7 @@
         self.intake = intake
 
     def probe_if_due(self, worker: Worker) -> None:
-        """Probe the worker if a job of this controller waits for news of it."""
+        """Probe the worker if a job of this controller waits for its status."""
         now, reachability = self.runtime.now, worker.reachability
         if (
             worker.report is not None
--- a/appledock/core/workers/record.py
+++ b/appledock/core/workers/record.py
@@ -103,8 +103,8 @@
     """launches sent under the present term -> when last"""
     unconfirmed_launches: dict[TaskKey, int] = field(default_factory=dict)
     """launches pushed to the worker without an answer -> term. Until the worker has
-    seen a higher term they may still be executed, so the attempt must stay on the
-    worker's books: it is not forgotten."""
+    seen a higher term they may still be executed, so the attempt must stay among the
+    tasks that the worker remembers: it is not forgotten."""
     repeatable_launches: dict[TaskKey, int] = field(default_factory=dict)
     """launches pushed to the worker and answered -> term. A repeat of such a request
     is executed like the first one until the worker has seen a higher term."""
--- /dev/null
+++ b/tests/unit/workers/test_command_reconciler.py
@@ -0,0 +1,53 @@
+"""Command reconciliation, built from its collaborators."""
+
+from __future__ import annotations
+
+from appledock import constants, wire
+from appledock.core.membership.view_requests import ViewChangeRequests
+from appledock.core.workers.command_reconciler import CommandReconciler
+from tests.unit.workers.parts import MACHINE, Parts, heartbeat, task
+
+KEY = ("job-1/0", 1)
+EXITED = [task(wire.EXITED, wire.DONE)]
+
+
+def reconciler(parts: Parts) -> CommandReconciler:
+    return CommandReconciler(parts.runtime, parts.replica, parts.membership, ViewChangeRequests())
+
+
+def commands(parts: Parts, pushed: bool = False) -> list[wire.Command]:
+    return reconciler(parts).commands_for(parts.table.rows[MACHINE], pushed)
+
+
+def test_a_recorded_task_that_is_not_there_is_launched_and_again_only_after_a_while() -> None:
+    parts = Parts()
+    parts.open_attempt()
+    parts.intake.ingest(heartbeat(1))
+    assert commands(parts, pushed=True) == [wire.Command(wire.LAUNCH, *KEY)]
+    assert commands(parts) == []
+    parts.runtime.now += constants.LAUNCH_AGAIN_S
+    assert commands(parts) == [wire.Command(wire.LAUNCH, *KEY)]
+
+
+def test_a_task_without_a_record_is_halted_at_once() -> None:
+    parts = Parts()
+    parts.intake.ingest(heartbeat(1, [task(wire.RUNNING)]))
+    assert commands(parts, pushed=True) == [wire.Command(wire.HALT, *KEY, grace_s=0.0)]
+
+
+def test_an_exited_task_is_forgotten_only_in_an_answer_once_recorded_and_no_launch_may_come() -> (
+    None
+):
+    parts = Parts()
+    parts.open_attempt()
+    parts.intake.ingest(heartbeat(1, EXITED))
+    assert commands(parts) == []  # its record is still open
+    parts.replica.jobs.clear()
+    parts.replica.attempts_by_machine.clear()
+    commanded = parts.table.rows[MACHINE].commanded
+    for launches in (commanded.unconfirmed_launches, commanded.repeatable_launches):
+        launches[KEY] = 5
+        assert commands(parts) == []
+        launches.clear()
+    assert commands(parts, pushed=True) == []
+    assert commands(parts) == [wire.Command(wire.FORGET, *KEY)]
--- /dev/null
+++ b/tests/unit/workers/test_lease_expiry.py
@@ -0,0 +1,63 @@
+"""Lease expiry, built from its collaborators."""
+
+from __future__ import annotations
+
+from appledock import constants
+from appledock.core.events import PeerSend
+from appledock.core.messages import SessionLapsed
+from appledock.core.store.replica import View
+from appledock.core.workers.lease_expiry import LeaseExpiry
+from tests.unit.workers.parts import MACHINE, TERM, Parts, heartbeat
+
+
+def lease_expiry(parts: Parts) -> LeaseExpiry:
+    return LeaseExpiry(
+        parts.runtime,
+        parts.replica,
+        parts.membership,
+        parts.table,
+        parts.dissemination,
+        parts.observers,
+    )
+
+
+def test_an_epoch_expires_one_lease_after_the_last_possible_answer_and_not_before() -> None:
+    parts = Parts()
+    parts.open_attempt()
+    parts.intake.ingest(heartbeat(1))
+    worker, expiry = parts.table.rows[MACHINE], lease_expiry(parts)
+    worker.lease.renewable_until = 110.0  # later than the last heartbeat
+    lease_s = parts.runtime.settings.cluster.workers.lease_s
+    ends_at = 110.0 + lease_s * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN_S
+    parts.membership.view_confirmed_at = ends_at
+    parts.runtime.now = ends_at - 0.01
+    expiry.check(worker)
+    assert worker.lease.expired_epoch == 0 and parts.runtime.take_effects() == []
+    parts.runtime.now = ends_at
+    expiry.check(worker)
+    assert worker.lease.expired_epoch == 1
+    assert parts.runtime.take_effects() == [PeerSend(SessionLapsed(MACHINE, 1), None)]
+
+
+def test_no_epoch_expires_under_a_view_that_is_not_confirmed_for_the_whole_lease() -> None:
+    parts = Parts()
+    parts.open_attempt()
+    parts.intake.ingest(heartbeat(1))
+    worker = parts.table.rows[MACHINE]
+    parts.runtime.now = 1000.0
+    lease_expiry(parts).check(worker)  # the view was last confirmed at 100
+    assert worker.lease.expired_epoch == 0 and parts.views_in_doubt == 1
+
+
+def test_a_former_owner_that_is_still_a_member_may_answer_for_one_lease_more() -> None:
+    parts = Parts()
+    parts.intake.ingest(heartbeat(1))
+    worker = parts.table.rows[MACHINE]
+    worker.lease.renewable_until = 0.0
+    old = View(TERM, {"n1": "y"}, "n1")
+    parts.replica.view = View(TERM + 1, {"n0": "x"}, "n0")  # the former owner has left
+    lease_expiry(parts).on_view(old)
+    assert worker.lease.renewable_until == parts.runtime.now
+    parts.replica.view = View(TERM + 1, {"n0": "x", "n1": "y"}, "n0")
+    lease_expiry(parts).on_view(old)
+    assert worker.lease.renewable_until == parts.runtime.now + parts.runtime.lease_ttl_s
--- /dev/null
+++ b/tests/unit/workers/test_settlement_evidence.py
@@ -0,0 +1,64 @@
+"""Settlement evidence, built from its collaborators."""
+
+from __future__ import annotations
+
+import pytest
+
+from appledock import wire
+from appledock.core.records.attempt_verdict import AttemptVerdict
+from appledock.core.workers.settlement_evidence import SettlementEvidence
+from tests.unit.workers.parts import MACHINE, TERM, Parts, heartbeat, task
+
+
+def verdict(parts: Parts, cancelled: bool = False) -> AttemptVerdict | None:
+    job, attempt = parts.open_attempt(cancelled=cancelled)
+    evidence = SettlementEvidence(parts.membership, parts.table)
+    return evidence.verdict(job, attempt, 0)
+
+
+@pytest.mark.parametrize(
+    ("state", "why", "expected"),
+    [
+        (wire.RUNNING, None, None),
+        (wire.SAVING, None, None),
+        (wire.EXITED, wire.DONE, AttemptVerdict.DONE),
+        (wire.EXITED, wire.ERROR, AttemptVerdict.FAILED),
+        (wire.EXITED, wire.UNKNOWN, AttemptVerdict.FAILED),
+        (wire.EXITED, wire.STOPPED, AttemptVerdict.SETTLED),
+    ],
+)
+def test_the_verdict_on_a_task_that_the_worker_shows(
+    state: str, why: str | None, expected: AttemptVerdict | None
+) -> None:
+    parts = Parts()
+    parts.intake.ingest(heartbeat(1, [task(state, why)]))
+    assert verdict(parts) is expected
+
+
+def test_a_missing_heartbeat_proves_nothing_and_an_ended_epoch_settles() -> None:
+    parts = Parts()
+    assert verdict(parts) is None
+    parts.table.get_or_create(MACHINE)
+    assert verdict(parts) is None
+    parts.table.mark_expired(MACHINE, 1)
+    assert verdict(parts) is AttemptVerdict.SETTLED
+
+
+def test_a_task_never_seen_is_settled_by_a_higher_fencing_token_or_a_record_that_forbids_it() -> (
+    None
+):
+    parts = Parts()
+    parts.intake.ingest(heartbeat(1))
+    assert verdict(parts) is None  # a launch may be on its way
+    assert verdict(parts, cancelled=True) is AttemptVerdict.SETTLED
+    parts.table.rows[MACHINE].commanded.launched_at["job-1/0", 1] = 99.0
+    assert verdict(parts, cancelled=True) is None
+    parts.intake.ingest(heartbeat(2, token=TERM + 1))
+    assert verdict(parts, cancelled=True) is AttemptVerdict.SETTLED
+
+
+def test_a_deleted_machine_settles_whatever_was_there() -> None:
+    parts = Parts()
+    parts.intake.ingest(heartbeat(1, [task(wire.RUNNING)]))
+    parts.table.mark_deleted([MACHINE])
+    assert verdict(parts) is AttemptVerdict.SETTLED
