--- a/tests/unit/workers/parts.py
+++ b/tests/unit/workers/parts.py
@@ -9,8 +9,9 @@
 from appledock import wire
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.records.job import Attempt, Job
+from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.workers import WorkerObservers
 from appledock.core.workers.dissemination import Dissemination
 from appledock.core.workers.heartbeat_intake import HeartbeatIntake
