--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -111,11 +111,21 @@
             self.workers.verdict,
             lambda machine, job_id: self.fleet.task_failed(machine, job_id),  # noqa: PLW0108 -- built later
         )
-        self.preemption = Preemption(self)
         self.job_writer = JobWriter(self)
         self.stop_requests = StopRequests(
             self.runtime, self.replica, self.job_writer, self.reconcile_queue
         )
+        self.preemption = Preemption(
+            runtime=self.runtime,
+            replica=self.replica,
+            workers=self.workers,
+            capacity_index=self.capacity_index,
+            quota_usage=self.quota_usage,
+            operator_settings=self.operator_settings,
+            reconcile_queue=self.reconcile_queue,
+            stop_requests=self.stop_requests,
+            places_everywhere=self.partitions.places_everywhere,
+        )
         self.handoff = HandOff(self.runtime, self.replica)
         self.pacing = Pacing(
             self.runtime,
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -1,20 +1,21 @@
-"""Making room by stopping tasks, exactly as far as the protocol allows.
+"""Preemption: stopping tasks so that a job of higher priority can start.
 
-Work of a job may be stopped for a job of higher priority. The victims are
-those that lose least; their records are marked first (by their jobs' owners),
-then the worker is told, and the room is kept for the job it was made for.
+Victims are requested to stop through their jobs' owners, which commit that to the records
+before the workers are commanded. Until then, and until the tasks have ended, a claim keeps the
+machine for the job that preempts.
 """
 
 from __future__ import annotations
 
 import logging
 import math
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import NamedTuple, Protocol
 
-from appledock import constants as c
-from appledock import wire
-from appledock.core.machines.capacity_index import StepReservation
+from appledock import constants
+from appledock.core.jobs.reconcile_queue import ReconcileQueue
+from appledock.core.machines.capacity_index import CapacityIndex, StepReservation
 from appledock.core.machines.machine_capacity import (
     MachineCapacity,
     image_fetch_s,
@@ -22,261 +23,283 @@
     is_zone_open,
     max_tasks_per_zone,
 )
+from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.resources import NO_RESOURCES, Resources, demand_of, limit_of
+from appledock.core.quota.usage import QuotaUsage
 from appledock.core.records.job import Job
-
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
+from appledock.core.runtime import Runtime
+from appledock.core.scheduling.victim_selection import (
+    PreemptionOption,
+    Victim,
+    is_preemptible,
+    preemption_cost_s,
+    running_tasks,
+    select_victims,
+)
+from appledock.core.store.replica import Replica
+from appledock.core.workers import Workers
 
 log = logging.getLogger(__name__)
 
 
-@dataclass(frozen=True, slots=True)
-class Victim:
-    """One task that could be stopped."""
+class StopRequester(Protocol):
+    """Passes requests to stop tasks to the owners of their jobs."""
 
-    job: Job
-    task: int
-    lost: float
-    """core seconds of work that stopping it throws away"""
+    def send_to_owner(self, job: Job, machine: str, tasks: set[int]) -> None:
+        """Have these tasks of the job on the machine stopped."""
 
 
 @dataclass(frozen=True, slots=True)
-class Option:
-    """A machine that could be cleared, and what that costs in seconds."""
+class Claim:
+    """A machine on which tasks are being stopped for a job."""
 
-    cost: float
-    room: MachineCapacity
-    victims: list[Victim]
+    machine: str
+    expires_at: float
 
 
-@dataclass(slots=True)
-class Claim:
-    """Capacity being made for a job."""
+class FreeStart(NamedTuple):
+    """A machine on which a task could start at once; the least is the best."""
 
+    fetch_s: float
+    is_foreign: bool
+    """is the machine in another controller's shard?"""
     machine: str
-    until: float
-
-
-def select_victims(
-    spec: wire.JobSpec,
-    room: MachineCapacity,
-    victims: list[Victim],
-    short: Resources = NO_RESOURCES,
-) -> list[Victim] | None:
-    """The cheapest victims, cheapest first, that make room for one task and free
-    `short` of their team's limit; None if even all of them do not."""
-    cpus, gpus, memory = room.cpus, room.gpus, room.memory_gb
-    chosen: list[Victim] = []
-    freed = NO_RESOURCES
-    for victim in sorted(victims, key=lambda v: (v.lost, v.job.id, v.task)):
-        if _enough(spec, cpus, gpus, memory) and short.fits_in(freed):
-            break
-        chosen.append(victim)
-        cpus += victim.job.spec.cpus
-        gpus += victim.job.spec.gpus
-        memory += victim.job.spec.memory_gb
-        freed = Resources(freed.cpus + victim.job.spec.cpus, freed.gpus + victim.job.spec.gpus)
-    good = _enough(spec, cpus, gpus, memory) and short.fits_in(freed)
-    return chosen if good and chosen else None
-
-
-def _enough(spec: wire.JobSpec, cpus: float, gpus: float, memory: float) -> bool:
-    return (
-        cpus + c.EPSILON >= spec.cpus
-        and gpus + c.EPSILON >= spec.gpus
-        and memory + c.EPSILON >= spec.memory_gb
-    )
+    owner: str
 
 
 class Preemption:
-    """Claims on machines and the victims that clear them."""
-
-    def __init__(self, engine: Controller) -> None:
-        self.e = engine
+    """Selects victims, has them stopped, and keeps the claims of the jobs that preempt.
+
+    `places_everywhere` says whether a job's partition is filled by this controller alone,
+    whoever owns the machines' shards.
+    """
+
+    def __init__(  # noqa: PLR0913 -- victims depend on records, workers, capacity and quota
+        self,
+        *,
+        runtime: Runtime,
+        replica: Replica,
+        workers: Workers,
+        capacity_index: CapacityIndex,
+        quota_usage: QuotaUsage,
+        operator_settings: OperatorSettings,
+        reconcile_queue: ReconcileQueue,
+        stop_requests: StopRequester,
+        places_everywhere: Callable[[Job], bool],
+    ) -> None:
+        self._runtime = runtime
+        self._replica = replica
+        self._workers = workers
+        self._capacity_index = capacity_index
+        self._quota_usage = quota_usage
+        self._operator_settings = operator_settings
+        self._reconcile_queue = reconcile_queue
+        self._stop_requests = stop_requests
+        self._places_everywhere = places_everywhere
         self.claims: dict[str, list[Claim]] = {}
-        """job -> machines being cleared for it"""
+        """job -> its claims"""
         self.claimed_machines: dict[str, str] = {}
-        """machine -> job that it is being cleared for"""
+        """machine -> job that claims it, as of the last `expire_claims`"""
 
+    # --- claims -----------------------------------------------------------
     def expire_claims(self) -> None:
-        """Claims end: the room must not stay empty if the job went elsewhere."""
-        now = self.e.now
+        """Drop claims that are too old or whose job has nothing to start any more.
+
+        Otherwise the machine would stay empty for a job that was placed elsewhere.
+        """
         for job_id in list(self.claims):
-            job = self.e.replica.jobs.get(job_id)
-            left = [claim for claim in self.claims[job_id] if claim.until > now]
-            if (
-                left
-                and job is not None
-                and (
-                    job.queued_task_count > 0 or job_id in self.e.reconcile_queue.capacity_freed_at
-                )
-            ):
-                self.claims[job_id] = left
+            job = self._replica.jobs.get(job_id)
+            unexpired = [
+                claim for claim in self.claims[job_id] if claim.expires_at > self._runtime.now
+            ]
+            if unexpired and job is not None and self._has_tasks_to_start(job):
+                self.claims[job_id] = unexpired
             else:
                 del self.claims[job_id]
         self.claimed_machines = {
             claim.machine: job_id for job_id, claims in self.claims.items() for claim in claims
         }
 
+    def _has_tasks_to_start(self, job: Job) -> bool:
+        return job.queued_task_count > 0 or job.id in self._reconcile_queue.capacity_freed_at
+
     def is_available_to(self, machine: str, job: Job) -> bool:
-        """Is the machine not being cleared for another job?"""
+        """Is the machine not claimed by another job?"""
         return self.claimed_machines.get(machine, job.id) == job.id
 
-    def release_claims(self, job_id: str, reserved: list[StepReservation]) -> None:
-        """A step was committed: its machines need no claim any more."""
-        machines = {machine for machine, _, _ in reserved}
+    def release_claims(self, job_id: str, reservations: Iterable[StepReservation]) -> None:
+        """Drop the job's claims on machines of a step that was committed."""
+        machines = {reservation.machine for reservation in reservations}
         left = [claim for claim in self.claims.get(job_id, ()) if claim.machine not in machines]
         if left:
             self.claims[job_id] = left
         else:
             self.claims.pop(job_id, None)
 
-    def preemptible_tasks(self, job: Job, room: MachineCapacity) -> list[Victim]:
+    # --- options ----------------------------------------------------------
+    def preemptible_tasks(self, job: Job, machine: MachineCapacity) -> list[Victim]:
         """Tasks on the machine that may be stopped for the job."""
-        worker = self.e.workers.table.get(room.name)
-        result: list[Victim] = []
+        worker = self._workers.table.get(machine.name)
         if worker is None:
-            return result
-        for other_id, attempts in self.e.replica.attempts_by_machine.get(room.name, {}).items():
-            other = self.e.replica.jobs[other_id]
-            # A job that others need is spared as they are, but stops nobody for their sake:
-            # wide early stages with the rank of the last one had 600 tasks stopped and
-            # started again on one day, and the writes that this took were what lacked.
-            if (
-                self.e.replica.dependencies.inherited_rank(other) >= job.spec.rank
-                or other.cancelled
-                or other.spec.gang
-            ):
-                continue
-            for attempt in attempts:
-                if attempt.stopping or attempt.agent_epoch != room.agent_epoch:
-                    continue
-                for task in attempt.tasks:
-                    key = (f"{other_id}/{task}", attempt.attempt_number)
-                    shown = worker.tasks.get(key)
-                    if shown is not None and shown.state == wire.EXITED:
-                        continue  # over, and only not recorded yet
-                    ran = self.e.now - worker.status.running_since.get(key, self.e.now)
-                    if other.spec.checkpoint_s > 0:
-                        ran = min(ran, other.spec.save_s)
-                    result.append(Victim(other, task, ran * max(other.spec.cpus, 0.1)))
-        return result
-
-    def _options(self, job: Job, zones: dict[str, int], within_team: bool) -> list[Option]:
-        """Machines of a sample that could be cleared for a task of the job, the
-        cheapest first."""
+            return []
+        jobs, inherited_rank = self._replica.jobs, self._replica.dependencies.inherited_rank
+        attempts_here = self._replica.attempts_by_machine.get(machine.name, {})
+        victims: list[Victim] = []
+        for job_id, attempts in attempts_here.items():
+            other = jobs[job_id]
+            if is_preemptible(other, inherited_rank(other), job):
+                victims += running_tasks(
+                    other, attempts, machine.agent_epoch, worker, self._runtime.now
+                )
+        return victims
+
+    def _options(
+        self, job: Job, tasks_by_zone: dict[str, int], *, within_team: bool
+    ) -> list[PreemptionOption]:
+        """Machines of a sample with victims for one task of the job, the cheapest first."""
         spec = job.spec
-        cap = max_tasks_per_zone(spec)
-        used = {zone for zone, number in zones.items() if number}
-        short = self._short(job) if within_team else NO_RESOURCES
-        result = []
-        rooms = list(self.e.capacity_index.machines.values())
-        if len(rooms) > c.CLEAR_SAMPLE:
-            # Half of the sample among those that have the image, if there are any: an
-            # image of 5 GB takes longer than a boot.
-            held = sorted(self.e.capacity_index.machines_by_image.get(spec.image, ()))
-            half = c.CLEAR_SAMPLE // 2
-            names = set(held if len(held) <= half else self.e.rng.sample(held, half))
-            rest = self.e.rng.sample(rooms, c.CLEAR_SAMPLE - len(names))
-            rooms = [self.e.capacity_index.machines[name] for name in sorted(names)] + [
-                room for room in rest if room.name not in names
-            ]
-        for room in rooms:
-            if (
-                not is_allowed_on(spec, room)
-                or zones.get(room.zone, 0) >= cap
-                or (spec.one_zone and used and room.zone not in used)
-                or not self.is_available_to(room.name, job)
-                or any(x.machine == room.name for x in self.claims.get(job.id, ()))
-            ):
-                continue
-            victims = self.preemptible_tasks(job, room)
+        weight = self._operator_settings["lost_work_weight"]
+        quota_deficit = self._quota_deficit(job) if within_team else NO_RESOURCES
+        options: list[PreemptionOption] = []
+        for machine in self._candidates(job, tasks_by_zone):
+            victims = self.preemptible_tasks(job, machine)
             if within_team:
-                victims = [v for v in victims if v.job.spec.team == spec.team]
-            chosen = select_victims(spec, room, victims, short)
-            if chosen is not None:
-                cost = image_fetch_s(spec, room) + self.e.operator_settings[
-                    "lost_work_weight"
-                ] * sum(victim.lost for victim in chosen) / max(spec.cpus, 0.1)
-                result.append(Option(cost, room, chosen))
-        return sorted(result, key=lambda option: (option.cost, option.room.name))
-
-    def _short(self, job: Job) -> Resources:
+                victims = [victim for victim in victims if victim.job.spec.team == spec.team]
+            selected = select_victims(spec, machine, victims, quota_deficit)
+            if selected is not None:
+                cost_s = preemption_cost_s(spec, machine, selected, weight)
+                options.append(PreemptionOption(cost_s, machine, selected))
+        return sorted(options, key=lambda option: (option.cost_s, option.machine.name))
+
+    def _candidates(self, job: Job, tasks_by_zone: dict[str, int]) -> list[MachineCapacity]:
+        """Machines of a sample that meet the job's constraints and that nobody claims."""
+        spec = job.spec
+        zone_limit = max_tasks_per_zone(spec)
+        used_zones = {zone for zone, count in tasks_by_zone.items() if count}
+        claimed = self.claimed_machines
+        own_claims = {claim.machine for claim in self.claims.get(job.id, ())}
+        return [
+            machine
+            for machine in self._sample(spec.image)
+            if is_allowed_on(spec, machine)
+            and tasks_by_zone.get(machine.zone, 0) < zone_limit
+            and not (spec.one_zone and used_zones and machine.zone not in used_zones)
+            and claimed.get(machine.name, job.id) == job.id
+            and machine.name not in own_claims
+        ]
+
+    def _sample(self, image: str) -> list[MachineCapacity]:
+        """All machines, or a random sample if they are many.
+
+        Half of the sample is drawn from machines that have the image, if there are any: to
+        fetch a large image takes longer than to boot a machine.
+        """
+        machines = list(self._capacity_index.machines.values())
+        if len(machines) <= constants.CLEAR_SAMPLE:
+            return machines
+        rng = self._runtime.rng
+        with_image = sorted(self._capacity_index.machines_by_image.get(image, ()))
+        half = constants.CLEAR_SAMPLE // 2
+        names = set(with_image if len(with_image) <= half else rng.sample(with_image, half))
+        others = rng.sample(machines, constants.CLEAR_SAMPLE - len(names))
+        return [self._capacity_index.machines[name] for name in sorted(names)] + [
+            machine for machine in others if machine.name not in names
+        ]
+
+    def _quota_deficit(self, job: Job) -> Resources:
         """What the team's limit lacks for one more task of the job."""
-        limits = self.e.teams[job.spec.team]
-        held = self.e.quota_usage.held_by_team(job.spec.team)
-        return (held + demand_of(job.spec, 1)).above(limit_of(limits))
+        limit = limit_of(self._runtime.teams[job.spec.team])
+        held = self._quota_usage.held_by_team(job.spec.team)
+        return (held + demand_of(job.spec, 1)).above(limit)
 
+    # --- preemption -------------------------------------------------------
     def preempt_for(
-        self, job: Job, count: int, zones: dict[str, int], within_team: bool = False
+        self, job: Job, tasks: int, tasks_by_zone: dict[str, int], within_team: bool = False
     ) -> str | None:
-        """Clear machines of ours for up to `count` tasks; else name the controller
-        whose machines could be cleared. `within_team`: the team's limit is what
-        lacks, so only its own work makes way."""
-        count -= len(self.claims.get(job.id, ()))
-        if count <= 0:
+        """Have victims stopped for up to `tasks` tasks of the job, on machines placed from here.
+
+        Returns the controller to hand the job to if only machines of others have victims that
+        suffice; None otherwise. `within_team`: it is the team's limit that is exhausted, so
+        only work of the same team is stopped.
+        """
+        tasks -= len(self.claims.get(job.id, ()))
+        if tasks <= 0:
             return None
-        options = self._options(job, zones, within_team)
-        ours = self.e.partitions.places_everywhere(job)
-        me = self.e.settings.name
-        own = [option for option in options if ours or option.room.owner == me]
+        options = self._options(job, tasks_by_zone, within_team=within_team)
+        places_everywhere = self._places_everywhere(job)
+        node = self._runtime.node
+        own = [option for option in options if places_everywhere or option.machine.owner == node]
         if not own:
-            return options[0].room.owner if options else None
+            return options[0].machine.owner if options else None
         if job.spec.one_zone or job.spec.spread:
-            count = 1
-        for option in own[:count]:
-            self._clear(job, option)
+            # One after the other: each start changes which zones are open to the next.
+            tasks = 1
+        for option in own[:tasks]:
+            self._preempt(job, option)
         return None
 
     def find_faster_start(
-        self, job: Job, rooms: list[MachineCapacity], zones: dict[str, int]
+        self, job: Job, machines: list[MachineCapacity], tasks_by_zone: dict[str, int]
     ) -> str | None:
-        """Where a task of the job would wait least for its image, if that is not
-        on a free machine of ours: another controller's name, or our own when a
-        machine of ours is being cleared. None: place it as usual."""
+        """The controller with which a task of the job starts sooner than on free capacity here.
+
+        Another controller's name if a task would wait less for its image on one of its
+        machines; this controller's own if victims on a machine of its own are being stopped.
+        None: place the job as usual.
+        """
         if self.claims.get(job.id):
             return None
-        spec, me = job.spec, self.e.settings.name
-        free: tuple[float, bool, str, str] | None = None
-        own = math.inf
-        for room in rooms:
-            if (
-                room.fits(spec)
-                and is_allowed_on(spec, room)
-                and is_zone_open(spec, room.zone, zones)
-                and self.is_available_to(room.name, job)
+        node = self._runtime.node
+        free, own_fetch_s = self._best_free_start(job, machines, tasks_by_zone)
+        if free is None or free.fetch_s > constants.PREEMPT_MARGIN_S:
+            options = self._options(job, tasks_by_zone, within_team=False)
+            if options and (
+                free is None or options[0].cost_s + constants.PREEMPT_MARGIN_S < free.fetch_s
             ):
-                wait, foreign = image_fetch_s(spec, room), room.owner != me
-                if not foreign:
-                    own = min(own, wait)
-                row = (wait, foreign, room.name, room.owner)
-                if free is None or row < free:
-                    free = row
-        if free is None or free[0] > c.PREEMPT_MARGIN_S:
-            options = self._options(job, zones, False)
-            if options and (free is None or options[0].cost + c.PREEMPT_MARGIN_S < free[0]):
-                option = options[0]
-                if option.room.owner != me:
-                    return option.room.owner
-                self._clear(job, option)
-                return me
-        if free is not None and free[0] + c.PREEMPT_MARGIN_S < own and free[3] != me:
-            return free[3]
+                if options[0].machine.owner == node:
+                    self._preempt(job, options[0])
+                return options[0].machine.owner
+        if (
+            free is not None
+            and free.owner != node
+            and free.fetch_s + constants.PREEMPT_MARGIN_S < own_fetch_s
+        ):
+            return free.owner
         return None
 
-    def _clear(self, job: Job, option: Option) -> None:
-        machine = option.room.name
+    def _best_free_start(
+        self, job: Job, machines: list[MachineCapacity], tasks_by_zone: dict[str, int]
+    ) -> tuple[FreeStart | None, float]:
+        """The best machine with capacity, and the least fetch time (s) on machines of ours."""
+        spec, node = job.spec, self._runtime.node
+        best: tuple[float, bool, str, str] | None = None
+        own_fetch_s = math.inf
+        for machine in machines:
+            if (
+                machine.fits(spec)
+                and is_allowed_on(spec, machine)
+                and is_zone_open(spec, machine.zone, tasks_by_zone)
+                and self.is_available_to(machine.name, job)
+            ):
+                fetch_s, is_foreign = image_fetch_s(spec, machine), machine.owner != node
+                if not is_foreign:
+                    own_fetch_s = min(own_fetch_s, fetch_s)
+                start = (fetch_s, is_foreign, machine.name, machine.owner)
+                if best is None or start < best:
+                    best = start
+        return (FreeStart(*best) if best is not None else None), own_fetch_s
+
+    def _preempt(self, job: Job, option: PreemptionOption) -> None:
+        """Claim the option's machine for the job and request that its victims stop."""
+        machine = option.machine.name
         log.info(
-            "%s clears %s of %s",
+            "preemption requested: job=%s machine=%s victims=%s",
             job.id,
             machine,
             [f"{victim.job.id}/{victim.task}" for victim in option.victims],
         )
-        self.claims.setdefault(job.id, []).append(Claim(machine, self.e.now + c.CLAIM_S))
+        expires_at = self._runtime.now + constants.CLAIM_S
+        self.claims.setdefault(job.id, []).append(Claim(machine, expires_at))
         self.claimed_machines[machine] = job.id
         for victim in option.victims:
-            self._stop(victim, machine)
-
-    def _stop(self, victim: Victim, machine: str) -> None:
-        self.e.stop_requests.send_to_owner(victim.job, machine, {victim.task})
+            self._stop_requests.send_to_owner(victim.job, machine, {victim.task})
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -19,9 +19,10 @@
 from appledock.core.quota.admission import QueuedDemand, admit_queue
 from appledock.core.quota.resources import Resources
 from appledock.core.records.job import Attempt, Job, decode_job
-from appledock.core.scheduling import placement, preemption
+from appledock.core.scheduling import placement
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.placement import Sampling
+from appledock.core.scheduling.victim_selection import Victim, select_victims
 from appledock.core.store.keys import JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
 from appledock.core.store.replica import Replica, View
@@ -162,16 +163,16 @@
     job = spec(rank="production", cores=3.0)
     small = Job(spec(id="job-2", cores=2.0), 0)
     victims = [
-        preemption.Victim(small, 0, 9.0),
-        preemption.Victim(small, 1, 1.0),
-        preemption.Victim(small, 2, 5.0),
+        Victim(small, 0, 9.0),
+        Victim(small, 1, 1.0),
+        Victim(small, 2, 5.0),
     ]
-    chosen = preemption.select_victims(job, room("m", 1), victims)
+    chosen = select_victims(job, room("m", 1), victims)
     assert [v.task for v in chosen or ()] == [1]
-    chosen = preemption.select_victims(job, room("m", 0), victims)
+    chosen = select_victims(job, room("m", 0), victims)
     assert [v.task for v in chosen or ()] == [1, 2]
-    assert preemption.select_victims(job, room("m", 0, memory=0.0), victims[:1]) is None
-    chosen = preemption.select_victims(job, room("m", 4), victims, Resources(3.0))
+    assert select_victims(job, room("m", 0, memory=0.0), victims[:1]) is None
+    chosen = select_victims(job, room("m", 4), victims, Resources(3.0))
     assert len(chosen or ()) == 2
 
 
