--- a/tests/guards.py
+++ b/tests/guards.py
@@ -8,7 +8,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.api.user_requests import UserRequests
+from appledock.core.api.status_polls import StatusPolls
+from appledock.core.api.submission_check import SubmissionCheck
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.quota import allocation, usage
 from appledock.core.quota.allocation import QuotaAllocation
@@ -20,11 +21,13 @@
 from appledock.core.store.keys import JOBS
 from appledock.core.store_calls import StoreRequest, Transaction
 from appledock.core.workers import Worker, Workers
+from appledock.core.workers.command_reconciler import CommandReconciler
+from appledock.core.workers.table import WorkerTable
 
 Patch = pytest.MonkeyPatch
 VERDICT, COMMANDS, SUBMIT, ALLOCATED = (
     Workers.verdict,
-    Workers.commands_for,
+    CommandReconciler.commands_for,
     StoreClient.submit,
     QuotaAllocation.allocated,
 )
@@ -33,7 +36,10 @@
 def silence_settles(patch: Patch, after_s: float = 6.0) -> None:
     def verdict(self: Workers, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
         worker = self.table.get(attempt.machine)
-        if worker is not None and self.engine.now - worker.reachability.last_heartbeat_at > after_s:
+        if (
+            worker is not None
+            and self.runtime.now - worker.reachability.last_heartbeat_at > after_s
+        ):
             return AttemptVerdict.SETTLED
         return VERDICT(self, job, attempt, task)
 
@@ -69,10 +75,10 @@
 def nobody_answered_before(patch: Patch) -> None:
     """A controller without memory takes workers for unheard of by anybody."""
 
-    def get_or_create(self: Workers, name: str) -> Worker:
-        return self.table.setdefault(name, Worker(name))
+    def get_or_create(self: WorkerTable, name: str) -> Worker:
+        return self.rows.setdefault(name, Worker(name))
 
-    patch.setattr(Workers, "get_or_create", get_or_create)
+    patch.setattr(WorkerTable, "get_or_create", get_or_create)
 
 
 def old_shares_hold(patch: Patch) -> None:
@@ -113,7 +119,7 @@
 
 
 def all_is_accepted(patch: Patch) -> None:
-    patch.setattr(UserRequests, "verdict", lambda self, spec: None)
+    patch.setattr(SubmissionCheck, "refusal", lambda self, spec: None)
 
 
 def no_word_of_mouth(patch: Patch) -> None:
@@ -132,18 +138,18 @@
 def no_halts(patch: Patch) -> None:
     no_word_of_mouth(patch)
     patch.setattr(
-        Workers,
+        CommandReconciler,
         "commands_for",
-        lambda self, worker, direct: [
-            x for x in COMMANDS(self, worker, direct) if x.op != wire.HALT
+        lambda self, worker, pushed: [
+            x for x in COMMANDS(self, worker, pushed) if x.op != wire.HALT
         ],
     )
 
 
 def answers_without_proof(patch: Patch) -> None:
-    def tell(self: UserRequests) -> None:
-        polls, self.polls = self.polls, []
-        for asked in polls:
-            self._tell(asked, True)
+    def confirm(self: StatusPolls) -> None:
+        polls, self._polls = self._polls, []
+        for request in polls:
+            self.answer(request, is_absence_confirmed=True)
 
-    patch.setattr(UserRequests, "_prove", tell)
+    patch.setattr(StatusPolls, "confirm", confirm)
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -8,7 +8,7 @@
 
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.api.user_requests import UserRequests
+from appledock.core.api.status_polls import StatusPolls
 from appledock.core.records.dependencies import DependencyGraph
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import FINAL, FORMAT, JOBS
@@ -119,7 +119,9 @@
     assert {world.judge.final[job][0] for job in world.judge.accepted} == {"withdrawn"}
     # Answered once its own record is proven, whatever the picture has of the others.
     monkeypatch.setattr(
-        UserRequests, "_tell_current", lambda self, asked, revision: self._tell(asked, False)
+        StatusPolls,
+        "answer_at_revision",
+        lambda self, request, revision: self.answer(request, is_absence_confirmed=False),
     )
     assert "went_back" in lagging().judge.kinds()
 
@@ -190,7 +192,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        UserRequests, "_tell_current", lambda self, asked, revision: self._tell(asked, False)
+        StatusPolls,
+        "answer_at_revision",
+        lambda self, request, revision: self.answer(request, is_absence_confirmed=False),
     )
     assert cancelled_at_the_root(1, DEEP)[2] != []
 
@@ -434,7 +438,7 @@
 def test_a_job_that_others_need_is_spared_as_they_are_and_stops_nobody_for_their_sake() -> None:
     e = ready_engine()
     room = type("Place", (), {"name": "vm-1", "agent_epoch": 1})()
-    e.workers.get_or_create("vm-1")
+    e.workers.worker_table.get_or_create("vm-1")
     running = [Attempt("vm-1", 1, 1, 1, False, {0})]
     e.replica.set_job(
         Job(spec(id="job-1", rank="best_effort", sail_s=None), 0.0, 2, attempts=running)
@@ -453,6 +457,6 @@
             attempts=[Attempt("vm-2", 1, 1, 1, False, {0})],
         )
     )
-    e.workers.get_or_create("vm-2")
+    e.workers.worker_table.get_or_create("vm-2")
     other = type("Place", (), {"name": "vm-2", "agent_epoch": 1})()
     assert e.preemption.preemptible_tasks(e.replica.jobs["job-1"], other) == []
