--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -20,6 +20,7 @@
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
 from appledock.core.jobs.stop_requests import StopRequests
+from appledock.core.jobs.team_record_writer import TeamRecordWriter
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.format_upgrade import NEWEST_FORMAT
@@ -102,7 +103,29 @@
             lambda machine, job_id: self.fleet.task_failed(machine, job_id),  # noqa: PLW0108 -- built later
         )
         self.preemption = Preemption(self)
-        self.job_writer = JobWriter(self)
+        self.team_record_writer = TeamRecordWriter(
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            quota_allocation=self.quota_allocation,
+            reconcile_queue=self.reconcile_queue,
+            fencing_conditions=self.membership.fencing_conditions,
+        )
+        self.job_writer = JobWriter(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            codec=self.codec,
+            quota_allocation=self.quota_allocation,
+            capacity_index=self.capacity_index,
+            reconcile_queue=self.reconcile_queue,
+            team_record_writer=self.team_record_writer,
+            fencing_conditions=self.membership.fencing_conditions,
+            partition_conditions=self.partitions.conditions,
+            is_step_rate_limited=lambda: self.pacing.is_step_rate_limited(),  # noqa: PLW0108 -- built later
+            commit_listeners=(self.preemption.release_claims, self.moves.placed),
+        )
         self.stop_requests = StopRequests(
             self.runtime, self.replica, self.job_writer, self.reconcile_queue
         )
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -65,7 +65,7 @@
                 self.queue.placement_due = True
         if self.e.now >= self.next_release:
             self.next_release = self.e.now + c.RELEASE_EVERY_S
-            self.writer.release_unused_allocations()
+            self.e.team_record_writer.release_unused_allocations()
         if self.queue.deferred_jobs and self.e.now >= self.next_later:
             self.next_later = self.e.now + c.QUEUE_EVERY_S
             self.queue.jobs |= self.queue.deferred_jobs
