--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -45,7 +45,7 @@
 from appledock.core.store.client import StoreClient
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
-from appledock.core.workers import Workers
+from appledock.core.workers import WorkerObservers, Workers
 from appledock.rebalancing.settings import Rebalancing
 from appledock.settings import Settings
 from appledock.settings import Team as TeamLimits
@@ -77,7 +77,22 @@
         self.heartbeats = Heartbeats(
             self.runtime, self.client, self.replica, self.membership, self._local_status
         )
-        self.workers = Workers(self)
+        self.workers = Workers(
+            self.runtime,
+            self.replica,
+            self.membership,
+            self.view_requests,
+            self.heartbeats,
+            self.reconcile_queue,
+            WorkerObservers(
+                on_capacity_changed=self._on_capacity_changed,
+                has_capacity=lambda machine: machine in self.capacity_index.machines,
+                on_task_completed=self._on_task_completed,
+                on_machine_deleted=self._on_machine_deleted,
+                on_unanswerable_heartbeat=self._on_unanswerable_heartbeat,
+                on_view_in_doubt=self._on_view_in_doubt,
+            ),
+        )
         self.membership_protocol = MembershipProtocol(
             runtime=self.runtime,
             client=self.client,
@@ -184,6 +199,22 @@
         """Work through a batch; `now` is the steady clock, `wall` the time of day (s)."""
         return self.engine.handle(batch, now, wall)
 
+    # --- what the workers tell parts that are built after them --------------
+    def _on_capacity_changed(self, machine: str) -> None:
+        self.capacity_index.mark_changed(machine)
+
+    def _on_task_completed(self, machine: str, job: Job, seconds: float) -> None:
+        self.rebalancer.completed(machine, job, seconds)
+
+    def _on_machine_deleted(self, machine: str) -> None:
+        self.rebalancer.speeds.forget(machine)
+
+    def _on_unanswerable_heartbeat(self, report: wire.Report) -> None:
+        self.cancellation.halt_cancelled_tasks(report)
+
+    def _on_view_in_doubt(self) -> None:
+        self.membership_protocol.confirm_view()
+
     def _local_status(self) -> LocalStatus:
         return LocalStatus(
             reporting_fraction=self.workers.reporting_fraction(),
