--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -97,7 +97,7 @@
             "queued_tasks": sum(job.queued_task_count for job in engine.replica.jobs.values()),
             "machines": sum(w.report is not None for w in engine.workers.table.values()),
             "booting": len(engine.fleet.booting()) if engine.membership.is_leader() else None,
-            "calls_waiting": budget.size(),
+            "calls_waiting": budget.count_queued(),
             "users_waiting": len(engine.user_requests.open_requests),
             "machine_types": sorted(engine.machine_types),
         }
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -79,7 +79,12 @@
         self.client = StoreClient(self.runtime)
         self.replica = Replica()
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
-        self.reader = StateReader(self)
+        self.reader = StateReader(
+            self.runtime,
+            self.client,
+            self.replica,
+            on_loaded=self._on_replica_loaded,
+        )
         self.view_requests = ViewChangeRequests()
         self.membership = Membership(self.runtime, self.replica)
         self.heartbeats = Heartbeats(
@@ -253,6 +258,10 @@
         return self.engine.handle(batch, now, wall)
 
     # --- what the workers tell parts that are built after them --------------
+    def _on_replica_loaded(self) -> None:
+        """Join at once instead of with the next tick."""
+        self.membership_protocol.tick()
+
     def _on_capacity_changed(self, machine: str) -> None:
         self.capacity_index.mark_changed(machine)
 
--- a/appledock/core/runtime.py
+++ b/appledock/core/runtime.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from appledock import constants as c
+from appledock import constants
 from appledock.core.events import CloudReply, Effect, StoreReply, WorkerReply
 from appledock.settings import Settings
 from appledock.settings import Team as TeamLimits
@@ -38,7 +38,8 @@
         # more, and the worker runs on for its own lease after that: both must fit into the
         # time that a cancellation has.
         self.lease_ttl_s = max(
-            c.GRANT_MIN_S, min(c.GRANT_S, workers.cancel_s - workers.lease_s - c.CANCEL_RESERVE_S)
+            constants.GRANT_MIN_S,
+            min(constants.GRANT_S, workers.cancel_s - workers.lease_s - constants.CANCEL_RESERVE_S),
         )
         """time to live of a controller's lease in the key-value store"""
         self._effects: list[Effect] = []
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -48,7 +48,7 @@
 
     def is_step_rate_limited(self) -> bool:
         """Do steps wait for the store's rate limit?"""
-        return self._limiter.waiting(Priority.STEP) > constants.CROWDED
+        return self._limiter.count_waiting(Priority.STEP) > constants.CROWDED
 
     def is_service_rate_limited(self) -> bool:
         """Do steps of services wait for the store's rate limit?
@@ -56,13 +56,13 @@
         Then handing one off for image locality costs others more than it saves: two writes
         in place of one.
         """
-        return self._limiter.waiting(Priority.URGENT) > constants.CROWDED
+        return self._limiter.count_waiting(Priority.URGENT) > constants.CROWDED
 
     def batching_window_s(self) -> float:
         """Seconds until batch jobs are placed again."""
         if self.is_step_rate_limited():
             return constants.GATHER_CROWDED_S
-        if self._limiter.spare_writes():
+        if self._limiter.has_spare_writes():
             return constants.GATHER_SPARE_S
         return constants.GATHER_S
 
@@ -86,7 +86,7 @@
         """Least seconds between two writes that only record completed tasks of the job."""
         if self._is_team_limited(job.spec.team):
             # Each completion that is recorded lets a task of the team start.
-            if self._limiter.spare_writes():
+            if self._limiter.has_spare_writes():
                 return constants.PROGRESS_SPARE_S
             return constants.PROGRESS_EVERY_S
         if self.is_step_rate_limited():
--- a/appledock/core/store/client.py
+++ b/appledock/core/store/client.py
@@ -6,8 +6,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from appledock import constants as c
-from appledock import wire
+from appledock import constants, wire
 from appledock.core.events import StoreCall, StoreReply
 from appledock.core.runtime import Runtime
 from appledock.core.store.keys import key_kind
@@ -33,14 +32,14 @@
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
         state = runtime.settings.cluster.state
-        share = c.BUDGET_SHARE / runtime.settings.cluster.size
+        share = constants.BUDGET_SHARE / runtime.settings.cluster.size
         self.limiter = StoreRateLimiter(
             TokenBucket(state.rps * share),
             TokenBucket(state.write_rps * share),
             state.write_rps * share,
-            state.write_rps * c.WRITES_CEILING,
+            state.write_rps * constants.WRITES_CEILING,
         )
-        self.max_value_bytes = int(state.value_kb * 1024 * c.VALUE_SLACK)
+        self.max_value_bytes = int(state.value_kb * 1024 * constants.VALUE_SLACK)
         """largest value that is written"""
         self.refusals: Counter[str] = Counter()
         """why calls were refused -> how often, for the metrics"""
@@ -52,7 +51,7 @@
         request: StoreRequest,
         priority: Priority,
         on_outcome: Callable[[StoreOutcome], None],
-        expires_after_s: float = c.PATIENCE_S,
+        expires_after_s: float = constants.PATIENCE_S,
     ) -> QueuedCall | None:
         """Queue a call; `on_outcome` is called in any case.
 
@@ -64,7 +63,9 @@
             request,
             priority,
             writes,
-            c.FOLLOW_TIMEOUT_S if isinstance(request, WatchKeys) else c.STORE_TIMEOUT_S,
+            constants.FOLLOW_TIMEOUT_S
+            if isinstance(request, WatchKeys)
+            else constants.STORE_TIMEOUT_S,
             on_outcome,
             now + expires_after_s,
             now,
@@ -83,10 +84,10 @@
 
     def flush(self) -> None:
         """Send the calls that the rate limit admits, and end those that waited too long."""
-        due, expired = self.limiter.due(self.runtime.now)
-        for call in due:
+        due = self.limiter.take_due(self.runtime.now)
+        for call in due.to_send:
             self._send(call)
-        for call in expired:
+        for call in due.expired:
             try:
                 call.on_outcome(NotExecuted())
             except Exception:
@@ -138,7 +139,7 @@
             ),
             default=0,
         )
-        bound = max(c.VALUE_LEAST_BYTES, int(largest * c.VALUE_SLACK))
+        bound = max(constants.VALUE_LEAST_BYTES, int(largest * constants.VALUE_SLACK))
         if bound < self.max_value_bytes:
             log.warning("value limit lowered: rejected_bytes=%d limit_bytes=%d", largest, bound)
             self.max_value_bytes = bound
--- a/appledock/core/store/rate_limiter.py
+++ b/appledock/core/store/rate_limiter.py
@@ -7,8 +7,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import IntEnum
+from typing import NamedTuple
 
-from appledock import constants as c
+from appledock import constants
 from appledock.core.store_calls import StoreOutcome, StoreRequest
 
 
@@ -16,21 +17,27 @@
     """Order in which waiting calls are served."""
 
     LEASE = 0
+    """leases, joining, and the full listing after a start"""
     VIEW = 1
+    """the membership view, the record format, and the watch"""
     USER = 2
+    """what a user's request waits for"""
     URGENT = 3
     """steps of services, and preemption"""
     FINAL = 4
+    """ends of jobs"""
     STEP = 5
     PROGRESS = 6
+    """completed tasks of jobs that go on"""
 
 
 HEAD_START_S = {
     Priority.URGENT: 0.0,
-    Priority.FINAL: c.FINAL_AFTER_S,
-    Priority.STEP: c.STEP_AFTER_S,
-    Priority.PROGRESS: c.PROGRESS_AFTER_S,
+    Priority.FINAL: constants.FINAL_AFTER_S,
+    Priority.STEP: constants.STEP_AFTER_S,
+    Priority.PROGRESS: constants.PROGRESS_AFTER_S,
 }
+"""below users: priority -> time by which its calls are served later than urgent ones"""
 
 
 @dataclass(slots=True)
@@ -40,6 +47,7 @@
     rate: float
     """tokens/s"""
     level: float = 0.0
+    """tokens; negative: taken in advance"""
     refilled_at: float = 0.0
 
     def refill(self, now: float) -> None:
@@ -55,6 +63,7 @@
     request: StoreRequest
     priority: Priority
     writes: int
+    """number of writes that it costs"""
     timeout_s: float
     """how long its answer is waited for once it is sent"""
     on_outcome: Callable[[StoreOutcome], None]
@@ -63,6 +72,13 @@
     queued_at: float = 0.0
 
 
+class DueCalls(NamedTuple):
+    """The calls that one pass over the queues has taken out."""
+
+    to_send: list[QueuedCall]
+    expired: list[QueuedCall]
+
+
 @dataclass(slots=True)
 class StoreRateLimiter:
     """Queues of calls, one per priority, and the two token buckets that they draw from.
@@ -85,11 +101,11 @@
     served_at: float = 0.0
     """when that was"""
     waited_s: float = 0.0
-    """s since then, or since no call waited"""
+    """time since then, or since no call waited"""
     queues: list[deque[QueuedCall]] = field(default_factory=lambda: [deque() for _ in Priority])
 
-    def size(self) -> int:
-        """Calls that wait."""
+    def count_queued(self) -> int:
+        """Number of calls that wait."""
         return sum(len(queue) for queue in self.queues)
 
     def add(self, call: QueuedCall) -> bool:
@@ -101,7 +117,9 @@
         """
         if call.priority > Priority.USER:
             waiting = sum(len(queue) for queue in self.queues[Priority.URGENT :])
-            if waiting >= max(c.CALL_QUEUE_LEAST, c.CALL_QUEUE_S * self.requests.rate):
+            if waiting >= max(
+                constants.CALL_QUEUE_LEAST, constants.CALL_QUEUE_S * self.requests.rate
+            ):
                 return False
         self.queues[call.priority].append(call)
         self.has_new_calls = True
@@ -122,7 +140,7 @@
 
     def on_rate_limited(self) -> None:
         """The store refused writes as too many: reduce the rate."""
-        self.writes.rate = max(self.own_write_rate, self.writes.rate * c.WRITES_BACK)
+        self.writes.rate = max(self.own_write_rate, self.writes.rate * constants.WRITES_BACK)
         self.writes.level = min(self.writes.level, 0.0)
 
     def on_peer_write_rate(self, peer_rate: float, planned_rate: float) -> None:
@@ -130,24 +148,65 @@
         self.max_write_rate = max(self.own_write_rate, planned_rate - peer_rate)
         self.writes.rate = min(self.writes.rate, self.max_write_rate)
 
-    def waiting(self, priority: Priority) -> int:
-        """Calls of this priority or a more urgent one that wait."""
+    def count_waiting(self, priority: Priority) -> int:
+        """Number of calls of this priority or a more urgent one that wait."""
         return sum(len(queue) for queue in self.queues[: priority + 1])
 
-    def spare_writes(self) -> bool:
+    def has_spare_writes(self) -> bool:
         """Does nothing wait for the limit, with most of a second's writes left?"""
-        return not self.size() and self.writes.level >= c.SPARE_WRITES * self.writes.rate
+        return (
+            not self.count_queued()
+            and self.writes.level >= constants.SPARE_WRITES * self.writes.rate
+        )
+
+    # --- serving the queues -----------------------------------------------
+    def take_due(self, now: float) -> DueCalls:
+        """Take out the calls that may be sent now, and those that waited too long.
+
+        A call that lacks writes holds back writes of lower priority, but not
+        reads: otherwise a large transaction would never get its turn.
+        """
+        self._advance_to(now)
+        if not any(self.queues):
+            self.waited_s = 0.0
+            return DueCalls([], [])
+        if not self._is_turn_due(now):
+            return DueCalls([], [])
+        waited_s, self.waited_s = self.waited_s, 0.0
+        self.has_new_calls, self.served_at = False, now
+        due = DueCalls([], [])
+        is_write_held_back = False
+        for call in self._take_in_order():
+            if call.expires_at <= now:
+                due.expired.append(call)
+            elif self._is_admitted(call, is_write_held_back):
+                self._charge(call)
+                due.to_send.append(call)
+            else:
+                is_write_held_back = is_write_held_back or bool(call.writes)
+                self.queues[call.priority].append(call)
+        if is_write_held_back:
+            self._raise_write_rate(waited_s)
+        return due
+
+    def _advance_to(self, now: float) -> None:
+        """Let the time since the last refill count: tokens, rate sent lately, time waited."""
+        elapsed_s = max(0.0, now - self.writes.refilled_at)
+        self.recent_write_rate *= math.exp(-elapsed_s / constants.SPENT_S)
+        self.waited_s += elapsed_s
+        self.requests.refill(now)
+        self.writes.refill(now)
 
-    def _turn_due(self, now: float) -> bool:
+    def _is_turn_due(self, now: float) -> bool:
         """Time fills the buckets, but not within a few milliseconds."""
-        return self.has_new_calls or now >= self.served_at + c.TURN_EVERY_S
+        return self.has_new_calls or now >= self.served_at + constants.TURN_EVERY_S
 
-    def _in_turn(self) -> list[QueuedCall]:
-        """All that waits, taken from the queues, in the order in which it is served.
+    def _take_in_order(self) -> list[QueuedCall]:
+        """Take out all calls that wait, in the order in which they are served.
 
-        Below users, priorities are a head start in time. Strictly by priority, a
-        burst of services kept results from being recorded for 40 s, and tasks that
-        had long ended were stopped once more to make room.
+        Below users, priorities are a head start in time. Served strictly by priority, a
+        burst of services kept results from being recorded, and tasks that had long ended
+        were preempted once more.
         """
         first = [call for queue in self.queues[: Priority.URGENT] for call in queue]
         rest = sorted(
@@ -158,48 +217,34 @@
             queue.clear()
         return first + rest
 
-    def due(self, now: float) -> tuple[list[QueuedCall], list[QueuedCall]]:
-        """Calls that may go now, and calls that waited too long.
-
-        A call that lacks writes holds back writes of lower priority, but not
-        reads: otherwise a large transaction would never get its turn.
+    def _is_admitted(self, call: QueuedCall, is_write_held_back: bool) -> bool:
+        """Do the buckets let the call go? Calls for leases and views always go."""
+        if call.priority <= Priority.VIEW:
+            return True
+        if self.requests.level < 1:
+            return False
+        if not call.writes:
+            return True
+        return not is_write_held_back and self.writes.level >= self._required_writes(call)
+
+    def _required_writes(self, call: QueuedCall) -> float:
+        """Level of the bucket of writes that the call needs.
+
+        Users wait for nobody: what they take is made up for by the rest, down to one
+        second's worth.
         """
-        since = max(0.0, now - self.writes.refilled_at)
-        self.recent_write_rate *= math.exp(-since / c.SPENT_S)
-        self.waited_s += since
-        self.requests.refill(now)
-        self.writes.refill(now)
-        if not any(self.queues):
-            self.waited_s = 0.0
-            return [], []
-        if not self._turn_due(now):
-            return [], []
-        elapsed, self.waited_s = self.waited_s, 0.0
-        self.has_new_calls, self.served_at = False, now
-        send: list[QueuedCall] = []
-        expired: list[QueuedCall] = []
-        blocked = False
-        for call in self._in_turn():
-            urgent = call.priority <= Priority.VIEW
-            # Users wait for nobody: what they take is made up for by the rest,
-            # down to one second's worth.
-            floor = (
-                -self.writes.rate
-                if call.priority == Priority.USER
-                else (min(call.writes, self.writes.rate))
-            )
-            if call.expires_at <= now:
-                expired.append(call)
-            elif (self.requests.level >= 1 or urgent) and (
-                not call.writes or urgent or (not blocked and self.writes.level >= floor)
-            ):
-                self.requests.level -= 1
-                self.writes.level -= call.writes
-                self.recent_write_rate += call.writes / c.SPENT_S
-                send.append(call)
-            else:
-                blocked = blocked or bool(call.writes)
-                self.queues[call.priority].append(call)
-        if blocked and self.writes.rate < self.max_write_rate:
-            self.writes.rate = min(self.max_write_rate, self.writes.rate + elapsed * c.WRITES_MORE)
-        return send, expired
+        if call.priority == Priority.USER:
+            return -self.writes.rate
+        return min(call.writes, self.writes.rate)
+
+    def _charge(self, call: QueuedCall) -> None:
+        """Take the call's tokens out of the buckets."""
+        self.requests.level -= 1
+        self.writes.level -= call.writes
+        self.recent_write_rate += call.writes / constants.SPENT_S
+
+    def _raise_write_rate(self, waited_s: float) -> None:
+        """Additive increase, as far as the peers leave room."""
+        if self.writes.rate < self.max_write_rate:
+            raised_rate = self.writes.rate + waited_s * constants.WRITES_MORE
+            self.writes.rate = min(self.max_write_rate, raised_rate)
--- a/appledock/core/store/reader.py
+++ b/appledock/core/store/reader.py
@@ -1,15 +1,16 @@
-"""Reads the state service into the replica: one listing, then a watch, and keys afresh."""
+"""Reads the key-value store into the replica: one listing, then a watch, and single keys."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
-from appledock import constants as c
-from appledock import wire
+from appledock import constants, wire
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import LIVE
 from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     GetKey,
     HistoryCompacted,
@@ -22,101 +23,114 @@
     WatchKeys,
 )
 
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
-
 log = logging.getLogger(__name__)
 
 
 class StateReader:
-    """Keeps this controller's picture of the state service up to date."""
+    """Keeps the replica up to date; reads again what it is asked for."""
 
-    def __init__(self, engine: Controller) -> None:
-        self.engine = engine
+    def __init__(
+        self,
+        runtime: Runtime,
+        client: StoreClient,
+        replica: Replica,
+        on_loaded: Callable[[], None],
+    ) -> None:
+        """`on_loaded` is called each time when a full listing is in the replica."""
+        self._runtime = runtime
+        self._client = client
+        self._replica = replica
+        self._on_loaded = on_loaded
         self.loaded = False
-        self.loading = False
-        self.next_load = 0.0
+        """has everything been listed, and does the watch continue from there?"""
         self.watching = False
-        self.next_watch = 0.0
+        """is a call of the watch under way?"""
+        self._is_loading = False
+        self._load_at = 0.0
+        self._watch_at = 0.0
 
     def tick(self) -> None:
-        """Load everything, and watch for changes."""
-        now = self.engine.now
-        if not self.loaded and not self.loading and now >= self.next_load:
-            self._load()
-        if self.loaded and not self.watching and now >= self.next_watch:
+        """Start the listing, or the watch behind it, when they are due."""
+        now = self._runtime.now
+        if not self.loaded and not self._is_loading and now >= self._load_at:
+            self._is_loading = True
+            self._load_page(None, [], None)
+        if self.loaded and not self.watching and now >= self._watch_at:
             self._watch()
 
     # --- single keys ------------------------------------------------------
     def read_keys(
         self,
         keys: list[str],
-        then: Callable[[], None] | None = None,
-        failed: Callable[[], None] | None = None,
+        on_read: Callable[[], None] | None = None,
+        on_failure: Callable[[], None] | None = None,
     ) -> None:
-        """Read keys afresh into the replica, one after the other, then go on.
+        """Read keys into the replica, one after the other; `on_read` is called at the end.
 
-        `failed` if one cannot be read. The order matters: a job's open record is read before
-        its final one. Read at the same time, a job that ends in between shows in neither.
+        `on_failure` is called instead if a key cannot be read; those behind it are not read.
+        The order matters: a job's open record is read before its final one. Read at the same
+        time, a job that ends in between shows in neither.
         """
         if not keys:
-            if then is not None:
-                then()
+            if on_read is not None:
+                on_read()
             return
         key, rest = keys[0], keys[1:]
 
         def on_outcome(outcome: StoreOutcome) -> None:
             match outcome:
                 case Row():
-                    self.engine.replica.put(key, outcome.value, outcome.version)
+                    self._replica.put(key, outcome.value, outcome.version)
                 case Missing():
-                    self.engine.replica.drop(key, outcome.revision)
+                    self._replica.drop(key, outcome.revision)
                 case _:
-                    if failed is not None:
-                        failed()
+                    if on_failure is not None:
+                        on_failure()
                     return
-            self.read_keys(rest, then, failed)
+            self.read_keys(rest, on_read, on_failure)
 
-        self.engine.client.submit(GetKey(key), Priority.USER, on_outcome)
+        self._client.submit(GetKey(key), Priority.USER, on_outcome)
 
     # --- everything -------------------------------------------------------
-    def _load(self) -> None:
-        """Read everything live, then follow it from the first page's revision."""
-        self.loading = True
-        self._load_page(None, [], None)
+    def _load_page(
+        self, after: str | None, rows: list[wire.Row], first_revision: int | None
+    ) -> None:
+        """List the keys behind `after`; `first_revision` is the revision of the first page.
 
-    def _load_page(self, after: str | None, rows: list[wire.Row], first: int | None) -> None:
-        """Read the page after a key; `first` is the revision of the first one."""
+        The watch continues from there, so that changes made between two pages are not lost.
+        """
 
         def on_outcome(page: StoreOutcome) -> None:
             if not isinstance(page, Rows):
-                self.loading = False
-                self.next_load = self.engine.now + c.RETRY_MIN_S + self.engine.rng.random() * 0.3
+                self._is_loading = False
+                self._load_at = (
+                    self._runtime.now + constants.RETRY_MIN_S + self._runtime.rng.random() * 0.3
+                )
                 return
             rows.extend(page.items)
-            began = page.revision if first is None else first
+            revision = page.revision if first_revision is None else first_revision
             if page.more and page.items:
-                self._load_page(page.items[-1].key, rows, began)
+                self._load_page(page.items[-1].key, rows, revision)
             else:
-                self._loaded(rows, began)
+                self._finish_loading(rows, revision)
 
-        self.engine.client.submit(ListKeys(LIVE, after, c.LIST_LIMIT), Priority.LEASE, on_outcome)
+        self._client.submit(ListKeys(LIVE, after, constants.LIST_LIMIT), Priority.LEASE, on_outcome)
 
-    def _loaded(self, rows: list[wire.Row], revision: int) -> None:
-        self.engine.replica.load(rows, revision)
-        self.loading, self.loaded = False, True
-        self.next_watch = self.engine.now
-        log.info("loaded %d records at revision %d", len(rows), revision)
-        self.engine.membership_protocol.tick()
+    def _finish_loading(self, rows: list[wire.Row], revision: int) -> None:
+        self._replica.load(rows, revision)
+        self._is_loading, self.loaded = False, True
+        self._watch_at = self._runtime.now
+        log.info("replica loaded: records=%d revision=%d", len(rows), revision)
+        self._on_loaded()
 
     def _watch(self) -> None:
-        """Wait for changes after the revision that is known."""
-        replica = self.engine.replica
+        """Wait for changes after the revision that the replica has reached."""
+        replica = self._replica
         self.watching = True
 
         def on_outcome(outcome: StoreOutcome) -> None:
             self.watching = False
-            self.next_watch = self.engine.now + c.FOLLOW_PAUSE_S
+            self._watch_at = self._runtime.now + constants.FOLLOW_PAUSE_S
             match outcome:
                 case Watched():
                     for event in outcome.events:
@@ -126,13 +140,17 @@
                             replica.drop(event.delete, event.version)
                     replica.advance(outcome.revision)
                 case HistoryCompacted():
-                    log.warning("watch history compacted, reading everything again")
+                    log.warning(
+                        "watch history compacted, listing again: revision=%d", replica.revision
+                    )
                     self.loaded = False
                 case _:
-                    self.next_watch = (
-                        self.engine.now + c.RETRY_MIN_S + self.engine.rng.random() * 0.2
+                    self._watch_at = (
+                        self._runtime.now + constants.RETRY_MIN_S + self._runtime.rng.random() * 0.2
                     )
 
-        self.engine.client.submit(
-            WatchKeys(c.KEY_ROOT, replica.revision, c.FOLLOW_BLOCK_MS), Priority.VIEW, on_outcome
+        self._client.submit(
+            WatchKeys(constants.KEY_ROOT, replica.revision, constants.FOLLOW_BLOCK_MS),
+            Priority.VIEW,
+            on_outcome,
         )
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -196,11 +196,11 @@
     ]
     for each in calls:
         b.add(each)
-    sent, _ = b.due(0.0)
+    sent, _ = b.take_due(0.0)
     assert [calls.index(x) for x in sent] == [4, 2, 3]
-    sent, _ = b.due(0.5)
+    sent, _ = b.take_due(0.5)
     assert [calls.index(x) for x in sent] == [1]
-    assert b.waiting(Priority.STEP) == 0 and b.size() == 1
+    assert b.count_waiting(Priority.STEP) == 0 and b.count_queued() == 1
 
 
 def test_rate_limiter_tries_for_more_and_gives_way() -> None:
@@ -208,7 +208,7 @@
     for _ in range(300):
         b.add(call(Priority.STEP, 2))
     for step in range(1, 100):
-        b.due(step / 10)
+        b.take_due(step / 10)
     assert b.writes.rate == 16.0
     b.on_rate_limited()
     assert b.writes.rate == pytest.approx(16 * c.WRITES_BACK)
@@ -222,16 +222,16 @@
     for _ in range(300):
         b.add(call(Priority.STEP, 2))
     for step in range(1, 100):
-        b.due(step / 10)
+        b.take_due(step / 10)
     assert b.recent_write_rate == pytest.approx(16.0, rel=0.2)
     b.on_peer_write_rate(9.0, 20.0)
     assert b.writes.rate == b.max_write_rate == 11.0
     b.on_peer_write_rate(19.0, 20.0)
     assert b.writes.rate == b.own_write_rate
-    b.due(10.0)
+    b.take_due(10.0)
     user = call(Priority.USER, 1)
     b.add(user)
-    assert b.due(10.0)[0] == [user]
+    assert b.take_due(10.0)[0] == [user]
 
 
 def test_results_are_recorded_however_many_services_come() -> None:
@@ -246,7 +246,7 @@
         urgent = call(Priority.URGENT, 1)
         urgent.queued_at = step / 5
         b.add(urgent)
-        sent += b.due(step / 5)[0]
+        sent += b.take_due(step / 5)[0]
     assert 6 <= sent.index(late) < 20  # services have a head start, and no more
 
 
@@ -276,7 +276,7 @@
         assert not b.add(call(priority, 1))
     for priority in (Priority.LEASE, Priority.VIEW, Priority.USER):
         assert b.add(call(priority, 0))
-    assert len(b.due(100.0)[1]) == most + 3  # what waited too long is given up
+    assert len(b.take_due(100.0)[1]) == most + 3  # what waited too long is given up
 
 
 def test_records_survive_the_state_service() -> None:
