--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -171,7 +171,7 @@
                 and engine.job_writer.can_write(job)
             ):
                 assert node is not None
-                engine.reconciler.hand_off(job, node)
+                engine.step_writer.hand_off(job, node)
                 return
 
     def places_everywhere(self, job: Job) -> bool:
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -22,6 +22,7 @@
 from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.machines.zones import MachineZones
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
 from appledock.core.membership.view_requests import ViewChangeRequests
@@ -32,12 +33,17 @@
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
+from appledock.core.scheduling.lost_launches import LostLaunchDetector
 from appledock.core.scheduling.moves import Moves
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.pacing import Pacing
+from appledock.core.scheduling.placement_pass import PlacementPass
 from appledock.core.scheduling.preemption import Preemption
 from appledock.core.scheduling.queue_order import QueueOrder
 from appledock.core.scheduling.reconciler import Reconciler
+from appledock.core.scheduling.settlement_recorder import SettlementRecorder
+from appledock.core.scheduling.step_planner import StepPlanner
+from appledock.core.scheduling.step_writer import StepWriter
 from appledock.core.store.client import StoreClient
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
@@ -72,6 +78,10 @@
         self.membership = Membership(self)
         self.heartbeats = Heartbeats(self)
         self.workers = Workers(self)
+        self.machine_zones = MachineZones(
+            self.workers,
+            lambda machine: self.fleet.zone_of(machine),  # noqa: PLW0108 -- built further down
+        )
         self.capacity_index = CapacityIndex(self)
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
@@ -96,7 +106,71 @@
             self.reconcile_queue,
             self.heartbeats.is_any_peer_under_pressure,
         )
-        self.reconciler = Reconciler(self)
+        self.step_writer = StepWriter(
+            self.replica,
+            self.codec,
+            self.capacity_index,
+            self.reconcile_queue,
+            self.settlement,
+            self.job_writer,
+            self.pacing,
+        )
+        self.step_planner = StepPlanner(
+            self.runtime,
+            self.operator_settings,
+            self.membership.is_leader,
+            self.settlement,
+            self.job_writer,
+            self.quota_allocation,
+            self.machine_zones,
+            self.preemption,
+            self.handoff,
+            self.pacing,
+            self.moves,
+            self.rebalancer,
+            self.partitions,
+        )
+        self.placement_pass = PlacementPass(
+            self.runtime,
+            self.replica,
+            self.reconcile_queue,
+            self.queue_order,
+            self.capacity_index,
+            self.job_writer,
+            self.pacing,
+            self.preemption,
+            self.step_planner,
+            self.step_writer,
+            self.moves,
+            self.rebalancer,
+        )
+        self.lost_launches = LostLaunchDetector(
+            self.runtime, self.replica, self.membership, self.view_requests, self.workers
+        )
+        self.settlement_recorder = SettlementRecorder(
+            self.runtime,
+            self.replica,
+            self.reconcile_queue,
+            self.settlement,
+            self.stop_requests,
+            self.job_writer,
+            self.pacing,
+        )
+        self.reconciler = Reconciler(
+            self.runtime,
+            self.replica,
+            self.membership.can_act,
+            self.reconcile_queue,
+            self.settlement,
+            self.stop_requests,
+            self.job_writer,
+            self.queue_order,
+            self.handoff,
+            self.pacing,
+            self.lost_launches,
+            self.settlement_recorder,
+            self.placement_pass,
+        )
         self.cancellation = CancellationEnforcer(self)
         self.fleet = Fleet(self)
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
@@ -195,13 +269,6 @@
                     count += entry is not None and entry.state == wire.RUNNING
         return count
 
-    def zone_of(self, machine: str) -> str | None:
-        """The machine's zone; None if nobody has told it yet."""
-        worker = self.workers.table.get(machine)
-        if worker is not None and worker.report is not None:
-            return worker.report.zone
-        return self.fleet.zone_of(machine)
-
     def placeable(self, worker: Worker) -> bool:
         """May steps be placed on the worker's machine?"""
         report = worker.report
--- a/appledock/core/fleet/planning.py
+++ b/appledock/core/fleet/planning.py
@@ -123,7 +123,7 @@
         spec = job.spec
         if not (spec.one_zone or spec.spread):
             return [(None, tasks)]
-        held = self.engine.reconciler.zones(job) or {}
+        held = self.engine.machine_zones.tasks_by_zone(job) or {}
         free = self._free_by_zone(spec, supply)
         zones = self._preferred_zones(spec, tasks, held, free)
         rented = sorted(zones, key=lambda zone: self.offers.cheapest(spec, tasks, zone) is None)
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -276,7 +276,9 @@
         shown = worker.tasks.get((f"{job.id}/{order.task}", order.attempt))
         if shown is None or shown.state != wire.RUNNING:
             return Outcome.NOT_RUNNING
-        zones = {self.engine.zone_of(name) for name in (order.source, order.destination)}
+        zones = {
+            self.engine.machine_zones.zone_of(name) for name in (order.source, order.destination)
+        }
         if (job.spec.one_zone or job.spec.spread) and len(zones) != 1:
             return Outcome.NOT_ALLOWED
         return None
--- /dev/null
+++ b/appledock/core/scheduling/settlement_recorder.py
@@ -0,0 +1,96 @@
+"""Records what is settled of a job, and the stops requested for it, in the job's record."""
+
+from __future__ import annotations
+
+from appledock import constants
+from appledock.core.jobs.reconcile_queue import ReconcileQueue
+from appledock.core.jobs.settlement import Settlement
+from appledock.core.jobs.stop_requests import StopRequests
+from appledock.core.jobs.writer import JobWriter
+from appledock.core.records.job import Job
+from appledock.core.runtime import Runtime
+from appledock.core.scheduling.pacing import Pacing
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import Replica
+
+
+class SettlementRecorder:
+    """Requests the write that a job's settled attempts, its end or its stop requests need."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        replica: Replica,
+        reconcile_queue: ReconcileQueue,
+        settlement: Settlement,
+        stop_requests: StopRequests,
+        writer: JobWriter,
+        pacing: Pacing,
+    ) -> None:
+        self._runtime = runtime
+        self._replica = replica
+        self._reconcile_queue = reconcile_queue
+        self._settlement = settlement
+        self._stop_requests = stop_requests
+        self._writer = writer
+        self._pacing = pacing
+
+    def record(self, job: Job) -> None:
+        """Write what is settled now, or look again later; do nothing if nothing is."""
+        queue = self._reconcile_queue
+        if not self._writer.can_write(job):
+            # Jobs cancelled with one that they depend on too: once the write of their end has
+            # failed, nothing else happens to them that would have it written.
+            if job.attempts or self._replica.is_cancelled(job.id):
+                queue.deferred_jobs.add(job.id)
+            return
+        unsettled = self._settlement.without_settled_attempts(job)
+        is_over = bool(self._writer.final_state(unsettled or job))
+        if not is_over and self._commit_stops(job):
+            return
+        has_lost_tasks = (
+            unsettled is not None and unsettled.queued_task_count > job.queued_task_count
+        )
+        if not has_lost_tasks:
+            queue.capacity_freed_at.pop(job.id, None)
+        if unsettled is None and not is_over:
+            return
+        queue.placement_due = True
+        if is_over:
+            self._commit(job, self._final_priority(job))
+        elif (has_lost_tasks and self._waits_for_step(job.id)) or not self._is_progress_due(job):
+            queue.deferred_jobs.add(job.id)
+        else:
+            self._commit(job, Priority.PROGRESS)
+
+    def _commit_stops(self, job: Job) -> bool:
+        """Write the stops requested for the job; False if there is nothing to stop."""
+        if not self._stop_requests.has_any(job.id):
+            return False
+        stopped = self._settlement.copy_without_settled_attempts(job)
+        if not self._stop_requests.mark_stopping(stopped):
+            return False
+        self._writer.commit(job, stopped, Priority.URGENT)
+        return True
+
+    def _commit(self, job: Job, priority: Priority) -> None:
+        self._writer.commit(job, self._settlement.copy_without_settled_attempts(job), priority)
+
+    def _final_priority(self, job: Job) -> Priority:
+        """A job's end is urgent if others depend on it: they start only once it is written."""
+        has_dependents = job.id in self._replica.dependencies.dependents
+        return Priority.URGENT if has_dependents else Priority.FINAL
+
+    def _is_progress_due(self, job: Job) -> bool:
+        written_at = self._writer.written_at.get(job.id, constants.LONG_AGO)
+        return self._runtime.now >= written_at + self._pacing.progress_interval_s(job)
+
+    def _waits_for_step(self, job_id: str) -> bool:
+        """Lost tasks wait, for a while, for a step that records their loss in its own write.
+
+        Recorded by themselves they take a write more for each job, and their replacements wait
+        for it: after forty machines were lost at once, for up to six seconds.
+        """
+        now = self._runtime.now
+        freed_at = self._reconcile_queue.capacity_freed_at.setdefault(job_id, now)
+        return now - freed_at < constants.STEP_FIRST_S
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -10,11 +10,11 @@
 from appledock import wire
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.machines.zones import MachineZones
 from appledock.core.quota import allocation, usage
 from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.quota.resources import NO_RESOURCES, Resources
 from appledock.core.records.job import Attempt, Job
-from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import JOBS
 from appledock.core.store_calls import StoreRequest, Transaction
@@ -93,7 +93,7 @@
 
 
 def zones_unseen(patch: Patch) -> None:
-    patch.setattr(Reconciler, "zones", lambda self, job: {})
+    patch.setattr(MachineZones, "tasks_by_zone", lambda self, job: {})
 
 
 def no_job_version(patch: Patch) -> None:
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -19,7 +19,7 @@
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.controller import Controller
 from appledock.core.fleet import Fleet
-from appledock.core.scheduling.reconciler import Reconciler
+from appledock.core.scheduling.placement_pass import PlacementPass
 from appledock.core.store.keys import FINAL, TEAMS
 from appledock.core.workers import Workers
 from tests.standins import deployment
@@ -34,7 +34,7 @@
     ("report", Workers, "on_heartbeat"),
     ("message of a peer", Workers, "on_peer"),
     ("look at leases", Workers, "tick"),
-    ("placement pass", Reconciler, "_place_all"),
+    ("placement pass", PlacementPass, "run"),
     ("fleet plan", Fleet, "_plan"),
     ("fleet returns", Fleet, "_return"),
     ("proof of polls", UserRequests, "_prove"),
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -11,7 +11,7 @@
 from appledock import constants as c
 from appledock.core.jobs.settlement import Settlement
 from appledock.core.records.job import Job
-from appledock.core.scheduling.reconciler import Reconciler
+from appledock.core.scheduling.step_planner import StepPlanner
 from appledock.core.workers import Workers
 from tests.standins import load
 from tests.standins.faults import strike
@@ -39,7 +39,7 @@
     counted: Counter[str] = Counter()
     count(monkeypatch, counted, "proofs", Workers, "verdict")
     count(monkeypatch, counted, "encodings", Job, "encode")
-    count(monkeypatch, counted, "decisions", Reconciler, "_place")
+    count(monkeypatch, counted, "decisions", StepPlanner, "decide")
     count(monkeypatch, counted, "reports", Workers, "on_heartbeat")
     world = load.play(MACHINES, chains=True)
     assert world.judge.broken == []
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -18,7 +18,7 @@
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.messages import Heartbeat
 from appledock.core.records.job import Attempt, Job, decode_job
-from appledock.core.scheduling.reconciler import Reconciler
+from appledock.core.scheduling.lost_launches import LostLaunchDetector
 from appledock.core.store.keys import JOBS, VIEW
 from appledock.core.store_calls import Transaction
 from appledock.core.workers import Worker, Workers
@@ -311,7 +311,7 @@
         assert world.judge.day_end(peace=50.0) == []
         assert world.unfinished() == []
     # Without the term in the settlement of launches never seen, this breaks.
-    monkeypatch.setattr(Reconciler, "_watch_lost", lambda self: None)
+    monkeypatch.setattr(LostLaunchDetector, "check", lambda self: None)
     verdict = Workers.verdict
 
     def hasty(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
@@ -402,7 +402,7 @@
             e.now += 1.0
             if not silent:
                 e.workers.ingest_heartbeat(report("vm-1", 2 + step))
-            Reconciler._watch_lost(e.reconciler)
+            LostLaunchDetector.check(e.lost_launches)
         return e.view_requests.new_term
 
     assert wants(silent=False)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -419,7 +419,7 @@
     """Written by itself, the heir's larger share held what still ran here: on a day of the
     bench a team used 304 of its 300 cores."""
     e, job = crowded_owner()
-    assert e.reconciler.hand_off(job, "n1")
+    assert e.step_writer.hand_off(job, "n1")
     assert written_keys(e) == [[JOBS + job.id, TEAMS + "red"]]
 
 
--- a/tests/unit/scheduling/test_queue_order.py
+++ b/tests/unit/scheduling/test_queue_order.py
@@ -20,7 +20,7 @@
     def __init__(self, *beyond: str) -> None:
         self.beyond = beyond
 
-    def inside(self, job: Job) -> bool:
+    def is_within_guarantee(self, job: Job) -> bool:
         return job.id not in self.beyond
 
 
