--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -6,11 +6,19 @@
 from collections.abc import Callable
 from typing import Any
 
-from appledock import wire
+from appledock import constants, wire
 from appledock.capacity.settings import Capacity
 from appledock.core import events as ev
 from appledock.core.api.admin import AdminApi
+from appledock.core.api.first_owner import FirstOwner
 from appledock.core.api.health import HealthCheck
+from appledock.core.api.job_cancellation import JobCancellations
+from appledock.core.api.job_records import DependencyOutcomes, JobRecords
+from appledock.core.api.job_states import JobStates
+from appledock.core.api.open_requests import OpenRequests
+from appledock.core.api.status_polls import StatusPolls
+from appledock.core.api.submission import Submissions
+from appledock.core.api.submission_check import SubmissionCheck
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.capacity.partitions import CapacityShares
 from appledock.core.engine import Engine
@@ -20,11 +28,15 @@
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
 from appledock.core.jobs.stop_requests import StopRequests
+from appledock.core.jobs.team_record_writer import TeamRecordWriter
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.machines.eligibility import Eligibility
 from appledock.core.machines.zones import MachineZones
-from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.format_upgrade import NEWEST_FORMAT
+from appledock.core.membership.heartbeats import Heartbeats, LocalStatus
 from appledock.core.membership.membership import Membership
+from appledock.core.membership.protocol import MembershipProtocol
 from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.allocation import QuotaAllocation
@@ -47,7 +59,7 @@
 from appledock.core.store.client import StoreClient
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
-from appledock.core.workers import Worker, Workers
+from appledock.core.workers import WorkerObservers, Workers
 from appledock.rebalancing.settings import Rebalancing
 from appledock.settings import Settings
 from appledock.settings import Team as TeamLimits
@@ -75,14 +87,51 @@
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
         self.reader = StateReader(self)
         self.view_requests = ViewChangeRequests()
-        self.membership = Membership(self)
-        self.heartbeats = Heartbeats(self)
-        self.workers = Workers(self)
+        self.membership = Membership(self.runtime, self.replica)
+        self.heartbeats = Heartbeats(
+            self.runtime, self.client, self.replica, self.membership, self._local_status
+        )
+        self.workers = Workers(
+            self.runtime,
+            self.replica,
+            self.membership,
+            self.view_requests,
+            self.heartbeats,
+            self.reconcile_queue,
+            WorkerObservers(
+                on_capacity_changed=self._on_capacity_changed,
+                has_capacity=lambda machine: machine in self.capacity_index.machines,
+                on_task_completed=self._on_task_completed,
+                on_machine_deleted=self._on_machine_deleted,
+                on_unanswerable_heartbeat=self._on_unanswerable_heartbeat,
+                on_view_in_doubt=self._on_view_in_doubt,
+            ),
+        )
+        self.membership_protocol = MembershipProtocol(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            membership=self.membership,
+            heartbeats=self.heartbeats,
+            requests=self.view_requests,
+            is_deleted=lambda machine: machine in self.workers.deleted_machines,
+            newest_format=NEWEST_FORMAT if capacity is None else constants.CAPACITY_FORMAT,
+        )
         self.machine_zones = MachineZones(
             self.workers,
-            lambda machine: self.fleet.zone_of(machine),  # noqa: PLW0108 -- built further down
+            lambda machine: self.fleet.zone_of(machine),  # noqa: PLW0108 -- built later
+        )
+        self.eligibility = Eligibility(self.runtime, self.workers, self.machine_types)
+        self.capacity_index = CapacityIndex(
+            runtime=self.runtime,
+            workers=self.workers,
+            replica=self.replica,
+            machine_types=self.machine_types,
+            eligibility=self.eligibility,
+            admission_of=lambda worker: self.partitions.gate(worker),  # noqa: PLW0108 -- built later
+            is_load_tracked=lambda: self.rebalancer.enabled or self.partitions.enabled,
         )
-        self.capacity_index = CapacityIndex(self)
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
         self.moves = Moves(self)
@@ -91,9 +140,35 @@
         self.quota_allocation = QuotaAllocation(
             self.runtime, self.replica, self.quota_usage, self.queue_order
         )
-        self.settlement = Settlement(self)
+        self.settlement = Settlement(
+            self.replica,
+            self.workers.verdict,
+            lambda machine, job_id: self.fleet.task_failed(machine, job_id),  # noqa: PLW0108 -- built later
+        )
         self.preemption = Preemption(self)
-        self.job_writer = JobWriter(self)
+        self.team_record_writer = TeamRecordWriter(
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            quota_allocation=self.quota_allocation,
+            reconcile_queue=self.reconcile_queue,
+            fencing_conditions=self.membership.fencing_conditions,
+        )
+        self.job_writer = JobWriter(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            codec=self.codec,
+            quota_allocation=self.quota_allocation,
+            capacity_index=self.capacity_index,
+            reconcile_queue=self.reconcile_queue,
+            team_record_writer=self.team_record_writer,
+            fencing_conditions=self.membership.fencing_conditions,
+            partition_conditions=self.partitions.conditions,
+            is_step_rate_limited=lambda: self.pacing.is_step_rate_limited(),  # noqa: PLW0108 -- built later
+            commit_listeners=(self.preemption.release_claims, self.moves.placed),
+        )
         self.stop_requests = StopRequests(
             self.runtime, self.replica, self.job_writer, self.reconcile_queue
         )
@@ -164,6 +239,7 @@
             self.settlement,
             self.stop_requests,
             self.job_writer,
+            self.team_record_writer,
             self.queue_order,
             self.handoff,
             self.pacing,
@@ -174,14 +250,15 @@
         self.cancellation = CancellationEnforcer(self)
         self.fleet = Fleet(self)
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
-        self.user_requests = UserRequests(self)
+        self.job_states = JobStates(self.replica, self.workers)
+        self.user_requests = self._build_user_requests()
         self.admin = AdminApi(self)
         self.engine = Engine(
             runtime=self.runtime,
             client=self.client,
             replica=self.replica,
             reader=self.reader,
-            membership=self.membership,
+            membership_protocol=self.membership_protocol,
             heartbeats=self.heartbeats,
             workers=self.workers,
             capacity_index=self.capacity_index,
@@ -202,10 +279,67 @@
             operator_settings=self.operator_settings,
         )
 
+    def _build_user_requests(self) -> UserRequests:
+        """Requests of users, one part for each kind."""
+        requests = OpenRequests(self.runtime, self.reader)
+        records = JobRecords(self.replica, self.reader)
+        polls = StatusPolls(
+            self.runtime, self.client, self.replica, requests, records, self.job_states
+        )
+        submissions = Submissions(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            codec=self.codec,
+            reconcile_queue=self.reconcile_queue,
+            requests=requests,
+            records=records,
+            polls=polls,
+            check=SubmissionCheck(self.runtime, self.client, self.codec, self.machine_types),
+            choose_first_owner=FirstOwner(
+                self.replica, self.membership, self.heartbeats, self.partitions.preferred
+            ).choose,
+        )
+        cancellations = JobCancellations(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            codec=self.codec,
+            requests=requests,
+            records=records,
+            states=self.job_states,
+            broadcast=self.cancellation.broadcast,
+        )
+        outcomes = DependencyOutcomes(self.runtime, self.replica, self.reader, records)
+        return UserRequests(requests, submissions, polls, cancellations, outcomes)
+
     def handle(self, batch: list[ev.Cmd], now: float, wall: float) -> list[ev.Effect]:
         """Work through a batch; `now` is the steady clock, `wall` the time of day (s)."""
         return self.engine.handle(batch, now, wall)
 
+    # --- what the workers tell parts that are built after them --------------
+    def _on_capacity_changed(self, machine: str) -> None:
+        self.capacity_index.mark_changed(machine)
+
+    def _on_task_completed(self, machine: str, job: Job, seconds: float) -> None:
+        self.rebalancer.completed(machine, job, seconds)
+
+    def _on_machine_deleted(self, machine: str) -> None:
+        self.rebalancer.speeds.forget(machine)
+
+    def _on_unanswerable_heartbeat(self, report: wire.Report) -> None:
+        self.cancellation.halt_cancelled_tasks(report)
+
+    def _on_view_in_doubt(self) -> None:
+        self.membership_protocol.confirm_view()
+
+    def _local_status(self) -> LocalStatus:
+        return LocalStatus(
+            reporting_fraction=self.workers.reporting_fraction(),
+            owner_timeouts=self.workers.owner_timeout_counts(),
+            is_service_rate_limited=self.pacing.is_service_rate_limited(),
+        )
+
     # --- for the parts that are still given the controller -----------------
     @property
     def settings(self) -> Settings:
@@ -260,26 +394,4 @@
 
     def running(self, job: Job) -> int:
         """Tasks that reports show as running, for display."""
-        count = 0
-        for attempt in job.attempts:
-            worker = self.workers.table.get(attempt.machine)
-            if worker is not None:
-                for task in attempt.tasks:
-                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.attempt_number))
-                    count += entry is not None and entry.state == wire.RUNNING
-        return count
-
-    def placeable(self, worker: Worker) -> bool:
-        """May steps be placed on the worker's machine?"""
-        report = worker.report
-        return (
-            report is not None
-            and report.type in self.machine_types
-            and not worker.placement.cordon_reason
-            and worker.id not in self.workers.deleted_machines
-            and report.session > worker.lease.expired_epoch
-            and report.notice_s is None
-            and worker.has_shown_current_token
-            and self.now - worker.reachability.last_healthy_at
-            <= 2.5 * self.settings.cluster.workers.report_s
-        )
+        return self.job_states.count_running(job)
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -18,7 +18,7 @@
 from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.heartbeats import Heartbeats
-from appledock.core.membership.membership import Membership
+from appledock.core.membership.protocol import MembershipProtocol
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.rebalancing.rebalancer import Rebalancer
@@ -44,7 +44,7 @@
         client: StoreClient,
         replica: Replica,
         reader: StateReader,
-        membership: Membership,
+        membership_protocol: MembershipProtocol,
         heartbeats: Heartbeats,
         workers: Workers,
         capacity_index: CapacityIndex,
@@ -68,7 +68,7 @@
         self.client = client
         self.replica = replica
         self.reader = reader
-        self.membership = membership
+        self.membership_protocol = membership_protocol
         self.heartbeats = heartbeats
         self.workers = workers
         self.capacity_index = capacity_index
@@ -96,7 +96,7 @@
         """Work through a batch; `now` is the steady clock, `wall` the time of day."""
         self.runtime.now, self.runtime.wall = now, wall
         if not self._started:
-            self.workers.initial_renewable_until = now + self.runtime.lease_ttl_s
+            self.workers.on_start()
             self._started = True
         for command in batch:
             try:
@@ -107,7 +107,7 @@
                 log.exception("command %s failed", type(command).__name__)
                 request_id = getattr(command, "request_id", None)
                 if request_id is not None:
-                    self.user_requests.open.pop(request_id, None)
+                    self.user_requests.open_requests.discard(request_id)
                     self.runtime.emit(ev.Reply(request_id, 500, {"error": "internal error"}))
         for follow in (self._after, self.client.flush):
             # One after the other: whatever fails, leases are renewed and users answered.
@@ -174,7 +174,7 @@
     def _tick(self) -> None:
         self.reader.tick()
         for tick in (
-            self.membership.tick,
+            self.membership_protocol.tick,
             self.heartbeats.tick,
             self.workers.tick,
             self.cancellation.tick,
@@ -197,7 +197,7 @@
             view = replica.view
             assert view is not None
             self.workers.on_view(self._applied_view)
-            self.membership.on_view()
+            self.membership_protocol.on_view()
             self.quota_allocation.on_view()
             self.moves.on_view()
             self.capacity_index.mark_all_changed()
@@ -227,12 +227,12 @@
             replica.changed_jobs.clear()
             for machine in replica.changed_machines:
                 self.settlement.on_machine_changed(machine)
-            self.workers.commands_due |= replica.changed_machines
+            self.workers.request_commands(replica.changed_machines)
             self.capacity_index.mark_each_changed(replica.changed_machines)
             replica.changed_machines.clear()
             self.reconcile_queue.placement_due = True
         self.fleet.read_catalogue()
         self.quota_allocation.clear_admissions()
-        self.capacity_index.recheck_availability()
+        self.capacity_index.check_eligibility()
         self.reconciler.tick()
         self.workers.push_commands()
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -8,6 +8,7 @@
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
 from appledock.core.jobs.stop_requests import StopRequests
+from appledock.core.jobs.team_record_writer import TeamRecordWriter
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
@@ -31,6 +32,7 @@
         settlement: Settlement,
         stop_requests: StopRequests,
         writer: JobWriter,
+        team_record_writer: TeamRecordWriter,
         queue_order: QueueOrder,
         handoff: HandOff,
         pacing: Pacing,
@@ -46,6 +48,7 @@
         self._settlement = settlement
         self._stop_requests = stop_requests
         self._writer = writer
+        self._team_record_writer = team_record_writer
         self._queue_order = queue_order
         self._handoff = handoff
         self._pacing = pacing
@@ -68,7 +71,7 @@
             self._sweep()
         if now >= self._next_release_at:
             self._next_release_at = now + constants.RELEASE_EVERY_S
-            self._writer.release_unused_allocations()
+            self._team_record_writer.release_unused_allocations()
         if self._queue.deferred_jobs and now >= self._next_deferred_at:
             self._next_deferred_at = now + constants.QUEUE_EVERY_S
             self._queue.jobs |= self._queue.deferred_jobs
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -16,12 +16,15 @@
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.controller import Controller
 from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.membership import MembershipState
 from appledock.core.messages import Heartbeat
+from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling.lost_launches import LostLaunchDetector
 from appledock.core.store.keys import JOBS, VIEW
 from appledock.core.store_calls import Transaction
 from appledock.core.workers import Worker, Workers
+from appledock.core.workers.heartbeat_intake import HeartbeatIntake
 from tests.standins.world import World
 from tests.test_requests import engine, spec
 
@@ -136,7 +139,7 @@
         VIEW, {"term": 5, "members": {"n0": "x.1", "n1": "y", "n2": "z"}, "leader": "n0"}, 1
     )
     e.replica.view_changed = False
-    e.membership.joined, e.membership.incarnation = True, "x.1"
+    e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
     e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
         e.membership.store_answered_at
     ) = e.now
@@ -153,7 +156,7 @@
     e, fresh = owner_of_nothing(), owner_of_nothing()
     e.workers.ingest_heartbeat(report("vm-1", 50))
     e.workers.on_peer_connected("n1")
-    for effect in e.effects:
+    for effect in e.runtime.take_effects():
         assert isinstance(effect, ev.PeerSend)
         fresh.handle([ev.PeerMessage(json.loads(wire.encode(effect.message)))], fresh.now, 0.0)
     assert not fresh.workers.ingest_heartbeat(report("vm-1", 49))
@@ -190,7 +193,7 @@
         return e.view_requests.overrides
 
     assert wanted() == {}
-    monkeypatch.setattr(Workers, "ingest_heartbeat", lambda self, report: True)
+    monkeypatch.setattr(HeartbeatIntake, "ingest", lambda self, report, healthy_age_s=None: True)
     assert wanted() != {}
 
 
@@ -314,10 +317,10 @@
     monkeypatch.setattr(LostLaunchDetector, "check", lambda self: None)
     verdict = Workers.verdict
 
-    def hasty(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
+    def hasty(self: Workers, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
         worker = self.table.get(attempt.machine)
         if worker is not None and (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks:
-            return "settled"
+            return AttemptVerdict.SETTLED
         return verdict(self, job, attempt, task)
 
     monkeypatch.setattr(Workers, "verdict", hasty)
