--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -30,7 +30,7 @@
 from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.jobs.team_record_writer import TeamRecordWriter
 from appledock.core.jobs.writer import JobWriter
-from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.machines.capacity_index import CapacityIndex, StepReservation
 from appledock.core.machines.eligibility import Eligibility
 from appledock.core.machines.zones import MachineZones
 from appledock.core.membership.format_upgrade import NEWEST_FORMAT
@@ -145,7 +145,6 @@
             self.workers.verdict,
             lambda machine, job_id: self.fleet.task_failed(machine, job_id),  # noqa: PLW0108 -- built later
         )
-        self.preemption = Preemption(self)
         self.team_record_writer = TeamRecordWriter(
             client=self.client,
             replica=self.replica,
@@ -167,11 +166,22 @@
             fencing_conditions=self.membership.fencing_conditions,
             partition_conditions=self.partitions.conditions,
             is_step_rate_limited=lambda: self.pacing.is_step_rate_limited(),  # noqa: PLW0108 -- built later
-            commit_listeners=(self.preemption.release_claims, self.moves.placed),
+            commit_listeners=(self._release_claims, self.moves.placed),
         )
         self.stop_requests = StopRequests(
             self.runtime, self.replica, self.job_writer, self.reconcile_queue
         )
+        self.preemption = Preemption(
+            runtime=self.runtime,
+            replica=self.replica,
+            workers=self.workers,
+            capacity_index=self.capacity_index,
+            quota_usage=self.quota_usage,
+            operator_settings=self.operator_settings,
+            reconcile_queue=self.reconcile_queue,
+            stop_requests=self.stop_requests,
+            places_everywhere=self.partitions.places_everywhere,
+        )
         self.handoff = HandOff(self.runtime, self.replica)
         self.pacing = Pacing(
             self.runtime,
@@ -333,6 +343,9 @@
     def _on_view_in_doubt(self) -> None:
         self.membership_protocol.confirm_view()
 
+    def _release_claims(self, job_id: str, reservations: list[StepReservation]) -> None:
+        self.preemption.release_claims(job_id, reservations)
+
     def _local_status(self) -> LocalStatus:
         return LocalStatus(
             reporting_fraction=self.workers.reporting_fraction(),
