--- a/appledock/core/membership/format_upgrade.py
+++ b/appledock/core/membership/format_upgrade.py
@@ -66,7 +66,7 @@
     def _do_all_nodes_read_it(self) -> bool:
         members = self._replica.members
         return len(members) >= self._cluster_size and all(
-            member.format >= self._newest_format for member in members.values()
+            member.record_format >= self._newest_format for member in members.values()
         )
 
     def _record(self) -> None:
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -85,7 +85,7 @@
     """Shares of a team's limit are kept from one view to the next."""
 
     def allocated(self: QuotaAllocation, team: str) -> dict[str, Resources]:
-        record, view = self._replica.team(team), self._replica.view
+        record, view = self._replica.allocation_of(team), self._replica.view
         assert view is not None
         kept, record.term = record.term, view.term
         try:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -19,13 +19,14 @@
 from appledock.core.quota.admission import QueuedDemand, admit_queue
 from appledock.core.quota.resources import Resources
 from appledock.core.records.job import Attempt, Job, decode_job
+from appledock.core.records.membership_view import View
 from appledock.core.scheduling import placement
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.placement import Sampling
 from appledock.core.scheduling.victim_selection import Victim, select_victims
 from appledock.core.store.keys import JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Put, Transaction
 from appledock.settings import Objective
 from tests.test_grown import owner_of_nothing
@@ -293,7 +294,7 @@
     replica = Replica()
     replica.put(JOBS + "job-1", {"spec": 5}, 3)
     replica.put(TEAMS + "red", [], 3)
-    assert not replica.jobs and not replica.team("red").shares
+    assert not replica.jobs and not replica.allocation_of("red").shares
 
 
 def test_old_news_never_replace_newer() -> None:
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -138,7 +138,7 @@
     e.replica.put(
         VIEW, {"term": 5, "members": {"n0": "x.1", "n1": "y", "n2": "z"}, "leader": "n0"}, 1
     )
-    e.replica.view_changed = False
+    e.replica.changes.view = False
     e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
     e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
         e.membership.store_answered_at
