--- a/appledock/core/membership/membership.py
+++ b/appledock/core/membership/membership.py
@@ -9,7 +9,7 @@
 2. *A view is confirmed by a linearizable read.* `view_confirmed_at` is the moment at which the
    last read (or write) was sent that proved that no newer view existed (`LeaseRenewal.confirm`,
    `ViewChanger`). So a member's authority under an older view ends within one lease of a newer
-   one, even if it hears nothing of it.
+   one, even if it never learns of it.
 3. *Clocks drift.* Authority lasts one lease less `CLOCK_DRIFT` of it and less
    `AUTHORITY_MARGIN_S` (`authority_duration_s`).
 4. *Writes are fenced.* Every scheduling write is conditional on the versions of the view and of
--- a/appledock/core/membership/view_changes.py
+++ b/appledock/core/membership/view_changes.py
@@ -23,9 +23,11 @@
 class ViewChanger:
     """Writes a new view by one compare-and-swap; whoever's is committed first wins.
 
-    Members follow the member keys, which the store deletes when their leases expire. Besides,
-    it carries out the pending requests: at once those to detach a member, at most once in
-    `TERM_BUMP_EVERY_S` the others.
+    Members follow the member keys, which the store deletes when their leases expire. So a member
+    has left the view only after its lease, when it has no authority any more: it counts its lease
+    from the moment of sending, which is earlier than the store's own count. Besides, pending
+    requests are carried out: those to detach a member at once, the others no sooner than
+    `TERM_BUMP_EVERY_S` after the last view.
     """
 
     def __init__(  # noqa: PLR0913 -- it connects the store, the lease and the failure detector
