--- a/appledock/core/jobs/team_record_writer.py
+++ b/appledock/core/jobs/team_record_writer.py
@@ -6,11 +6,12 @@
 
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.quota.allocation import QuotaAllocation
+from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import TEAMS
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.reader import StateReader
-from appledock.core.store.replica import Replica, Team
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     Committed,
     Conflict,
@@ -41,7 +42,7 @@
         self._reconcile_queue = reconcile_queue
         self._fencing_conditions = fencing_conditions
 
-    def write(self, team: str, record: Team, priority: Priority) -> None:
+    def write(self, team: str, record: TeamAllocation, priority: Priority) -> None:
         """Write a team's record, conditional on its version."""
         transaction = Transaction(self._fencing_conditions(), [Put(TEAMS + team, record.encode())])
         transaction.conditions[TEAMS + team] = record.version
--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -34,9 +34,11 @@
 from appledock.core.quota.unanswered import UnansweredWrite, UnansweredWrites
 from appledock.core.quota.usage import QuotaUsage
 from appledock.core.records.job import Job
+from appledock.core.records.membership_view import View
+from appledock.core.records.team_allocation import ResourceShare, TeamAllocation
 from appledock.core.runtime import Runtime
 from appledock.core.store.keys import TEAMS
-from appledock.core.store.replica import Replica, Team, View
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import StoreOutcome
 
 
@@ -56,7 +58,7 @@
 class RecordChange:
     """The step needs a change of the team's record, conditional on the record's version."""
 
-    record: Team
+    record: TeamAllocation
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +124,7 @@
     # --- what is allocated ------------------------------------------------
     def is_current(self, team: str) -> bool:
         """Has the watch passed the team's record, so that no job it speaks of is missing?"""
-        version = self._replica.team(team).version
+        version = self._replica.allocation_of(team).version
         return version <= self._replica.revision or self._own_versions.get(team) == version
 
     def allocated(self, team: str) -> dict[str, Resources]:
@@ -130,7 +132,7 @@
 
         Under a view for which the record is not written yet: what its jobs hold.
         """
-        record = self._replica.team(team)
+        record = self._replica.allocation_of(team)
         if record.term != self._view.term:
             return dict(self._usage.held_by_node(team))
         allocated = {node: Resources(*part) for node, part in record.shares.items()}
@@ -219,7 +221,7 @@
             return NotPossible()
         return RecordChange(self._record(team, allocated))
 
-    def plan_release(self, team: str, resources: Resources) -> Team:
+    def plan_release(self, team: str, resources: Resources) -> TeamAllocation:
         """The team's record with so much less for us, but no less than our jobs hold."""
         allocated, node = self.allocated(team), self._runtime.node
         held = self._usage.held_by_node(team).get(node, NO_RESOURCES)
@@ -227,7 +229,7 @@
         return self._record(team, allocated)
 
     def _is_of_present_view(self, team: str) -> bool:
-        return self._replica.team(team).term == self._view.term
+        return self._replica.allocation_of(team).term == self._view.term
 
     def _held_by_other_jobs(self, job: Job) -> Resources:
         """What our jobs of the same team hold without this one."""
@@ -274,31 +276,31 @@
         for receiver in receivers:
             allocated[receiver] = allocated.get(receiver, NO_RESOURCES) + part
 
-    def _record(self, team: str, allocated: dict[str, Resources]) -> Team:
+    def _record(self, team: str, allocated: dict[str, Resources]) -> TeamAllocation:
         """The team's record under the present view, conditional on the version known."""
         view = self._view
         parts = {
-            node: (part.cpus, part.gpus)
+            node: ResourceShare(part.cpus, part.gpus)
             for node, part in allocated.items()
             if node in view.members and part.is_positive()
         }
-        return Team(self._replica.team(team).version, view.term, parts)
+        return TeamAllocation(self._replica.allocation_of(team).version, view.term, parts)
 
     # --- writing ----------------------------------------------------------
     def is_being_written(self, team: str) -> bool:
         """Is a write of the team's record under way?"""
         return team in self._teams_being_written
 
-    def begin_step(self, job: Job, new: Job, record: Team | None) -> PendingWrite:
+    def begin_step(self, job: Job, new: Job, record: TeamAllocation | None) -> PendingWrite:
         """A write of a job's record is sent, and of its team's if `record` is given."""
         return self._begin(job.spec.team, record, [self._usage.begin_write(job, new)])
 
-    def begin_record_write(self, team: str, record: Team) -> PendingWrite:
+    def begin_record_write(self, team: str, record: TeamAllocation) -> PendingWrite:
         """A write of the team's record alone is sent."""
         return self._begin(team, record, [])
 
     def _begin(
-        self, team: str, record: Team | None, records: list[UnansweredWrite]
+        self, team: str, record: TeamAllocation | None, records: list[UnansweredWrite]
     ) -> PendingWrite:
         if record is not None:
             self._teams_being_written.add(team)
@@ -315,7 +317,7 @@
         if wrote_record:
             self._teams_being_written.discard(team)
 
-    def on_record_committed(self, team: str, record: Team, revision: int) -> None:
+    def on_record_committed(self, team: str, record: TeamAllocation, revision: int) -> None:
         """Our write of the team's record was executed at the revision."""
         self._own_versions[team] = revision
         self._replica.put(TEAMS + team, record.encode(), revision)
--- a/appledock/core/workers/detached_members.py
+++ b/appledock/core/workers/detached_members.py
@@ -89,7 +89,9 @@
     def _can_detach(self, owner: str) -> bool:
         view = self.replica.view
         assert view is not None
-        return owner in view.attached() and not self.heartbeats.receives_worker_reports(owner)
+        return owner in view.attached_members() and not self.heartbeats.receives_worker_reports(
+            owner
+        )
 
     def _live_workers_of(self, owner: str) -> int:
         """Workers of the owner of which any controller has received a heartbeat lately."""
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -11,8 +11,9 @@
 from appledock.core.messages import WorkerMessage
 from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job
+from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.workers.command_pusher import CommandPusher
 from appledock.core.workers.command_reconciler import CommandReconciler
 from appledock.core.workers.detached_members import DetachedMembers
