--- /dev/null
+++ b/tests/unit/store/test_reader.py
@@ -0,0 +1,93 @@
+"""The reader with a real replica and client, without a controller around them."""
+
+from __future__ import annotations
+
+import random
+
+from appledock import wire
+from appledock.core.events import StoreCall, StoreReply
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
+from appledock.core.store.keys import FINAL, JOBS, MEMBERS
+from appledock.core.store.reader import StateReader
+from appledock.core.store.replica import Replica
+from appledock.core.store_calls import (
+    GetKey,
+    HistoryCompacted,
+    ListKeys,
+    Missing,
+    NotExecuted,
+    Row,
+    Rows,
+    StoreOutcome,
+    WatchKeys,
+)
+from tests.test_requests import settings
+
+MEMBER = {"incarnation": "x", "lease": 1}
+
+
+class Parts:
+    def __init__(self) -> None:
+        self.runtime = Runtime(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1))
+        self.runtime.now = 100.0
+        self.client = StoreClient(self.runtime)
+        self.replica = Replica()
+        self.loaded_count = 0
+        self.reader = StateReader(self.runtime, self.client, self.replica, self._on_loaded)
+
+    def _on_loaded(self) -> None:
+        self.loaded_count += 1
+
+    def calls(self) -> list[StoreCall]:
+        self.client.flush()
+        return [call for call in self.runtime.take_effects() if isinstance(call, StoreCall)]
+
+    def answer(self, call: StoreCall, outcome: StoreOutcome) -> None:
+        self.runtime.resolve(StoreReply(call.call_id, outcome))
+
+
+def test_the_watch_continues_from_the_first_page_of_the_listing() -> None:
+    parts = Parts()
+    parts.reader.tick()
+    [first] = parts.calls()
+    assert isinstance(first.request, ListKeys) and first.request.after is None
+    parts.answer(first, Rows([wire.Row(MEMBERS + "n0", MEMBER, 3)], 7, True))
+    [second] = parts.calls()
+    assert isinstance(second.request, ListKeys) and second.request.after == MEMBERS + "n0"
+    assert parts.loaded_count == 0 and not parts.reader.loaded
+    parts.answer(second, Rows([wire.Row(MEMBERS + "n1", MEMBER, 9)], 11, False))
+    assert parts.loaded_count == 1 and set(parts.replica.members) == {"n0", "n1"}
+    parts.reader.tick()
+    [watch] = parts.calls()
+    assert isinstance(watch.request, WatchKeys) and watch.request.after_revision == 7
+
+
+def test_a_compacted_history_is_followed_by_a_new_listing() -> None:
+    parts = Parts()
+    parts.reader.loaded = True
+    parts.reader.tick()
+    [watch] = parts.calls()
+    parts.answer(watch, HistoryCompacted())
+    assert not parts.reader.loaded
+    parts.reader.tick()
+    [listing] = parts.calls()
+    assert isinstance(listing.request, ListKeys)
+
+
+def test_keys_are_read_one_after_the_other_up_to_the_first_failure() -> None:
+    parts = Parts()
+    events: list[str] = []
+    keys = [JOBS + "job-1", FINAL + "job-1"]
+    parts.reader.read_keys(keys, lambda: events.append("read"), lambda: events.append("failure"))
+    [first] = parts.calls()
+    assert first.request == GetKey(JOBS + "job-1")
+    parts.answer(first, Missing())
+    [second] = parts.calls()
+    assert second.request == GetKey(FINAL + "job-1") and events == []
+    parts.answer(second, Row(FINAL + "job-1", {"state": wire.DONE}, 5))
+    assert events == ["read"] and parts.replica.final_states == {"job-1": wire.DONE}
+    parts.reader.read_keys(keys, lambda: events.append("read"), lambda: events.append("failure"))
+    [third] = parts.calls()
+    parts.answer(third, NotExecuted())
+    assert parts.calls() == [] and events == ["read", "failure"]
