--- a/appledock/core/scheduling/placement_pass.py
+++ b/appledock/core/scheduling/placement_pass.py
@@ -36,8 +36,9 @@
 class PlacementPass:
     """Places the queued jobs that this controller owns."""
 
-    def __init__(  # noqa: PLR0913, PLR0917 -- what a pass refreshes and asks
+    def __init__(  # noqa: PLR0913 -- what a pass refreshes and asks
         self,
+        *,
         runtime: Runtime,
         replica: Replica,
         reconcile_queue: ReconcileQueue,
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -23,8 +23,9 @@
 class Reconciler:
     """Takes jobs out of the reconcile queue, records what is settled, and runs placement."""
 
-    def __init__(  # noqa: PLR0913, PLR0917 -- it drives the other parts
+    def __init__(  # noqa: PLR0913 -- it drives the other parts
         self,
+        *,
         runtime: Runtime,
         replica: Replica,
         can_act: Callable[[], bool],
--- a/appledock/core/scheduling/step_planner.py
+++ b/appledock/core/scheduling/step_planner.py
@@ -78,8 +78,9 @@
     preemption has requested the stops.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 -- what the phases ask
+    def __init__(  # noqa: PLR0913 -- what the phases ask
         self,
+        *,
         runtime: Runtime,
         operator_settings: OperatorSettings,
         is_leader: Callable[[], bool],
--- /dev/null
+++ b/tests/unit/scheduling/test_step_planner.py
@@ -0,0 +1,131 @@
+"""What comes next for a job is decided in phases, as a value."""
+
+from __future__ import annotations
+
+import random
+from types import SimpleNamespace
+from typing import Any
+
+from appledock import wire
+from appledock.core.jobs.reconcile_queue import PendingReason
+from appledock.core.machines.machine_capacity import MachineCapacity
+from appledock.core.operator_settings import OperatorSettings
+from appledock.core.records.job import Attempt, Job
+from appledock.core.scheduling.decisions import HandedOff, Placed, StepDecision, Waiting
+from appledock.core.scheduling.placement_pass import JobClass, TaskSize, UnplaceableSizes
+from appledock.core.scheduling.step_planner import StepPlanner
+from tests.test_decisions import room
+from tests.test_requests import spec
+
+
+class Phases:
+    """A planner whose collaborators answer as the attributes say."""
+
+    def __init__(self) -> None:
+        self.admitted_tasks = 99
+        self.tasks_by_zone: dict[str, int] | None = {}
+        self.handoff_target: str | None = None
+        self.preempted_at: str | None = None
+        self.faster_start: str | None = None
+        self.should_batch = False
+
+    def decide(self, job: Job, *own: MachineCapacity) -> StepDecision:
+        runtime: Any = SimpleNamespace(node="n0", rng=random.Random(1), teams={"red": None})
+        settlement: Any = SimpleNamespace(without_settled_attempts=lambda job: None)
+        writer: Any = SimpleNamespace(withdraw_lower_priority_steps=lambda job: False)
+        quota: Any = SimpleNamespace(admitted_tasks=lambda job, unsettled: self.admitted_tasks)
+        zones: Any = SimpleNamespace(tasks_by_zone=lambda job: self.tasks_by_zone)
+        preemption: Any = SimpleNamespace(
+            claims={},
+            claimed_machines={},
+            preempt_for=lambda *args, **named: self.preempted_at,
+            find_faster_start=lambda *args: self.faster_start,
+        )
+        handoff: Any = SimpleNamespace(choose_target=lambda *args: self.handoff_target)
+        pacing: Any = SimpleNamespace(
+            should_batch=lambda *args: self.should_batch, is_service_rate_limited=lambda: False
+        )
+        moves: Any = SimpleNamespace(place_held=lambda *args: [])
+        rebalancing: Any = SimpleNamespace(scorer=lambda spec: None)
+        partitions: Any = SimpleNamespace(places_everywhere=lambda job: False)
+        planner = StepPlanner(
+            runtime=runtime,
+            operator_settings=OperatorSettings(),
+            is_leader=lambda: False,
+            settlement=settlement,
+            writer=writer,
+            quota=quota,
+            zones=zones,
+            preemption=preemption,
+            handoff=handoff,
+            pacing=pacing,
+            moves=moves,
+            rebalancing=rebalancing,
+            partitions=partitions,
+        )
+        return planner.decide(job, list(own), list(own))
+
+
+def job(**changes: object) -> Job:
+    return Job(spec(id="job-1", **{"cores": 1.0, "memory_gb": 0.0, **changes}), 0.0)
+
+
+def test_jobs_that_may_not_start_wait_with_the_reason_of_the_first_phase_that_says_so() -> None:
+    phases = Phases()
+    phases.tasks_by_zone = None
+    gang = job(crates=3, shape="group", together=True)
+    gang.attempts.append(Attempt("vm-9", 1, 1, 1, False, {0}))
+    assert phases.decide(job(owner="nobody")) == Waiting(PendingReason.UNKNOWN_TEAM)
+    phases.admitted_tasks = 0
+    assert phases.decide(gang) == Waiting(PendingReason.TEAM_LIMIT)
+    phases.admitted_tasks = 9
+    assert phases.decide(gang) == Waiting(PendingReason.GANG_UNSETTLED)
+    gang.attempts.clear()
+    assert phases.decide(gang) == Waiting(PendingReason.ZONES_UNKNOWN)
+    phases.tasks_by_zone = {}
+    assert phases.decide(gang) == Waiting(PendingReason.NO_CAPACITY)
+
+
+def test_what_fits_is_placed_and_reserved_and_the_rest_handed_off() -> None:
+    phases, machine, queued = Phases(), room("vm-1", 2.0), job(crates=3)
+    phases.handoff_target = "n1"
+    decision = phases.decide(queued, machine)
+    assert decision == Placed(queued, [(machine, 2)], "n1")  # type: ignore[list-item]
+    assert machine.cpus == 0.0
+
+
+def test_a_step_that_waits_for_more_capacity_gives_back_what_it_reserved() -> None:
+    phases, machine = Phases(), room("vm-1", 2.0)
+    phases.should_batch = True
+    decision = phases.decide(job(crates=3), machine)
+    assert decision == Waiting(PendingReason.BATCHING, retry_soon=True)
+    assert machine.cpus == 2.0
+
+
+def test_a_service_is_handed_off_for_image_locality_or_waits_for_preemption_here() -> None:
+    phases, machine, service = Phases(), room("vm-1", 2.0), job(shape="daemon", crates=1)
+    phases.faster_start = "n1"
+    assert phases.decide(service, machine) == HandedOff("n1")
+    phases.faster_start = "n0"
+    assert phases.decide(service, machine) == Waiting(PendingReason.PREEMPTING)
+    assert isinstance(phases.decide(job(crates=1), machine), Placed)
+
+
+def test_a_job_whose_team_is_at_its_limit_goes_where_the_teams_own_work_can_be_preempted() -> None:
+    phases = Phases()
+    phases.admitted_tasks, phases.preempted_at = 0, "n1"
+    assert phases.decide(job()) == HandedOff("n1", PendingReason.TEAM_LIMIT)
+
+
+def test_sizes_that_found_no_capacity_rule_out_larger_ones_of_the_same_class_only() -> None:
+    def key(**changes: object) -> tuple[JobClass, TaskSize]:
+        one: wire.JobSpec = job(**changes).spec
+        return JobClass.of(one, 2), TaskSize.of(one)
+
+    unplaceable = UnplaceableSizes()
+    unplaceable.add(*key(cores=2.0))
+    assert unplaceable.covers(*key(cores=2.0)) and unplaceable.covers(*key(cores=3.0))
+    assert not unplaceable.covers(*key(cores=1.0))
+    assert not unplaceable.covers(*key(cores=3.0, quay="a"))
+    unplaceable.add(*key(cores=2.0, scatter=True))  # may fit with other tasks placed elsewhere
+    assert not unplaceable.covers(*key(cores=2.0, scatter=True))
