--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -24,6 +24,9 @@
 from appledock.core.engine import Engine
 from appledock.core.fleet import Fleet
 from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
+from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
+from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
@@ -172,7 +175,23 @@
             self.heartbeats.is_any_peer_under_pressure,
         )
         self.reconciler = Reconciler(self)
-        self.cancellation = CancellationEnforcer(self)
+        self.cancellation_dissemination = CancellationDissemination(
+            self.runtime, self.replica, self.codec
+        )
+        self.cancelled_task_halter = CancelledTaskHalter(self.runtime, self.replica, self.workers)
+        self.cancellation = CancellationEnforcer(
+            runtime=self.runtime,
+            replica=self.replica,
+            workers=self.workers,
+            membership=self.membership,
+            heartbeats=self.heartbeats,
+            halter=self.cancelled_task_halter,
+            machines=CancelledTaskMachines(
+                self.runtime,
+                self.workers,
+                lambda names: self.fleet.deleted(names),  # noqa: PLW0108 -- built later
+            ),
+        )
         self.fleet = Fleet(self)
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
         self.job_states = JobStates(self.replica, self.workers)
@@ -197,6 +216,7 @@
             stop_requests=self.stop_requests,
             reconciler=self.reconciler,
             cancellation=self.cancellation,
+            cancellation_dissemination=self.cancellation_dissemination,
             fleet=self.fleet,
             health=self.health,
             user_requests=self.user_requests,
@@ -233,7 +253,7 @@
             requests=requests,
             records=records,
             states=self.job_states,
-            broadcast=self.cancellation.broadcast,
+            broadcast=self.cancellation_dissemination.broadcast,
         )
         outcomes = DependencyOutcomes(self.runtime, self.replica, self.reader, records)
         return UserRequests(requests, submissions, polls, cancellations, outcomes)
@@ -253,7 +273,7 @@
         self.rebalancer.speeds.forget(machine)
 
     def _on_unanswerable_heartbeat(self, report: wire.Report) -> None:
-        self.cancellation.halt_cancelled_tasks(report)
+        self.cancelled_task_halter.halt_cancelled_tasks(report)
 
     def _on_view_in_doubt(self) -> None:
         self.membership_protocol.confirm_view()
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -13,6 +13,7 @@
 from appledock.core.capacity.partitions import CapacityShares
 from appledock.core.fleet import Fleet
 from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
 from appledock.core.jobs.stop_requests import StopRequests
@@ -58,6 +59,7 @@
         stop_requests: StopRequests,
         reconciler: Reconciler,
         cancellation: CancellationEnforcer,
+        cancellation_dissemination: CancellationDissemination,
         fleet: Fleet,
         health: HealthCheck,
         user_requests: UserRequests,
@@ -82,6 +84,7 @@
         self.stop_requests = stop_requests
         self.reconciler = reconciler
         self.cancellation = cancellation
+        self.cancellation_dissemination = cancellation_dissemination
         self.fleet = fleet
         self.health = health
         self.user_requests = user_requests
@@ -128,7 +131,7 @@
             case ev.PeerOpened():
                 self.workers.on_peer_connected(cmd.name)
                 self.fleet.on_peer_connected(cmd.name)
-                self.cancellation.on_peer_connected(cmd.name)
+                self.cancellation_dissemination.on_peer_connected(cmd.name)
             case ev.Tick():
                 self._tick()
             case ev.Poll() | ev.Submit() | ev.Cancel() | ev.Health() | ev.Admin():
@@ -163,7 +166,7 @@
             case messages.StopTasks():
                 self.stop_requests.add(message.job, message.machine, set(message.tasks))
             case messages.JobCancelled():
-                self.cancellation.on_peer(message)
+                self.cancellation_dissemination.on_peer(message)
             case messages.MoveRequested() | messages.MoveHeld() | messages.MoveEnded():
                 self.moves.on_peer(message)
             case messages.Heartbeat():
--- /dev/null
+++ b/appledock/core/jobs/cancelled_task_machines.py
@@ -0,0 +1,78 @@
+"""Deletion of machines on which cancelled tasks may still run: the last means.
+
+Deletions go to the cloud, whose calls need no store.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from appledock import constants
+from appledock.core.events import CloudCall, CloudOutcome, CloudReply
+from appledock.core.runtime import Runtime
+from appledock.core.workers import Workers
+
+log = logging.getLogger(__name__)
+
+
+class CancelledTaskMachines:
+    """Deletes machines, again until the cloud answers."""
+
+    def __init__(
+        self, runtime: Runtime, workers: Workers, on_deleted: Callable[[list[str]], None]
+    ) -> None:
+        """Build it; `on_deleted` is called with the machines whose deletion is confirmed."""
+        self._runtime = runtime
+        self._workers = workers
+        self._on_deleted = on_deleted
+        self._requested_at: dict[str, float] = {}
+        """machine -> when its deletion was last requested"""
+        self._next_request_at = 0.0
+
+    def delete(self, names: list[str]) -> None:
+        """Delete the machines in one request, without those requested a moment ago.
+
+        A controller that receives few heartbeats deletes nothing: it is probably cut off itself,
+        and the workers' leases end without it.
+        """
+        now = self._runtime.now
+        due = [name for name in names if not self._is_requested(name)][: constants.DELETE_MAX]
+        if not due or now < self._next_request_at or not self._hears_most_workers():
+            return
+        self._next_request_at = now + constants.CANCEL_DELETE_AGAIN_S / 2
+        self._requested_at.update(dict.fromkeys(due, now))
+        log.warning("deleting machines of cancelled tasks: machines=%s", due)
+
+        def on_reply(reply: CloudReply) -> None:
+            if reply.outcome is CloudOutcome.OK:
+                self._on_deleted(due)
+            else:
+                for name in due:
+                    self._requested_at.pop(name, None)
+
+        self._runtime.call(
+            lambda call_id: CloudCall(call_id, "delete", (due,), constants.CLOUD_TIMEOUT_S),
+            on_reply,
+        )
+
+    def forget_old(self) -> None:
+        """Forget requests that may be repeated."""
+        self._requested_at = {
+            name: requested_at
+            for name, requested_at in self._requested_at.items()
+            if self._is_requested(name)
+        }
+
+    def _is_requested(self, name: str) -> bool:
+        requested_at = self._requested_at.get(name, constants.LONG_AGO)
+        return self._runtime.now - requested_at < constants.CANCEL_DELETE_AGAIN_S
+
+    def _hears_most_workers(self) -> bool:
+        recent_s = 2 * self._runtime.settings.cluster.workers.report_s
+        are_recent = [
+            self._runtime.now - worker.reachability.last_heartbeat_at < recent_s
+            for worker in self._workers.table.values()
+            if worker.report
+        ]
+        return sum(are_recent) >= constants.CALM_SHARE * len(are_recent)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -10,7 +10,9 @@
 from appledock import wire
 from appledock.core.api.status_polls import StatusPolls
 from appledock.core.api.submission_check import SubmissionCheck
-from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
+from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
+from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
 from appledock.core.quota import allocation, usage
 from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.quota.resources import NO_RESOURCES, Resources
@@ -124,9 +126,9 @@
 
 def no_word_of_mouth(patch: Patch) -> None:
     """Nor deletions: what is left is time, since leases end in `cancel_s`."""
-    patch.setattr(CancellationEnforcer, "broadcast", lambda *_: None)
-    patch.setattr(CancellationEnforcer, "_halt", lambda *_: None)
-    patch.setattr(CancellationEnforcer, "_delete", lambda *_: None)
+    patch.setattr(CancellationDissemination, "broadcast", lambda *_: None)
+    patch.setattr(CancelledTaskHalter, "halt", lambda *_: None)
+    patch.setattr(CancelledTaskMachines, "delete", lambda *_: None)
 
 
 def nothing_but_long_leases(patch: Patch) -> None:
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -6,7 +6,8 @@
 
 from appledock import wire
 from appledock.core.api.status_polls import StatusPolls
-from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
+from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
 from appledock.core.membership.membership import Membership
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
@@ -120,17 +121,17 @@
         ],
     )
     assert "ran_cancelled" not in play(0, seconds=110.0).judge.kinds()
-    monkeypatch.setattr(CancellationEnforcer, "_halt", lambda *_: None)
+    monkeypatch.setattr(CancelledTaskHalter, "halt", lambda *_: None)
     deleted: list[str] = []
-    delete = CancellationEnforcer._delete
+    delete = CancelledTaskMachines.delete
     monkeypatch.setattr(
-        CancellationEnforcer,
-        "_delete",
+        CancelledTaskMachines,
+        "delete",
         lambda self, names: (deleted.extend(names), delete(self, names))[1],
     )
     assert "ran_cancelled" not in play(0, seconds=110.0).judge.kinds()
     assert deleted
-    monkeypatch.setattr(CancellationEnforcer, "_delete", lambda *_: None)
+    monkeypatch.setattr(CancelledTaskMachines, "delete", lambda *_: None)
     assert "ran_cancelled" in kinds(range(1))
 
 
