--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -26,12 +26,13 @@
     RecordChange,
 )
 from appledock.core.records.job import Job
+from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import FINAL, JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall
 from appledock.core.store.reader import StateReader
-from appledock.core.store.replica import Replica, Team
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     Committed,
     Conflict,
@@ -77,7 +78,7 @@
     new: Job
     """as it is written"""
     change: RecordUpdate | JobEnd
-    team_record: Team | None
+    team_record: TeamAllocation | None
     """the team's record, if it is part of the transaction"""
     reservations: list[StepReservation]
     """capacity that the step uses"""
@@ -191,7 +192,7 @@
         new: Job,
         change: RecordUpdate | JobEnd,
         priority: Priority,
-        team_record: Team | None,
+        team_record: TeamAllocation | None,
         reservations: list[StepReservation],
     ) -> bool:
         """Reserve what the write uses and queue it; False: the client's queue is full."""
@@ -215,7 +216,7 @@
         return True
 
     def _transaction(
-        self, job: Job, new: Job, change: RecordUpdate | JobEnd, team_record: Team | None
+        self, job: Job, new: Job, change: RecordUpdate | JobEnd, team_record: TeamAllocation | None
     ) -> Transaction:
         transaction = Transaction(self._fencing_conditions())
         transaction.conditions[JOBS + job.id] = job.version
--- a/appledock/core/workers/lease_expiry.py
+++ b/appledock/core/workers/lease_expiry.py
@@ -6,8 +6,9 @@
 
 from appledock import constants
 from appledock.core.membership.membership import Membership
+from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.workers.dissemination import Dissemination
 from appledock.core.workers.observers import WorkerObservers
 from appledock.core.workers.record import Worker
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -142,7 +142,7 @@
     e = engine()
     e.replica.put(VIEW, {"term": 5, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
-    e.replica.view_changed = False
+    e.replica.changes.view = False
     e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
     e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
         e.membership.store_answered_at
