--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -24,6 +24,9 @@
 from appledock.core.engine import Engine
 from appledock.core.fleet import Fleet
 from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
+from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
+from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
@@ -85,7 +88,12 @@
         self.client = StoreClient(self.runtime)
         self.replica = Replica()
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
-        self.reader = StateReader(self)
+        self.reader = StateReader(
+            self.runtime,
+            self.client,
+            self.replica,
+            on_loaded=self._on_replica_loaded,
+        )
         self.view_requests = ViewChangeRequests()
         self.membership = Membership(self.runtime, self.replica)
         self.heartbeats = Heartbeats(
@@ -257,7 +265,23 @@
             recorder=self.settlement_recorder,
             placement_pass=self.placement_pass,
         )
-        self.cancellation = CancellationEnforcer(self)
+        self.cancellation_dissemination = CancellationDissemination(
+            self.runtime, self.replica, self.codec
+        )
+        self.cancelled_task_halter = CancelledTaskHalter(self.runtime, self.replica, self.workers)
+        self.cancellation = CancellationEnforcer(
+            runtime=self.runtime,
+            replica=self.replica,
+            workers=self.workers,
+            membership=self.membership,
+            heartbeats=self.heartbeats,
+            halter=self.cancelled_task_halter,
+            machines=CancelledTaskMachines(
+                self.runtime,
+                self.workers,
+                lambda names: self.fleet.deleted(names),  # noqa: PLW0108 -- built later
+            ),
+        )
         self.fleet = Fleet(self)
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
         self.job_states = JobStates(self.replica, self.workers)
@@ -282,6 +306,7 @@
             stop_requests=self.stop_requests,
             reconciler=self.reconciler,
             cancellation=self.cancellation,
+            cancellation_dissemination=self.cancellation_dissemination,
             fleet=self.fleet,
             health=self.health,
             user_requests=self.user_requests,
@@ -318,7 +343,7 @@
             requests=requests,
             records=records,
             states=self.job_states,
-            broadcast=self.cancellation.broadcast,
+            broadcast=self.cancellation_dissemination.broadcast,
         )
         outcomes = DependencyOutcomes(self.runtime, self.replica, self.reader, records)
         return UserRequests(requests, submissions, polls, cancellations, outcomes)
@@ -328,6 +353,10 @@
         return self.engine.handle(batch, now, wall)
 
     # --- what the workers tell parts that are built after them --------------
+    def _on_replica_loaded(self) -> None:
+        """Join at once instead of with the next tick."""
+        self.membership_protocol.tick()
+
     def _on_capacity_changed(self, machine: str) -> None:
         self.capacity_index.mark_changed(machine)
 
@@ -338,7 +367,7 @@
         self.rebalancer.speeds.forget(machine)
 
     def _on_unanswerable_heartbeat(self, report: wire.Report) -> None:
-        self.cancellation.halt_cancelled_tasks(report)
+        self.cancelled_task_halter.halt_cancelled_tasks(report)
 
     def _on_view_in_doubt(self) -> None:
         self.membership_protocol.confirm_view()
