--- a/appledock/adapters/store.py
+++ b/appledock/adapters/store.py
@@ -1,9 +1,9 @@
-"""State service: carries calls out and classifies the answers."""
+"""Key-value store: sends calls over HTTP and classifies the answers."""
 
 from __future__ import annotations
 
 import logging
-from typing import assert_never
+from typing import NamedTuple, assert_never
 
 import msgspec
 
@@ -13,6 +13,7 @@
     Acknowledged,
     Committed,
     Conflict,
+    Delete,
     GetKey,
     Grant,
     GrantLease,
@@ -40,25 +41,29 @@
 log = logging.getLogger(__name__)
 
 
-def encode_txn(plan: Transaction) -> bytes:
-    """A transaction in the state service's words."""
-    writes = []
-    for write in plan.writes:
-        if isinstance(write, Put):
-            writes.append(
-                wire.Write(
-                    put=write.key,
-                    value=write.value,
-                    lease=msgspec.UNSET if write.lease is None else write.lease,
-                )
-            )
-        else:
-            writes.append(wire.Write(delete=write.key))
-    return wire.encode(wire.Txn([wire.Condition(k, v) for k, v in plan.conditions.items()], writes))
+class HttpRequest(NamedTuple):
+    """A call as it goes onto the wire."""
+
+    method: str
+    path: str
+    body: bytes = b""
+
+
+def encode_transaction(transaction: Transaction) -> bytes:
+    """A transaction as the protocol writes it."""
+    conditions = [wire.Condition(key, version) for key, version in transaction.conditions.items()]
+    return wire.encode(wire.Txn(conditions, [_encode_write(w) for w in transaction.writes]))
+
+
+def _encode_write(write: Put | Delete) -> wire.Write:
+    if isinstance(write, Delete):
+        return wire.Write(delete=write.key)
+    lease = msgspec.UNSET if write.lease is None else write.lease
+    return wire.Write(put=write.key, value=write.value, lease=lease)
 
 
 class Store:
-    """One pool for calls, one connection of its own for the watch."""
+    """One pool of connections for calls, and one for the watch, which waits long for answers."""
 
     def __init__(self, host: str, port: int) -> None:
         self.calls = Client(host, port, most=12)
@@ -66,15 +71,15 @@
 
     async def run(self, call: StoreCall) -> StoreReply:
         """Carry out a call; its outcome says whether it was executed."""
-        method, path, body = request(call)
+        request = build_request(call.request)
         client = self.watch if isinstance(call.request, WatchKeys) else self.calls
         try:
-            status, answer = await client.request(method, path, body, call.timeout_s)
+            status, answer = await client.request(*request, call.timeout_s)
         except NotSent as error:
-            log.debug("state service: %s", error)
+            log.debug("store call not sent: operation=%s error=%s", operation(call.request), error)
             return StoreReply(call.call_id, NotExecuted())
         except NoAnswer as error:
-            log.info("state service: %s: %s", operation(call.request), error)
+            log.info("store call unanswered: operation=%s error=%s", operation(call.request), error)
             return StoreReply(call.call_id, UnknownOutcome())
         return StoreReply(call.call_id, classify(call, status, answer))
 
@@ -85,7 +90,7 @@
     try:
         return _outcome(call.request, status, answer)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        log.error("malformed answer of the state service to %s: %s", name, error)
+        log.error("store answer malformed: operation=%s error=%s", name, error)
         return UnknownOutcome()
 
 
@@ -113,16 +118,20 @@
         case 400 if b"no such lease" in answer:
             return NoSuchLease()
         case 400:
-            log.error("state service refused %s as malformed or too large: %s", name, answer[:200])
+            log.error(
+                "store call rejected as malformed or too large: operation=%s answer=%s",
+                name,
+                answer[:200],
+            )
             return Rejected()
         case 429:
-            log.debug("state service: %d to %s", status, name)
+            log.debug("store call not executed: operation=%s status=%d", name, status)
             return NotExecuted(NotExecutedReason.RATE_LIMITED)
         case 503:
-            log.debug("state service: %d to %s", status, name)
+            log.debug("store call not executed: operation=%s status=%d", name, status)
             return NotExecuted(NotExecutedReason.UNAVAILABLE)
         case _:
-            log.error("state service answered %d to %s", status, name)
+            log.error("store answer unexpected: operation=%s status=%d", name, status)
             return UnknownOutcome()
 
 
@@ -144,6 +153,7 @@
     RenewLease: "touch",
     RevokeLease: "revoke",
 }
+"""request -> its name in log lines and metrics"""
 
 
 def operation(store_request: StoreRequest) -> str:
@@ -151,22 +161,23 @@
     return OPERATIONS[type(store_request)]
 
 
-def request(call: StoreCall) -> tuple[str, str, bytes]:
-    """Method, path and body of a call."""
-    match call.request:
+def build_request(store_request: StoreRequest) -> HttpRequest:
+    """The call as an HTTP request."""
+    match store_request:
         case Transaction():
-            return "POST", wire.PATH_TXN, encode_txn(call.request)
+            return HttpRequest("POST", wire.PATH_TXN, encode_transaction(store_request))
         case GetKey(key):
-            return "GET", wire.path_of_key(key), b""
+            return HttpRequest("GET", wire.path_of_key(key))
         case ListKeys(prefix, after, limit):
-            return "GET", wire.path_of_list(prefix, after, limit), b""
+            return HttpRequest("GET", wire.path_of_list(prefix, after, limit))
         case WatchKeys(prefix, after_revision, wait_ms):
-            return "GET", wire.path_of_watch(prefix, after_revision, wait_ms), b""
+            return HttpRequest("GET", wire.path_of_watch(prefix, after_revision, wait_ms))
         case GrantLease(ttl_ms):
-            return "POST", wire.path_of_grant(), wire.encode(wire.GrantRequest(ttl_ms))
+            body = wire.encode(wire.GrantRequest(ttl_ms))
+            return HttpRequest("POST", wire.path_of_grant(), body)
         case RenewLease(lease):
-            return "POST", wire.path_of_touch(lease), b""
+            return HttpRequest("POST", wire.path_of_touch(lease))
         case RevokeLease(lease):
-            return "DELETE", wire.path_of_grant(lease), b""
+            return HttpRequest("DELETE", wire.path_of_grant(lease))
         case _:
-            assert_never(call.request)
+            assert_never(store_request)
--- a/appledock/adapters/users.py
+++ b/appledock/adapters/users.py
@@ -27,7 +27,7 @@
         self.status, self.error, self.headers = status, error, headers
 
 
-def command(request_id: int, method: str, path: str, body: bytes) -> ev.Cmd:
+def command(request_id: int, method: str, path: str, body: bytes) -> ev.Command:
     """The command that a request stands for; raises Refused."""
     if path == wire.PATH_REPORT:
         _only(method, "POST")
--- a/appledock/app.py
+++ b/appledock/app.py
@@ -46,7 +46,7 @@
         self.engine = Controller(
             settings, f"{rng.getrandbits(48):012x}", rng, rebalancing, capacity
         )
-        self.queue: list[ev.Cmd] = []
+        self.queue: list[ev.Command] = []
         self.scheduled = False
         self.next_batch = 0.0
         self.answers: dict[int, Answer] = {}
@@ -94,7 +94,7 @@
             await asyncio.sleep(c.TICK_S)
             self.push(ev.Tick())
 
-    def push(self, command: ev.Cmd) -> None:
+    def push(self, command: ev.Command) -> None:
         """Queue a command; the whole queue is worked through as one batch.
 
         Batches keep a least distance: with hundreds of machines what follows from a batch cost
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -348,7 +348,7 @@
         outcomes = DependencyOutcomes(self.runtime, self.replica, self.reader, records)
         return UserRequests(requests, submissions, polls, cancellations, outcomes)
 
-    def handle(self, batch: list[ev.Cmd], now: float, wall: float) -> list[ev.Effect]:
+    def handle(self, batch: list[ev.Command], now: float, wall: float) -> list[ev.Effect]:
         """Work through a batch; `now` is the steady clock, `wall` the time of day (s)."""
         return self.engine.handle(batch, now, wall)
 
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -96,7 +96,7 @@
         self._started = False
 
     # --- commands in, effects out -----------------------------------------
-    def handle(self, batch: list[ev.Cmd], now: float, wall: float) -> list[ev.Effect]:
+    def handle(self, batch: list[ev.Command], now: float, wall: float) -> list[ev.Effect]:
         """Work through a batch; `now` is the steady clock, `wall` the time of day."""
         self.runtime.now, self.runtime.wall = now, wall
         if not self._started:
@@ -121,7 +121,7 @@
                 log.exception("follow-up of a batch failed")
         return self.runtime.take_effects()
 
-    def _one(self, cmd: ev.Cmd) -> None:
+    def _one(self, cmd: ev.Command) -> None:
         match cmd:
             case ev.Reported():
                 self.workers.on_heartbeat(cmd.request_id, cmd.report)
--- a/appledock/core/events.py
+++ b/appledock/core/events.py
@@ -132,7 +132,7 @@
     """Time to look at the timers."""
 
 
-Cmd = (
+Command = (
     Submit
     | Poll
     | Cancel
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -484,6 +484,9 @@
             job.completed_tasks.add(task)
         return job
 
+    def store_request(self, call: Any) -> HttpCall:
+        return HttpCall(*self.store.build_request(call.request))
+
     def store_reply(self, call: Any, outcome: str) -> Any:
         outcome_type = {"refused": self.calls.NotExecuted, "unknown": self.calls.UnknownOutcome}
         return self.events.StoreReply(self.call_id(call), outcome_type[outcome]())
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -163,7 +163,7 @@
         e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
             e.membership.store_answered_at
         ) = e.now
-        batch: list[ev.Cmd] = [ev.Tick()] if told else [ev.PeerOpened("n1")]
+        batch: list[ev.Command] = [ev.Tick()] if told else [ev.PeerOpened("n1")]
         effects = e.handle(batch, e.now + c.TICK_S, 0.0)
         messages = [
             json.loads(wire.encode(x.message)) for x in effects if isinstance(x, ev.PeerSend)
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -25,7 +25,7 @@
     now, conflicts, refused = 100.0, 0, 0
     for _ in range(400):
         now += 0.05
-        replies: list[ev.Cmd] = [ev.Tick()]
+        replies: list[ev.Command] = [ev.Tick()]
         effects = e.handle(replies, now, 0.0)
         while effects:
             replies = []
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -121,7 +121,7 @@
     seen: list[ev.Effect] = []
     for tick in range(int(seconds / c.TICK_S)):
         e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
-        batch: list[ev.Cmd] = [ev.Tick()]
+        batch: list[ev.Command] = [ev.Tick()]
         if tick % 20 == 0:  # its reports come, and show nothing new
             batch.append(
                 ev.PeerMessage(
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -113,7 +113,7 @@
                 e = leading()
                 caplog.clear()
                 good = {"kind": "gone", "machines": ["vm-9"]}
-                batch: list[ev.Cmd] = [ev.PeerMessage(message), ev.PeerMessage(good)]
+                batch: list[ev.Command] = [ev.PeerMessage(message), ev.PeerMessage(good)]
                 effects = e.handle(batch, NOW, 0.0)
                 assert [x.levelno for x in caplog.records] == [logging.WARNING], message
                 assert "malformed message" in caplog.text and body["kind"] in caplog.text
