--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -11,7 +11,8 @@
 from appledock.core.jobs.reconcile_queue import PendingReason
 from appledock.core.machines.capacity_index import StepReservation
 from appledock.core.machines.machine_capacity import is_allowed_on
-from appledock.core.quota.allocation import NotPossible, PendingWrite, RecordChange
+from appledock.core.quota.allocation import PendingWrite
+from appledock.core.quota.record_plan import NotPossible, RecordChange
 from appledock.core.records.job import Job
 from appledock.core.store.keys import FINAL, JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall
--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -23,6 +23,15 @@
 
 from appledock import constants
 from appledock.core.quota.admission import Admission, QueuedDemand, admit_queue
+from appledock.core.quota.record_plan import (
+    NoRecordChange,
+    NotPossible,
+    RecordChange,
+    RecordPlan,
+    allocate_anew,
+    move_reservation,
+    raise_allocation,
+)
 from appledock.core.quota.resources import (
     NO_RESOURCES,
     Resources,
@@ -47,26 +56,6 @@
         """Sort key: the most urgent job has the smallest one."""
 
 
-@dataclass(frozen=True, slots=True)
-class NoRecordChange:
-    """The step keeps to this controller's allocation: the team's record stays as it is."""
-
-
-@dataclass(frozen=True, slots=True)
-class RecordChange:
-    """The step needs a change of the team's record, conditional on the record's version."""
-
-    record: Team
-
-
-@dataclass(frozen=True, slots=True)
-class NotPossible:
-    """The step cannot be made now: the limit, or a write or read of the record, is in the way."""
-
-
-RecordPlan = NoRecordChange | RecordChange | NotPossible
-
-
 class QuotaAllocation:
     """This controller's allocations of the teams' limits, and the changes of the teams' records.
 
@@ -200,24 +189,18 @@
             return NoRecordChange()
         if not self.is_current(team):
             return NotPossible()
-        allocated = self.allocated(team)
         others = self._held_by_other_jobs(job)
-        if (
-            self._is_of_present_view(team)
-            and not is_handed_off
-            and (others + reserved).fits_in(allocated.get(node, NO_RESOURCES))
-        ):
+        if not is_handed_off and self._is_allocated(team, others + reserved):
             return NoRecordChange()
         if team in self._teams_being_written:
             return NotPossible()
-        limit = limit_of(self._runtime.teams[team])
         if is_handed_off:
-            self._move_reservation(allocated, reserved, others, new_owner)
+            changed = move_reservation(self.allocated(team), node, new_owner, reserved, others)
         else:
-            self._raise_own(allocated, team, others + reserved, limit)
-        if not total(allocated.values()).fits_in(limit):
+            changed = self._raised(team, others + reserved)
+        if not total(changed.values()).fits_in(limit_of(self._runtime.teams[team])):
             return NotPossible()
-        return RecordChange(self._record(team, allocated))
+        return RecordChange(self._record(team, changed))
 
     def plan_release(self, team: str, resources: Resources) -> Team:
         """The team's record with so much less for us, but no less than our jobs hold."""
@@ -229,50 +212,26 @@
     def _is_of_present_view(self, team: str) -> bool:
         return self._replica.team(team).term == self._view.term
 
+    def _is_allocated(self, team: str, needed: Resources) -> bool:
+        """Does our allocation, by a record of the present view, cover what our jobs need?"""
+        if not self._is_of_present_view(team):
+            return False
+        return needed.fits_in(self.allocated(team).get(self._runtime.node, NO_RESOURCES))
+
     def _held_by_other_jobs(self, job: Job) -> Resources:
         """What our jobs of the same team hold without this one."""
         held = self._usage.held_by_node(job.spec.team).get(self._runtime.node, NO_RESOURCES)
         return held.above(self._usage.held_by_job(job))
 
-    def _move_reservation(
-        self,
-        allocated: dict[str, Resources],
-        reserved: Resources,
-        others: Resources,
-        new_owner: str,
-    ) -> None:
-        """Move a job's reservation from our allocation to the new owner's."""
-        node = self._runtime.node
-        own = allocated.get(node, NO_RESOURCES)
-        allocated[node] = others.maximum(own - reserved if reserved.fits_in(own) else NO_RESOURCES)
-        allocated[new_owner] = allocated.get(new_owner, NO_RESOURCES) + reserved
-
-    def _raise_own(
-        self, allocated: dict[str, Resources], team: str, needed: Resources, limit: Resources
-    ) -> None:
-        """Raise our allocation to what the step needs, and further while the limit allows it.
-
-        Some more than needed, so that the next steps need no write; under a new view some more
-        for each controller, or each one would write each team's record before its first step.
-        """
-        node = self._runtime.node
-        allocated[node] = allocated.get(node, NO_RESOURCES).maximum(needed)
-        unallocated = limit.above(total(allocated.values()))
-        receivers = sorted(self._view.members)
-        if self._is_of_present_view(team):
-            # For all jobs that wait here at once: raised for one step after the other, an
-            # allocation takes a write each, and the controllers' writes of the record conflict.
-            held = self._usage.held_by_node(team).get(node, NO_RESOURCES)
-            waiting = held + total(self._admit(team).admitted.values())
-            missing = waiting.above(allocated[node])
-            allocated[node] = allocated[node] + missing.minimum(
-                unallocated.scaled_by(constants.SHARE_SLACK)
-            )
-            unallocated = limit.above(total(allocated.values()))
-            receivers = [node]
-        part = unallocated.scaled_by(constants.SHARE_SLACK / max(1, len(self._view.members)))
-        for receiver in receivers:
-            allocated[receiver] = allocated.get(receiver, NO_RESOURCES) + part
+    def _raised(self, team: str, needed: Resources) -> dict[str, Resources]:
+        """The allocations with ours raised to what our jobs need after a step."""
+        allocated, node, members = self.allocated(team), self._runtime.node, self._view.members
+        limit = limit_of(self._runtime.teams[team])
+        if not self._is_of_present_view(team):
+            return allocate_anew(allocated, node, needed, limit, members)
+        held = self._usage.held_by_node(team).get(node, NO_RESOURCES)
+        waiting = held + total(self._admit(team).admitted.values())
+        return raise_allocation(allocated, node, needed, waiting, limit, len(members))
 
     def _record(self, team: str, allocated: dict[str, Resources]) -> Team:
         """The team's record under the present view, conditional on the version known."""
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -5,14 +5,19 @@
 import pytest
 
 from appledock import wire
-from appledock.core.api.status_polls import StatusPolls
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.membership.membership import Membership
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
 from appledock.core.workers import Workers
 from appledock.core.workers.command_reconciler import CommandReconciler
-from tests.guards import absence_settles, no_charges, no_job_version, silence_settles
+from tests.guards import (
+    absence_settles,
+    answers_without_proof,
+    no_charges,
+    no_job_version,
+    silence_settles,
+)
 from tests.standins.faults import play
 from tests.standins.world import World
 
@@ -99,12 +104,7 @@
 
 
 def test_answers_without_proof(monkeypatch: Patch) -> None:
-    def confirm(self: StatusPolls) -> None:
-        polls, self._polls = self._polls, []
-        for request in polls:
-            self.answer(request, is_absence_confirmed=True)
-
-    monkeypatch.setattr(StatusPolls, "confirm", confirm)
+    answers_without_proof(monkeypatch)
     assert kinds(range(10), "isolate", "crash") & {"went_back", "forgotten"}
 
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -15,12 +15,8 @@
 
 from appledock import constants as c
 from appledock.core.controller import Controller
-from appledock.core.quota.allocation import (
-    NoRecordChange,
-    NotPossible,
-    QuotaAllocation,
-    RecordChange,
-)
+from appledock.core.quota.allocation import QuotaAllocation
+from appledock.core.quota.record_plan import NoRecordChange, NotPossible, RecordChange
 from appledock.core.quota.resources import Resources
 from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.store.keys import JOBS, MEMBERS, TEAMS, VIEW
--- a/tests/unit/quota/test_allocation.py
+++ b/tests/unit/quota/test_allocation.py
@@ -6,12 +6,8 @@
 
 import pytest
 
-from appledock.core.quota.allocation import (
-    NoRecordChange,
-    NotPossible,
-    QuotaAllocation,
-    RecordChange,
-)
+from appledock.core.quota.allocation import QuotaAllocation
+from appledock.core.quota.record_plan import NoRecordChange, NotPossible, RecordChange
 from appledock.core.quota.usage import QuotaUsage
 from appledock.core.records.job import Attempt, Job
 from appledock.core.runtime import Runtime
