--- a/appledock/core/membership/joining.py
+++ b/appledock/core/membership/joining.py
@@ -8,12 +8,13 @@
 
 from appledock import constants
 from appledock.core.membership.membership import Membership
+from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import MEMBERS, VIEW
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.reader import StateReader
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     Committed,
     Conflict,
--- a/appledock/core/membership/membership.py
+++ b/appledock/core/membership/membership.py
@@ -23,9 +23,10 @@
 import logging
 
 from appledock import constants
+from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
 from appledock.core.store.keys import MEMBERS, VIEW
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 
 log = logging.getLogger(__name__)
 
--- a/appledock/core/quota/record_plan.py
+++ b/appledock/core/quota/record_plan.py
@@ -7,7 +7,7 @@
 
 from appledock import constants
 from appledock.core.quota.resources import NO_RESOURCES, Resources, total
-from appledock.core.store.replica import Team
+from appledock.core.records.team_allocation import TeamAllocation
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,7 +19,7 @@
 class RecordChange:
     """The step needs a change of the team's record, conditional on the record's version."""
 
-    record: Team
+    record: TeamAllocation
 
 
 @dataclass(frozen=True, slots=True)
--- a/appledock/core/workers/lease_expiry.py
+++ b/appledock/core/workers/lease_expiry.py
@@ -6,8 +6,9 @@
 
 from appledock import constants
 from appledock.core.membership.membership import Membership
+from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.workers.dissemination import Dissemination
 from appledock.core.workers.observers import WorkerObservers
 from appledock.core.workers.record import Worker
@@ -41,7 +42,7 @@
         self.observers = observers
 
     def check(self, worker: Worker) -> None:
-        """Mark the worker's agent epoch expired, and tell the peers, if that is proven."""
+        """Mark the worker's agent epoch expired, and broadcast that, if it is proven."""
         # An epoch that was received from lives on for a lease even if nobody answers it.
         ends_at = (
             max(worker.lease.renewable_until, worker.reachability.last_heartbeat_at)
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -11,8 +11,9 @@
 from appledock.core.messages import WorkerMessage
 from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job
+from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.workers.command_pusher import CommandPusher
 from appledock.core.workers.command_reconciler import CommandReconciler
 from appledock.core.workers.detached_members import DetachedMembers
@@ -148,7 +149,7 @@
         self.responder.on_heartbeat(request_id, report)
 
     def ingest_heartbeat(self, report: wire.Report) -> bool:
-        """Take a heartbeat in if it is newer than the one known; the peers are not told."""
+        """Take a heartbeat in if it is newer than the one known, without a broadcast."""
         return self.intake.ingest(report)
 
     def request_commands(self, machines: Iterable[str]) -> None:
@@ -178,7 +179,7 @@
 
     # --- peers ------------------------------------------------------------
     def on_peer(self, message: WorkerMessage) -> None:
-        """A peer sent news of workers."""
+        """A peer sent an update about workers."""
         self.peer_updates.apply(message)
 
     def on_peer_connected(self, peer: str) -> None:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -19,9 +19,9 @@
 from appledock.core.quota.record_plan import NoRecordChange, NotPossible, RecordChange
 from appledock.core.quota.resources import Resources
 from appledock.core.records.job import Attempt, Job, decode_job
+from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.store.keys import JOBS, MEMBERS, TEAMS, VIEW
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.replica import Team
 from appledock.core.store_calls import (
     Committed,
     Conflict,
@@ -88,8 +88,8 @@
                 e.replica.put(key, value, revision)
         self.cursors[name] = upto
         e.replica.advance(upto)
-        if e.replica.view_changed:
-            e.replica.view_changed = False
+        if e.replica.changes.view:
+            e.replica.changes.view = False
             e.quota_allocation.on_view()
         e.quota_allocation.clear_caches()
 
@@ -146,7 +146,9 @@
                 record = e.quota_allocation.plan_release("red", releasable)
                 self._send(name, None, None, record)
 
-    def _send(self, name: str, job: Job | None, new: Job | None, record: Team | None) -> None:
+    def _send(
+        self, name: str, job: Job | None, new: Job | None, record: TeamAllocation | None
+    ) -> None:
         e = self.engines[name]
         assert e.replica.view is not None
         plan = Transaction({VIEW: e.replica.view.version})
@@ -242,7 +244,7 @@
 
 def _earlier_view(patch: Patch) -> None:
     def allocated(self: QuotaAllocation, team: str) -> dict[str, Resources]:
-        record = self._replica.team(team)
+        record = self._replica.allocation_of(team)
         record.term = self.term
         return {node: Resources(*part) for node, part in record.shares.items()}
 
@@ -328,7 +330,7 @@
 
 def test_a_lowered_share_counts_before_its_write_is_answered() -> None:
     e, first, _ = sharing()
-    lowered = Team(4, 5, {"n0": (1.0, 0.0), "n1": (20.0, 0.0)})
+    lowered = TeamAllocation(4, 5, {"n0": (1.0, 0.0), "n1": (20.0, 0.0)})
     e.quota_allocation.begin_record_write("red", lowered).finish(UnknownOutcome())
     change = e.quota_allocation.plan(first, grown(first, 1), "n0")
     assert isinstance(change, RecordChange)  # it must be raised again, by a write of its own
--- a/tests/unit/scheduling/test_handoff.py
+++ b/tests/unit/scheduling/test_handoff.py
@@ -7,9 +7,10 @@
 from appledock import constants
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.records.job import Job
+from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from tests.test_decisions import room
 from tests.test_requests import settings, spec
 
