--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -32,6 +32,7 @@
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex, StepReservation
 from appledock.core.machines.eligibility import Eligibility
+from appledock.core.machines.zones import MachineZones
 from appledock.core.membership.format_upgrade import NEWEST_FORMAT
 from appledock.core.membership.heartbeats import Heartbeats, LocalStatus
 from appledock.core.membership.membership import Membership
@@ -44,12 +45,17 @@
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
+from appledock.core.scheduling.lost_launches import LostLaunchDetector
 from appledock.core.scheduling.moves import Moves
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.pacing import Pacing
+from appledock.core.scheduling.placement_pass import PlacementPass
 from appledock.core.scheduling.preemption import Preemption
 from appledock.core.scheduling.queue_order import QueueOrder
 from appledock.core.scheduling.reconciler import Reconciler
+from appledock.core.scheduling.settlement_recorder import SettlementRecorder
+from appledock.core.scheduling.step_planner import StepPlanner
+from appledock.core.scheduling.step_writer import StepWriter
 from appledock.core.store.client import StoreClient
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
@@ -112,6 +118,10 @@
             is_deleted=lambda machine: machine in self.workers.deleted_machines,
             newest_format=NEWEST_FORMAT if capacity is None else constants.CAPACITY_FORMAT,
         )
+        self.machine_zones = MachineZones(
+            self.workers,
+            lambda machine: self.fleet.zone_of(machine),  # noqa: PLW0108 -- built later
+        )
         self.eligibility = Eligibility(self.runtime, self.workers, self.machine_types)
         self.capacity_index = CapacityIndex(
             runtime=self.runtime,
@@ -181,7 +191,72 @@
             self.reconcile_queue,
             self.heartbeats.is_any_peer_under_pressure,
         )
-        self.reconciler = Reconciler(self)
+        self.step_writer = StepWriter(
+            self.replica,
+            self.codec,
+            self.capacity_index,
+            self.reconcile_queue,
+            self.settlement,
+            self.job_writer,
+            self.pacing,
+        )
+        self.step_planner = StepPlanner(
+            self.runtime,
+            self.operator_settings,
+            self.membership.is_leader,
+            self.settlement,
+            self.job_writer,
+            self.quota_allocation,
+            self.machine_zones,
+            self.preemption,
+            self.handoff,
+            self.pacing,
+            self.moves,
+            self.rebalancer,
+            self.partitions,
+        )
+        self.placement_pass = PlacementPass(
+            self.runtime,
+            self.replica,
+            self.reconcile_queue,
+            self.queue_order,
+            self.capacity_index,
+            self.job_writer,
+            self.pacing,
+            self.preemption,
+            self.step_planner,
+            self.step_writer,
+            self.moves,
+            self.rebalancer,
+        )
+        self.lost_launches = LostLaunchDetector(
+            self.runtime, self.replica, self.membership, self.view_requests, self.workers
+        )
+        self.settlement_recorder = SettlementRecorder(
+            self.runtime,
+            self.replica,
+            self.reconcile_queue,
+            self.settlement,
+            self.stop_requests,
+            self.job_writer,
+            self.pacing,
+        )
+        self.reconciler = Reconciler(
+            self.runtime,
+            self.replica,
+            self.membership.can_act,
+            self.reconcile_queue,
+            self.settlement,
+            self.stop_requests,
+            self.job_writer,
+            self.team_record_writer,
+            self.queue_order,
+            self.handoff,
+            self.pacing,
+            self.lost_launches,
+            self.settlement_recorder,
+            self.placement_pass,
+        )
         self.cancellation = CancellationEnforcer(self)
         self.fleet = Fleet(self)
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
@@ -333,10 +408,3 @@
     def running(self, job: Job) -> int:
         """Tasks that reports show as running, for display."""
         return self.job_states.count_running(job)
-
-    def zone_of(self, machine: str) -> str | None:
-        """The machine's zone; None if nobody has told it yet."""
-        worker = self.workers.table.get(machine)
-        if worker is not None and worker.report is not None:
-            return worker.report.zone
-        return self.fleet.zone_of(machine)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -11,12 +11,12 @@
 from appledock.core.api.status_polls import StatusPolls
 from appledock.core.api.submission_check import SubmissionCheck
 from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.machines.zones import MachineZones
 from appledock.core.quota import allocation, usage
 from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.quota.resources import NO_RESOURCES, Resources
 from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job
-from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import JOBS
 from appledock.core.store_calls import StoreRequest, Transaction
@@ -102,7 +102,7 @@
 
 
 def zones_unseen(patch: Patch) -> None:
-    patch.setattr(Reconciler, "zones", lambda self, job: {})
+    patch.setattr(MachineZones, "tasks_by_zone", lambda self, job: {})
 
 
 def no_job_version(patch: Patch) -> None:
