--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -24,6 +24,9 @@
 from appledock.core.engine import Engine
 from appledock.core.fleet import Fleet
 from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
+from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
+from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
@@ -206,33 +209,33 @@
             self.pacing,
         )
         self.step_planner = StepPlanner(
-            self.runtime,
-            self.operator_settings,
-            self.membership.is_leader,
-            self.settlement,
-            self.job_writer,
-            self.quota_allocation,
-            self.machine_zones,
-            self.preemption,
-            self.handoff,
-            self.pacing,
-            self.moves,
-            self.rebalancer,
-            self.partitions,
+            runtime=self.runtime,
+            operator_settings=self.operator_settings,
+            is_leader=self.membership.is_leader,
+            settlement=self.settlement,
+            writer=self.job_writer,
+            quota=self.quota_allocation,
+            zones=self.machine_zones,
+            preemption=self.preemption,
+            handoff=self.handoff,
+            pacing=self.pacing,
+            moves=self.moves,
+            rebalancing=self.rebalancer,
+            partitions=self.partitions,
         )
         self.placement_pass = PlacementPass(
-            self.runtime,
-            self.replica,
-            self.reconcile_queue,
-            self.queue_order,
-            self.capacity_index,
-            self.job_writer,
-            self.pacing,
-            self.preemption,
-            self.step_planner,
-            self.step_writer,
-            self.moves,
-            self.rebalancer,
+            runtime=self.runtime,
+            replica=self.replica,
+            reconcile_queue=self.reconcile_queue,
+            queue_order=self.queue_order,
+            capacity_index=self.capacity_index,
+            writer=self.job_writer,
+            pacing=self.pacing,
+            preemption=self.preemption,
+            planner=self.step_planner,
+            step_writer=self.step_writer,
+            moves=self.moves,
+            mean_loads=self.rebalancer,
         )
         self.lost_launches = LostLaunchDetector(
             self.runtime, self.replica, self.membership, self.view_requests, self.workers
@@ -247,22 +250,38 @@
             self.pacing,
         )
         self.reconciler = Reconciler(
-            self.runtime,
-            self.replica,
-            self.membership.can_act,
-            self.reconcile_queue,
-            self.settlement,
-            self.stop_requests,
-            self.job_writer,
-            self.team_record_writer,
-            self.queue_order,
-            self.handoff,
-            self.pacing,
-            self.lost_launches,
-            self.settlement_recorder,
-            self.placement_pass,
+            runtime=self.runtime,
+            replica=self.replica,
+            can_act=self.membership.can_act,
+            reconcile_queue=self.reconcile_queue,
+            settlement=self.settlement,
+            stop_requests=self.stop_requests,
+            writer=self.job_writer,
+            team_record_writer=self.team_record_writer,
+            queue_order=self.queue_order,
+            handoff=self.handoff,
+            pacing=self.pacing,
+            lost_launches=self.lost_launches,
+            recorder=self.settlement_recorder,
+            placement_pass=self.placement_pass,
+        )
+        self.cancellation_dissemination = CancellationDissemination(
+            self.runtime, self.replica, self.codec
+        )
+        self.cancelled_task_halter = CancelledTaskHalter(self.runtime, self.replica, self.workers)
+        self.cancellation = CancellationEnforcer(
+            runtime=self.runtime,
+            replica=self.replica,
+            workers=self.workers,
+            membership=self.membership,
+            heartbeats=self.heartbeats,
+            halter=self.cancelled_task_halter,
+            machines=CancelledTaskMachines(
+                self.runtime,
+                self.workers,
+                lambda names: self.fleet.deleted(names),  # noqa: PLW0108 -- built later
+            ),
         )
-        self.cancellation = CancellationEnforcer(self)
         self.fleet = Fleet(self)
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
         self.job_states = JobStates(self.replica, self.workers)
@@ -287,6 +306,7 @@
             stop_requests=self.stop_requests,
             reconciler=self.reconciler,
             cancellation=self.cancellation,
+            cancellation_dissemination=self.cancellation_dissemination,
             fleet=self.fleet,
             health=self.health,
             user_requests=self.user_requests,
@@ -323,7 +343,7 @@
             requests=requests,
             records=records,
             states=self.job_states,
-            broadcast=self.cancellation.broadcast,
+            broadcast=self.cancellation_dissemination.broadcast,
         )
         outcomes = DependencyOutcomes(self.runtime, self.replica, self.reader, records)
         return UserRequests(requests, submissions, polls, cancellations, outcomes)
@@ -347,7 +367,7 @@
         self.rebalancer.speeds.forget(machine)
 
     def _on_unanswerable_heartbeat(self, report: wire.Report) -> None:
-        self.cancellation.halt_cancelled_tasks(report)
+        self.cancelled_task_halter.halt_cancelled_tasks(report)
 
     def _on_view_in_doubt(self) -> None:
         self.membership_protocol.confirm_view()
