--- a/appledock/core/machines/machine_capacity.py
+++ b/appledock/core/machines/machine_capacity.py
@@ -93,14 +93,24 @@
             self.load.add(spec.team, task_share(spec, self.type), tasks)
 
 
+def fits_in(spec: wire.JobSpec, cpus: float, gpus: float, memory_gb: float) -> bool:
+    """Are these amounts enough for one task?
+
+    `MachineCapacity.fits` is the same without a call, for the loops over machines.
+    """
+    return (
+        cpus + constants.EPSILON >= spec.cpus
+        and gpus + constants.EPSILON >= spec.gpus
+        and memory_gb + constants.EPSILON >= spec.memory_gb
+    )
+
+
 def can_run_on_type(spec: wire.JobSpec, machine_type: wire.MachineType) -> bool:
     """May a task of the job run on an empty machine of this type, and does it fit there?"""
     return (
         (spec.types is None or machine_type.name in spec.types)
         and (bool(machine_type.zones) if spec.zone is None else spec.zone in machine_type.zones)
-        and machine_type.cpus + constants.EPSILON >= spec.cpus
-        and machine_type.gpus + constants.EPSILON >= spec.gpus
-        and machine_type.memory_gb + constants.EPSILON >= spec.memory_gb
+        and fits_in(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
     )
 
 
--- a/appledock/core/scheduling/placement.py
+++ b/appledock/core/scheduling/placement.py
@@ -183,13 +183,13 @@
     feasible = filter_machines(spec, machines, tasks_by_zone)
     if not feasible or tasks <= 0:
         return []
-    placed: dict[str, PlacedTasks] = {}
-    left = _reserve_sampled(spec, tasks, feasible, sampling, dict(tasks_by_zone), placed)
-    if all_or_nothing and left:
-        for machine, count in placed.values():
+    reserved = _reserve_sampled(spec, tasks, feasible, sampling, dict(tasks_by_zone))
+    placed = _group_by_machine(reserved)
+    if all_or_nothing and len(reserved) < tasks:
+        for machine, count in placed:
             machine.release(spec, count)
         return []
-    return list(placed.values())
+    return placed
 
 
 def _reserve_sampled(
@@ -198,24 +198,34 @@
     feasible: list[MachineCapacity],
     sampling: Sampling,
     tasks_by_zone: dict[str, int],
-    placed: dict[str, PlacedTasks],
-) -> int:
-    """Sample, score and reserve task by task, recording in `placed`; return the tasks left."""
+) -> list[MachineCapacity]:
+    """Sample, score and reserve task by task; return the machine of each task placed.
+
+    `tasks_by_zone` is counted up.
+    """
     zone_limit = max_tasks_per_zone(spec)
     preferred = sampling.preferred(spec, feasible)
-    while tasks and feasible:
+    reserved: list[MachineCapacity] = []
+    while len(reserved) < tasks and feasible:
         machine = sampling.choose(spec, feasible, preferred)
         assert machine is not None
-        zone, name = machine.zone, machine.name
+        zone = machine.zone
         if tasks_by_zone.get(zone, 0) >= zone_limit:
             feasible = [other for other in feasible if other.zone != zone]
             preferred = [other for other in preferred if other.zone != zone]
             continue
         machine.reserve(spec)
         tasks_by_zone[zone] = tasks_by_zone.get(zone, 0) + 1
-        placed[name] = PlacedTasks(machine, placed[name].tasks + 1 if name in placed else 1)
-        tasks -= 1
+        reserved.append(machine)
         if not machine.fits(spec):
             feasible = [other for other in feasible if other is not machine]
             preferred = [other for other in preferred if other is not machine]
-    return tasks
+    return reserved
+
+
+def _group_by_machine(reserved: list[MachineCapacity]) -> list[PlacedTasks]:
+    """Count the tasks of each machine, in the order in which the machines were first chosen."""
+    groups: dict[str, list[MachineCapacity]] = {}
+    for machine in reserved:
+        groups.setdefault(machine.name, []).append(machine)
+    return [PlacedTasks(group[0], len(group)) for group in groups.values()]
--- a/appledock/core/scheduling/victim_selection.py
+++ b/appledock/core/scheduling/victim_selection.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from appledock import constants, wire
-from appledock.core.machines.machine_capacity import MachineCapacity, image_fetch_s
+from appledock import wire
+from appledock.core.machines.machine_capacity import MachineCapacity, fits_in, image_fetch_s
 from appledock.core.quota.resources import NO_RESOURCES, Resources
 from appledock.core.records.job import Attempt, Job
 from appledock.core.workers import Worker
@@ -90,7 +90,7 @@
     recovered = NO_RESOURCES
     selected: list[Victim] = []
     for victim in sorted(victims, key=_least_lost_first):
-        if _fits(spec, cpus, gpus, memory_gb) and quota_deficit.fits_in(recovered):
+        if fits_in(spec, cpus, gpus, memory_gb) and quota_deficit.fits_in(recovered):
             break
         stopped = victim.job.spec
         selected.append(victim)
@@ -98,7 +98,7 @@
         gpus += stopped.gpus
         memory_gb += stopped.memory_gb
         recovered = Resources(recovered.cpus + stopped.cpus, recovered.gpus + stopped.gpus)
-    is_sufficient = _fits(spec, cpus, gpus, memory_gb) and quota_deficit.fits_in(recovered)
+    is_sufficient = fits_in(spec, cpus, gpus, memory_gb) and quota_deficit.fits_in(recovered)
     return selected if is_sufficient and selected else None
 
 
@@ -106,14 +106,6 @@
     return victim.lost_cpu_s, victim.job.id, victim.task
 
 
-def _fits(spec: wire.JobSpec, cpus: float, gpus: float, memory_gb: float) -> bool:
-    return (
-        cpus + constants.EPSILON >= spec.cpus
-        and gpus + constants.EPSILON >= spec.gpus
-        and memory_gb + constants.EPSILON >= spec.memory_gb
-    )
-
-
 def preemption_cost_s(
     spec: wire.JobSpec, machine: MachineCapacity, victims: Iterable[Victim], lost_work_weight: float
 ) -> float:
