--- a/appledock/core/api/first_owner.py
+++ b/appledock/core/api/first_owner.py
@@ -6,7 +6,7 @@
 
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
-from appledock.core.records.job import Job
+from appledock.core.records.job import HandoffTarget, Job
 from appledock.core.store.replica import Replica
 
 
@@ -25,15 +25,15 @@
         self._heartbeats = heartbeats
         self._preferred_owner = preferred_owner
 
-    def choose(self, job: Job) -> tuple[str, str] | None:
+    def choose(self, job: Job) -> HandoffTarget | None:
         """Node and incarnation; None: the owner that the view derives."""
         membership, view = self._membership, self._replica.view
         if not membership.can_act() or view is None:
             return None
         preferred = self._preferred_owner(job)
         if preferred is not None:
-            return (preferred, view.members[preferred])
+            return HandoffTarget(preferred, view.members[preferred])
         if not self._heartbeats.is_served(view.owner_of(job.id)):
             # The derived owner would not see the job before its lease has expired.
-            return (membership.node, membership.incarnation)
+            return HandoffTarget(membership.node, membership.incarnation)
         return None
--- a/appledock/core/api/submission.py
+++ b/appledock/core/api/submission.py
@@ -12,7 +12,7 @@
 from appledock.core.api.submission_check import MACHINE_TYPES_UNKNOWN, SubmissionCheck
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
-from appledock.core.records.job import Job
+from appledock.core.records.job import HandoffTarget, Job
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import FINAL, JOBS
@@ -55,7 +55,7 @@
         records: JobRecords,
         polls: StatusPolls,
         check: SubmissionCheck,
-        choose_first_owner: Callable[[Job], tuple[str, str] | None],
+        choose_first_owner: Callable[[Job], HandoffTarget | None],
     ) -> None:
         self._runtime = runtime
         self._client = client
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -354,5 +354,5 @@
         write.job.id,
         write.new.last_step,
         ",".join(f"{reserved.machine}:{reserved.tasks}" for reserved in write.reservations),
-        target[0] if target and target != write.job.handoff_target else None,
+        target.node if target and target != write.job.handoff_target else None,
     )
--- a/appledock/core/records/job.py
+++ b/appledock/core/records/job.py
@@ -1,38 +1,60 @@
-"""Job records: what the state service keeps of one open job."""
+"""Job records: what the key-value store keeps of one open job."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
 from appledock import wire
-from appledock.core.records import attempt_groups as compact
+from appledock.core.records.attempt_groups import (
+    AttemptRow,
+    pack_attempts,
+    pack_completed,
+    unpack_attempts,
+    unpack_completed,
+)
 from appledock.core.records.intervals import IntervalSet
 
 
 @dataclass(slots=True)
 class Attempt:
-    """Tasks of one step that went to one machine together."""
+    """Tasks that one step placed on one machine."""
 
     machine: str
     agent_epoch: int
+    """epoch of the machine's agent for which the step was made"""
     attempt_number: int
+    """number of the step that placed the tasks"""
     term: int
+    """term of the view under which it was placed; launches carry it as fencing token"""
     stopping: bool
+    """is it being stopped, for preemption, a move, a cordon or a drain?"""
     tasks: set[int]
 
-    def same(self, other: Attempt) -> bool:
-        return (self.machine, self.agent_epoch, self.attempt_number, self.term, self.stopping) == (
-            other.machine,
-            other.agent_epoch,
-            other.attempt_number,
-            other.term,
-            other.stopping,
+    def copy(self) -> Attempt:
+        """Make an independent copy."""
+        return Attempt(
+            self.machine,
+            self.agent_epoch,
+            self.attempt_number,
+            self.term,
+            self.stopping,
+            set(self.tasks),
         )
 
 
+class HandoffTarget(NamedTuple):
+    """The process of a controller that a job was handed off to.
+
+    It stops owning the job with its incarnation: a restarted controller is not meant.
+    """
+
+    node: str
+    incarnation: str
+
+
 @dataclass(slots=True)
 class Job:
     """One open job as recorded, at the version of its key."""
@@ -48,35 +70,38 @@
     cancelled: bool = False
     cancelled_at: float = 0.0
     """time of day of the cancellation, s; 0: not known"""
-    handoff_target: tuple[str, str] | None = None
-    """node and incarnation that the job was handed to"""
+    handoff_target: HandoffTarget | None = None
+    """owner of the job as long as it is a member; None: the owner is derived"""
     consecutive_failures: int = 0
-    """errors since a task last completed"""
+    """tasks that failed since one last completed"""
     sealed_open_task_count: int = -1
-    """number of open tasks, counted once when the record can change no more"""
+    """number of open tasks, counted once by `seal`; -1: not sealed"""
 
     @property
     def id(self) -> str:
+        """Id of the job."""
         return self.spec.id
 
     def seal(self) -> None:
-        """The record is now shared as it stands: it is copied, not changed."""
+        """Share the record as it stands: from now on it is copied, not changed."""
         self.sealed_open_task_count = sum(len(attempt.tasks) for attempt in self.attempts)
 
     @property
     def open_task_count(self) -> int:
+        """Tasks with an attempt that is not settled in this record."""
         if self.sealed_open_task_count >= 0:
             return self.sealed_open_task_count
         return sum(len(attempt.tasks) for attempt in self.attempts)
 
     @property
     def queued_task_count(self) -> int:
+        """Tasks that are neither completed nor open; none of a cancelled job."""
         if self.cancelled:
             return 0
         return self.spec.tasks - len(self.completed_tasks) - self.open_task_count
 
     def first_queued_tasks(self, limit: int) -> list[int]:
-        """The first tasks that are neither done nor open."""
+        """Return the first tasks that are neither completed nor open."""
         open_tasks = {task for attempt in self.attempts for task in attempt.tasks}
         result: list[int] = []
         for low, high in self.completed_tasks.gaps(self.spec.tasks):
@@ -88,18 +113,14 @@
         return result
 
     def copy(self) -> Job:
+        """Make an independent copy, not sealed."""
         return Job(
             self.spec,
             self.submitted_at,
             self.version,
             self.last_step,
             self.completed_tasks.copy(),
-            [
-                Attempt(
-                    a.machine, a.agent_epoch, a.attempt_number, a.term, a.stopping, set(a.tasks)
-                )
-                for a in self.attempts
-            ],
+            [attempt.copy() for attempt in self.attempts],
             self.cancelled,
             self.cancelled_at,
             self.handoff_target,
@@ -107,14 +128,17 @@
         )
 
     def deadline_at(self) -> float:
-        """Time of day by which the job should be complete; far away without one."""
+        """Time of day (s) by which the job should be complete; far away without a deadline."""
         if self.spec.deadline_s is None:
             return self.submitted_at + 1e9
         return self.submitted_at + self.spec.deadline_s
 
     def encode(self, format_: int = 1) -> dict[str, Any]:
-        """The record, in a format that every node of the cluster reads (see `FORMAT` in
-        core/membership): 1 is that of the versions before dependencies."""
+        """Encode the record in a format that every node of the cluster reads.
+
+        Format 1 is that of the versions before dependencies; from 2 on, attempts stand in groups
+        (see `attempt_groups`, and `core/membership/format_upgrade` for the change of format).
+        """
         record: dict[str, Any] = {
             "spec": {
                 name: value
@@ -124,30 +148,7 @@
             "at": round(self.submitted_at, 3),
             "steps": self.last_step,
         }
-        if format_ >= 2:
-            record.update(compact.pack_done(self.completed_tasks))
-            if self.attempts:
-                record["groups"] = compact.pack(
-                    [
-                        (a.machine, a.agent_epoch, a.attempt_number, a.term, a.stopping, a.tasks)
-                        for a in self.attempts
-                    ]
-                )
-        else:
-            if self.completed_tasks:
-                record["done"] = str(self.completed_tasks)
-            if self.attempts:
-                record["open"] = [
-                    [
-                        a.machine,
-                        a.agent_epoch,
-                        a.attempt_number,
-                        a.term,
-                        int(a.stopping),
-                        str(IntervalSet(sorted(a.tasks))),
-                    ]
-                    for a in self.attempts
-                ]
+        record.update(self._encode_tasks_in_groups() if format_ >= 2 else self._encode_tasks())
         if self.cancelled:
             record["cancelled"] = round(self.cancelled_at, 3) or True
         if self.handoff_target:
@@ -156,30 +157,84 @@
             record["failures"] = self.consecutive_failures
         return record
 
+    def _encode_tasks(self) -> dict[str, Any]:
+        """Completed and open tasks as format 1 has them."""
+        record: dict[str, Any] = {}
+        if self.completed_tasks:
+            record["done"] = str(self.completed_tasks)
+        if self.attempts:
+            record["open"] = [
+                [
+                    attempt.machine,
+                    attempt.agent_epoch,
+                    attempt.attempt_number,
+                    attempt.term,
+                    int(attempt.stopping),
+                    str(IntervalSet(sorted(attempt.tasks))),
+                ]
+                for attempt in self.attempts
+            ]
+        return record
+
+    def _encode_tasks_in_groups(self) -> dict[str, Any]:
+        """Completed and open tasks as format 2 has them."""
+        record: dict[str, Any] = {}
+        record.update(pack_completed(self.completed_tasks))
+        if self.attempts:
+            record["groups"] = pack_attempts(
+                [
+                    AttemptRow(
+                        attempt.machine,
+                        attempt.agent_epoch,
+                        attempt.attempt_number,
+                        attempt.term,
+                        attempt.stopping,
+                        attempt.tasks,
+                    )
+                    for attempt in self.attempts
+                ]
+            )
+        return record
+
 
 def decode_job(record: dict[str, Any], version: int) -> Job:
-    """The job of a record; raises ValueError, KeyError or TypeError if malformed."""
+    """Decode a record of either format.
+
+    Raises:
+        ValueError, KeyError or TypeError: it is malformed.
+    """
     handoff = record.get("to")
-    cancelled = record.get("cancelled", False)
+    cancelled = record.get("cancelled", False)  # True: of a version that kept no time
     return Job(
         wire.JobSpec(**record["spec"]),
         float(record["at"]),
         version,
         int(record["steps"]),
-        compact.unpack_done(record),
-        [
-            Attempt(machine, session, number, term, bool(stopping), set(IntervalSet.parse(tasks)))
-            for machine, session, number, term, stopping, tasks in record.get("open", ())
-        ]
-        + [Attempt(*row) for row in compact.unpack(record.get("groups", []))],
+        unpack_completed(record),
+        _decode_attempts(record),
         bool(cancelled),
         0.0 if isinstance(cancelled, bool) else float(cancelled),
-        (handoff[0], handoff[1]) if handoff else None,
+        HandoffTarget(handoff[0], handoff[1]) if handoff else None,
         int(record.get("failures", 0)),
     )
 
 
+def _decode_attempts(record: dict[str, Any]) -> list[Attempt]:
+    attempts = [
+        Attempt(
+            machine,
+            agent_epoch,
+            attempt_number,
+            term,
+            bool(stopping),
+            set(IntervalSet.parse(tasks)),
+        )
+        for machine, agent_epoch, attempt_number, term, stopping, tasks in record.get("open", ())
+    ]
+    return attempts + [Attempt(*row) for row in unpack_attempts(record.get("groups", []))]
+
+
 def split_task_name(name: str) -> tuple[str, int]:
-    """`job-1/3` as job id and number; another form belongs to no job."""
+    """Split `job-1/3` into job id and task number; -1: the name belongs to no job."""
     job, _, number = name.rpartition("/")
     return job, int(number) if number.isdigit() else -1
--- a/appledock/core/scheduling/step_writer.py
+++ b/appledock/core/scheduling/step_writer.py
@@ -9,7 +9,7 @@
 from appledock.core.jobs.settlement import Settlement
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.machines.capacity_index import CapacityIndex, StepReservation
-from appledock.core.records.job import Attempt, Job
+from appledock.core.records.job import Attempt, HandoffTarget, Job
 from appledock.core.scheduling.decisions import HandedOff, Placed, StepDecision, Waiting
 from appledock.core.scheduling.pacing import Pacing
 from appledock.core.scheduling.placement import PlacedTasks
@@ -62,7 +62,7 @@
     def hand_off(self, job: Job, node: str) -> bool:
         """Make another controller the job's owner without placing anything."""
         new = self._settlement.copy_without_settled_attempts(job)
-        new.handoff_target = (node, self._members()[node])
+        new.handoff_target = HandoffTarget(node, self._members()[node])
         return self._writer.commit(job, new, _priority(job))
 
     def _write_step(self, job: Job, step: Placed) -> bool:
@@ -106,7 +106,7 @@
                 )
             )
         if step.handoff_to is not None:
-            new.handoff_target = (step.handoff_to, view.members[step.handoff_to])
+            new.handoff_target = HandoffTarget(step.handoff_to, view.members[step.handoff_to])
         elif new.handoff_target:
             node, incarnation = new.handoff_target
             if view.members.get(node) != incarnation:
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -142,7 +142,7 @@
         """Owner of a job: the member that it was handed to, else the derived one."""
         assert self.view is not None
         if job.handoff_target and self.view.has_member(*job.handoff_target):
-            return job.handoff_target[0]
+            return job.handoff_target.node
         return self.owner_of(job.id)
 
     def owns_job(self, node: str, job: Job) -> bool:
--- a/tests/test_compact.py
+++ b/tests/test_compact.py
@@ -30,7 +30,7 @@
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.lists(ATTEMPT, max_size=12), st.sets(st.integers(0, 300), max_size=200))
-def test_a_record_read_again_is_the_same(rows: list[compact.Row], done: set[int]) -> None:
+def test_a_record_read_again_is_the_same(rows: list[compact.AttemptRow], done: set[int]) -> None:
     job = Job(
         spec(crates=301),
         12.5,
@@ -102,4 +102,4 @@
 )
 def test_malformed_groups_are_no_record(groups: list[object]) -> None:
     with pytest.raises((ValueError, TypeError)):
-        compact.unpack(groups)  # type: ignore[arg-type]
+        compact.unpack_attempts(groups)  # type: ignore[arg-type]
