--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -140,7 +140,7 @@
         name = self.partition_of(job.spec)
         node = self.settings.partition(name).controller if name is not None else None
         view = self.engine.replica.view
-        if node is None or view is None or node not in view.attached():
+        if node is None or view is None or node not in view.attached_members():
             return None
         if node == self.engine.settings.name:
             return node
@@ -171,7 +171,7 @@
                 and engine.job_writer.can_write(job)
             ):
                 assert node is not None
-                engine.reconciler.hand_off(job, node)
+                engine.step_writer.hand_off(job, node)
                 return
 
     def places_everywhere(self, job: Job) -> bool:
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -10,18 +10,32 @@
 from appledock.capacity.settings import Capacity
 from appledock.core import events as ev
 from appledock.core.api.admin import AdminApi
+from appledock.core.api.first_owner import FirstOwner
 from appledock.core.api.health import HealthCheck
+from appledock.core.api.job_cancellation import JobCancellations
+from appledock.core.api.job_records import DependencyOutcomes, JobRecords
+from appledock.core.api.job_states import JobStates
+from appledock.core.api.open_requests import OpenRequests
+from appledock.core.api.status_polls import StatusPolls
+from appledock.core.api.submission import Submissions
+from appledock.core.api.submission_check import SubmissionCheck
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.capacity.partitions import CapacityShares
 from appledock.core.engine import Engine
 from appledock.core.fleet import Fleet
 from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
+from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
+from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
 from appledock.core.jobs.stop_requests import StopRequests
+from appledock.core.jobs.team_record_writer import TeamRecordWriter
 from appledock.core.jobs.writer import JobWriter
-from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.machines.capacity_index import CapacityIndex, StepReservation
+from appledock.core.machines.eligibility import Eligibility
+from appledock.core.machines.zones import MachineZones
 from appledock.core.membership.format_upgrade import NEWEST_FORMAT
 from appledock.core.membership.heartbeats import Heartbeats, LocalStatus
 from appledock.core.membership.membership import Membership
@@ -34,16 +48,21 @@
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
+from appledock.core.scheduling.lost_launches import LostLaunchDetector
 from appledock.core.scheduling.moves import Moves
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.pacing import Pacing
+from appledock.core.scheduling.placement_pass import PlacementPass
 from appledock.core.scheduling.preemption import Preemption
 from appledock.core.scheduling.queue_order import QueueOrder
 from appledock.core.scheduling.reconciler import Reconciler
+from appledock.core.scheduling.settlement_recorder import SettlementRecorder
+from appledock.core.scheduling.step_planner import StepPlanner
+from appledock.core.scheduling.step_writer import StepWriter
 from appledock.core.store.client import StoreClient
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
-from appledock.core.workers import Worker, Workers
+from appledock.core.workers import WorkerObservers, Workers
 from appledock.rebalancing.settings import Rebalancing
 from appledock.settings import Settings
 from appledock.settings import Team as TeamLimits
@@ -69,13 +88,33 @@
         self.client = StoreClient(self.runtime)
         self.replica = Replica()
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
-        self.reader = StateReader(self)
+        self.reader = StateReader(
+            self.runtime,
+            self.client,
+            self.replica,
+            on_loaded=self._on_replica_loaded,
+        )
         self.view_requests = ViewChangeRequests()
         self.membership = Membership(self.runtime, self.replica)
         self.heartbeats = Heartbeats(
             self.runtime, self.client, self.replica, self.membership, self._local_status
         )
-        self.workers = Workers(self)
+        self.workers = Workers(
+            self.runtime,
+            self.replica,
+            self.membership,
+            self.view_requests,
+            self.heartbeats,
+            self.reconcile_queue,
+            WorkerObservers(
+                on_capacity_changed=self._on_capacity_changed,
+                has_capacity=lambda machine: machine in self.capacity_index.machines,
+                on_task_completed=self._on_task_completed,
+                on_machine_deleted=self._on_machine_deleted,
+                on_unanswerable_heartbeat=self._on_unanswerable_heartbeat,
+                on_view_in_doubt=self._on_view_in_doubt,
+            ),
+        )
         self.membership_protocol = MembershipProtocol(
             runtime=self.runtime,
             client=self.client,
@@ -87,7 +126,20 @@
             is_deleted=lambda machine: machine in self.workers.deleted_machines,
             newest_format=NEWEST_FORMAT if capacity is None else constants.CAPACITY_FORMAT,
         )
-        self.capacity_index = CapacityIndex(self)
+        self.machine_zones = MachineZones(
+            self.workers,
+            lambda machine: self.fleet.zone_of(machine),  # noqa: PLW0108 -- built later
+        )
+        self.eligibility = Eligibility(self.runtime, self.workers, self.machine_types)
+        self.capacity_index = CapacityIndex(
+            runtime=self.runtime,
+            workers=self.workers,
+            replica=self.replica,
+            machine_types=self.machine_types,
+            eligibility=self.eligibility,
+            admission_of=lambda worker: self.partitions.gate(worker),  # noqa: PLW0108 -- built later
+            is_load_tracked=lambda: self.rebalancer.enabled or self.partitions.enabled,
+        )
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
         self.moves = Moves(self)
@@ -96,12 +148,48 @@
         self.quota_allocation = QuotaAllocation(
             self.runtime, self.replica, self.quota_usage, self.queue_order
         )
-        self.settlement = Settlement(self)
-        self.preemption = Preemption(self)
-        self.job_writer = JobWriter(self)
+        self.settlement = Settlement(
+            self.replica,
+            self.workers.verdict,
+            lambda machine, job_id: self.fleet.task_failed(machine, job_id),  # noqa: PLW0108 -- built later
+        )
+        self.team_record_writer = TeamRecordWriter(
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            quota_allocation=self.quota_allocation,
+            reconcile_queue=self.reconcile_queue,
+            fencing_conditions=self.membership.fencing_conditions,
+        )
+        self.job_writer = JobWriter(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            codec=self.codec,
+            quota_allocation=self.quota_allocation,
+            capacity_index=self.capacity_index,
+            reconcile_queue=self.reconcile_queue,
+            team_record_writer=self.team_record_writer,
+            fencing_conditions=self.membership.fencing_conditions,
+            partition_conditions=self.partitions.conditions,
+            is_step_rate_limited=lambda: self.pacing.is_step_rate_limited(),  # noqa: PLW0108 -- built later
+            commit_listeners=(self._release_claims, self.moves.placed),
+        )
         self.stop_requests = StopRequests(
             self.runtime, self.replica, self.job_writer, self.reconcile_queue
         )
+        self.preemption = Preemption(
+            runtime=self.runtime,
+            replica=self.replica,
+            workers=self.workers,
+            capacity_index=self.capacity_index,
+            quota_usage=self.quota_usage,
+            operator_settings=self.operator_settings,
+            reconcile_queue=self.reconcile_queue,
+            stop_requests=self.stop_requests,
+            places_everywhere=self.partitions.places_everywhere,
+        )
         self.handoff = HandOff(self.runtime, self.replica)
         self.pacing = Pacing(
             self.runtime,
@@ -111,11 +199,93 @@
             self.reconcile_queue,
             self.heartbeats.is_any_peer_under_pressure,
         )
-        self.reconciler = Reconciler(self)
-        self.cancellation = CancellationEnforcer(self)
+        self.step_writer = StepWriter(
+            self.replica,
+            self.codec,
+            self.capacity_index,
+            self.reconcile_queue,
+            self.settlement,
+            self.job_writer,
+            self.pacing,
+        )
+        self.step_planner = StepPlanner(
+            runtime=self.runtime,
+            operator_settings=self.operator_settings,
+            is_leader=self.membership.is_leader,
+            settlement=self.settlement,
+            writer=self.job_writer,
+            quota=self.quota_allocation,
+            zones=self.machine_zones,
+            preemption=self.preemption,
+            handoff=self.handoff,
+            pacing=self.pacing,
+            moves=self.moves,
+            rebalancing=self.rebalancer,
+            partitions=self.partitions,
+        )
+        self.placement_pass = PlacementPass(
+            runtime=self.runtime,
+            replica=self.replica,
+            reconcile_queue=self.reconcile_queue,
+            queue_order=self.queue_order,
+            capacity_index=self.capacity_index,
+            writer=self.job_writer,
+            pacing=self.pacing,
+            preemption=self.preemption,
+            planner=self.step_planner,
+            step_writer=self.step_writer,
+            moves=self.moves,
+            mean_loads=self.rebalancer,
+        )
+        self.lost_launches = LostLaunchDetector(
+            self.runtime, self.replica, self.membership, self.view_requests, self.workers
+        )
+        self.settlement_recorder = SettlementRecorder(
+            self.runtime,
+            self.replica,
+            self.reconcile_queue,
+            self.settlement,
+            self.stop_requests,
+            self.job_writer,
+            self.pacing,
+        )
+        self.reconciler = Reconciler(
+            runtime=self.runtime,
+            replica=self.replica,
+            can_act=self.membership.can_act,
+            reconcile_queue=self.reconcile_queue,
+            settlement=self.settlement,
+            stop_requests=self.stop_requests,
+            writer=self.job_writer,
+            team_record_writer=self.team_record_writer,
+            queue_order=self.queue_order,
+            handoff=self.handoff,
+            pacing=self.pacing,
+            lost_launches=self.lost_launches,
+            recorder=self.settlement_recorder,
+            placement_pass=self.placement_pass,
+        )
+        self.cancellation_dissemination = CancellationDissemination(
+            self.runtime, self.replica, self.codec
+        )
+        self.cancelled_task_halter = CancelledTaskHalter(self.runtime, self.replica, self.workers)
+        self.cancellation = CancellationEnforcer(
+            runtime=self.runtime,
+            replica=self.replica,
+            workers=self.workers,
+            membership=self.membership,
+            heartbeats=self.heartbeats,
+            halter=self.cancelled_task_halter,
+            machines=CancelledTaskMachines(
+                self.runtime,
+                self.workers,
+                lambda names: self.fleet.deleted(names),  # noqa: PLW0108 -- built later
+            ),
+        )
         self.fleet = Fleet(self)
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
-        self.user_requests = UserRequests(self)
+        self.job_states = JobStates(self.replica, self.workers)
+        self.user_requests = self._build_user_requests()
         self.admin = AdminApi(self)
         self.engine = Engine(
             runtime=self.runtime,
@@ -136,6 +306,7 @@
             stop_requests=self.stop_requests,
             reconciler=self.reconciler,
             cancellation=self.cancellation,
+            cancellation_dissemination=self.cancellation_dissemination,
             fleet=self.fleet,
             health=self.health,
             user_requests=self.user_requests,
@@ -143,10 +314,67 @@
             operator_settings=self.operator_settings,
         )
 
-    def handle(self, batch: list[ev.Cmd], now: float, wall: float) -> list[ev.Effect]:
+    def _build_user_requests(self) -> UserRequests:
+        """Requests of users, one part for each kind."""
+        requests = OpenRequests(self.runtime, self.reader)
+        records = JobRecords(self.replica, self.reader)
+        polls = StatusPolls(
+            self.runtime, self.client, self.replica, requests, records, self.job_states
+        )
+        submissions = Submissions(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            codec=self.codec,
+            reconcile_queue=self.reconcile_queue,
+            requests=requests,
+            records=records,
+            polls=polls,
+            check=SubmissionCheck(self.runtime, self.client, self.codec, self.machine_types),
+            choose_first_owner=FirstOwner(
+                self.replica, self.membership, self.heartbeats, self.partitions.preferred
+            ).choose,
+        )
+        cancellations = JobCancellations(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            codec=self.codec,
+            requests=requests,
+            records=records,
+            states=self.job_states,
+            broadcast=self.cancellation_dissemination.broadcast,
+        )
+        outcomes = DependencyOutcomes(self.runtime, self.replica, self.reader, records)
+        return UserRequests(requests, submissions, polls, cancellations, outcomes)
+
+    def handle(self, batch: list[ev.Command], now: float, wall: float) -> list[ev.Effect]:
         """Work through a batch; `now` is the steady clock, `wall` the time of day (s)."""
         return self.engine.handle(batch, now, wall)
 
+    # --- what the workers tell parts that are built after them --------------
+    def _on_replica_loaded(self) -> None:
+        """Join at once instead of with the next tick."""
+        self.membership_protocol.tick()
+
+    def _on_capacity_changed(self, machine: str) -> None:
+        self.capacity_index.mark_changed(machine)
+
+    def _on_task_completed(self, machine: str, job: Job, seconds: float) -> None:
+        self.rebalancer.completed(machine, job, seconds)
+
+    def _on_machine_deleted(self, machine: str) -> None:
+        self.rebalancer.speeds.forget(machine)
+
+    def _on_unanswerable_heartbeat(self, report: wire.Report) -> None:
+        self.cancelled_task_halter.halt_cancelled_tasks(report)
+
+    def _on_view_in_doubt(self) -> None:
+        self.membership_protocol.confirm_view()
+
+    def _release_claims(self, job_id: str, reservations: list[StepReservation]) -> None:
+        self.preemption.release_claims(job_id, reservations)
+
     def _local_status(self) -> LocalStatus:
         return LocalStatus(
             reporting_fraction=self.workers.reporting_fraction(),
@@ -208,33 +436,4 @@
 
     def running(self, job: Job) -> int:
         """Tasks that reports show as running, for display."""
-        count = 0
-        for attempt in job.attempts:
-            worker = self.workers.table.get(attempt.machine)
-            if worker is not None:
-                for task in attempt.tasks:
-                    entry = worker.tasks.get((f"{job.id}/{task}", attempt.attempt_number))
-                    count += entry is not None and entry.state == wire.RUNNING
-        return count
-
-    def zone_of(self, machine: str) -> str | None:
-        """The machine's zone; None if nobody has told it yet."""
-        worker = self.workers.table.get(machine)
-        if worker is not None and worker.report is not None:
-            return worker.report.zone
-        return self.fleet.zone_of(machine)
-
-    def placeable(self, worker: Worker) -> bool:
-        """May steps be placed on the worker's machine?"""
-        report = worker.report
-        return (
-            report is not None
-            and report.type in self.machine_types
-            and not worker.placement.cordon_reason
-            and worker.id not in self.workers.deleted_machines
-            and report.session > worker.lease.expired_epoch
-            and report.notice_s is None
-            and worker.has_shown_current_token
-            and self.now - worker.reachability.last_healthy_at
-            <= 2.5 * self.settings.cluster.workers.report_s
-        )
+        return self.job_states.count_running(job)
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -13,6 +13,7 @@
 from appledock.core.capacity.partitions import CapacityShares
 from appledock.core.fleet import Fleet
 from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
 from appledock.core.jobs.stop_requests import StopRequests
@@ -22,13 +23,14 @@
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.rebalancing.rebalancer import Rebalancer
+from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.moves import Moves
 from appledock.core.scheduling.queue_order import QueueOrder
 from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.client import StoreClient
 from appledock.core.store.reader import StateReader
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.workers import Workers
 
 log = logging.getLogger(__name__)
@@ -58,6 +60,7 @@
         stop_requests: StopRequests,
         reconciler: Reconciler,
         cancellation: CancellationEnforcer,
+        cancellation_dissemination: CancellationDissemination,
         fleet: Fleet,
         health: HealthCheck,
         user_requests: UserRequests,
@@ -82,6 +85,7 @@
         self.stop_requests = stop_requests
         self.reconciler = reconciler
         self.cancellation = cancellation
+        self.cancellation_dissemination = cancellation_dissemination
         self.fleet = fleet
         self.health = health
         self.user_requests = user_requests
@@ -92,11 +96,11 @@
         self._started = False
 
     # --- commands in, effects out -----------------------------------------
-    def handle(self, batch: list[ev.Cmd], now: float, wall: float) -> list[ev.Effect]:
+    def handle(self, batch: list[ev.Command], now: float, wall: float) -> list[ev.Effect]:
         """Work through a batch; `now` is the steady clock, `wall` the time of day."""
         self.runtime.now, self.runtime.wall = now, wall
         if not self._started:
-            self.workers.initial_renewable_until = now + self.runtime.lease_ttl_s
+            self.workers.on_start()
             self._started = True
         for command in batch:
             try:
@@ -107,7 +111,7 @@
                 log.exception("command %s failed", type(command).__name__)
                 request_id = getattr(command, "request_id", None)
                 if request_id is not None:
-                    self.user_requests.open.pop(request_id, None)
+                    self.user_requests.open_requests.discard(request_id)
                     self.runtime.emit(ev.Reply(request_id, 500, {"error": "internal error"}))
         for follow in (self._after, self.client.flush):
             # One after the other: whatever fails, leases are renewed and users answered.
@@ -117,7 +121,7 @@
                 log.exception("follow-up of a batch failed")
         return self.runtime.take_effects()
 
-    def _one(self, cmd: ev.Cmd) -> None:
+    def _one(self, cmd: ev.Command) -> None:
         match cmd:
             case ev.Reported():
                 self.workers.on_heartbeat(cmd.request_id, cmd.report)
@@ -128,7 +132,7 @@
             case ev.PeerOpened():
                 self.workers.on_peer_connected(cmd.name)
                 self.fleet.on_peer_connected(cmd.name)
-                self.cancellation.on_peer_connected(cmd.name)
+                self.cancellation_dissemination.on_peer_connected(cmd.name)
             case ev.Tick():
                 self._tick()
             case ev.Poll() | ev.Submit() | ev.Cancel() | ev.Health() | ev.Admin():
@@ -163,7 +167,7 @@
             case messages.StopTasks():
                 self.stop_requests.add(message.job, message.machine, set(message.tasks))
             case messages.JobCancelled():
-                self.cancellation.on_peer(message)
+                self.cancellation_dissemination.on_peer(message)
             case messages.MoveRequested() | messages.MoveHeld() | messages.MoveEnded():
                 self.moves.on_peer(message)
             case messages.Heartbeat():
@@ -192,8 +196,8 @@
     def _after(self) -> None:
         """What follows from a batch: new view, changed records, due calls."""
         replica = self.replica
-        if replica.view_changed:
-            replica.view_changed = False
+        if replica.changes.view:
+            replica.changes.view = False
             view = replica.view
             assert view is not None
             self.workers.on_view(self._applied_view)
@@ -207,15 +211,15 @@
             self.capacity_index.mark_each_changed(replica.capacity.changed)
             replica.capacity.changed.clear()
             self.reconcile_queue.placement_due = True
-        if replica.settings_changed:
-            replica.settings_changed = False
+        if replica.changes.settings:
+            replica.changes.settings = False
             self.operator_settings.apply(replica.stored_settings.value)
             self.reconcile_queue.placement_due = True
-        if replica.changed_jobs:
-            for team in replica.changed_teams:
+        if replica.changes.jobs:
+            for team in replica.changes.teams:
                 self.quota_allocation.clear_caches_of(team)
-            replica.changed_teams.clear()
-            for job_id in sorted(replica.changed_jobs):
+            replica.changes.teams.clear()
+            for job_id in sorted(replica.changes.jobs):
                 if job_id in replica.jobs:
                     self.fleet.note(replica.jobs[job_id])
                     if (
@@ -224,15 +228,15 @@
                     ):
                         self.queue_order.ready_at.setdefault(job_id, self.runtime.wall)
                 self.reconcile_queue.jobs.add(job_id)
-            replica.changed_jobs.clear()
-            for machine in replica.changed_machines:
+            replica.changes.jobs.clear()
+            for machine in replica.changes.machines:
                 self.settlement.on_machine_changed(machine)
-            self.workers.commands_due |= replica.changed_machines
-            self.capacity_index.mark_each_changed(replica.changed_machines)
-            replica.changed_machines.clear()
+            self.workers.request_commands(replica.changes.machines)
+            self.capacity_index.mark_each_changed(replica.changes.machines)
+            replica.changes.machines.clear()
             self.reconcile_queue.placement_due = True
         self.fleet.read_catalogue()
         self.quota_allocation.clear_admissions()
-        self.capacity_index.recheck_availability()
+        self.capacity_index.check_eligibility()
         self.reconciler.tick()
         self.workers.push_commands()
--- a/appledock/core/membership/next_view.py
+++ b/appledock/core/membership/next_view.py
@@ -7,7 +7,7 @@
 
 from appledock import wire
 from appledock.core.membership.view_requests import ViewChangeRequests
-from appledock.core.store.replica import View
+from appledock.core.records.membership_view import ControllerInstance, View
 
 log = logging.getLogger(__name__)
 
@@ -78,8 +78,8 @@
     detached: dict[str, str],
     requests: ViewChangeRequests,
     is_deleted: Callable[[str], bool],
-) -> dict[str, list[str]]:
-    """Worker -> node and incarnation of an owner other than the hash gives.
+) -> dict[str, ControllerInstance]:
+    """Worker -> an owner other than the hash gives.
 
     An override ends with its owner's incarnation, with the owner's detachment, and with the
     machine.
@@ -87,11 +87,13 @@
     overrides = {
         worker: owner
         for worker, owner in (old.overrides if old else {}).items()
-        if members.get(owner[0]) == owner[1] and owner[0] not in detached and not is_deleted(worker)
+        if members.get(owner.node) == owner.incarnation
+        and owner.node not in detached
+        and not is_deleted(worker)
     }
     for worker, owner_node in requests.overrides.items():
         if owner_node in members:
-            overrides[worker] = [owner_node, members[owner_node]]
+            overrides[worker] = ControllerInstance(owner_node, members[owner_node])
     return overrides
 
 
--- a/appledock/core/membership/protocol.py
+++ b/appledock/core/membership/protocol.py
@@ -12,10 +12,11 @@
 from appledock.core.membership.next_view import next_view
 from appledock.core.membership.view_changes import ViewChanger
 from appledock.core.membership.view_requests import ViewChangeRequests
+from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.reader import StateReader
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 
 
 class MembershipProtocol:
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -16,10 +16,10 @@
 from functools import partial
 from typing import Any
 
-from appledock.core.api.user_requests import UserRequests
+from appledock.core.api.status_polls import StatusPolls
 from appledock.core.controller import Controller
 from appledock.core.fleet import Fleet
-from appledock.core.scheduling.reconciler import Reconciler
+from appledock.core.scheduling.placement_pass import PlacementPass
 from appledock.core.store.keys import FINAL, TEAMS
 from appledock.core.workers import Workers
 from tests.standins import deployment
@@ -34,10 +34,10 @@
     ("report", Workers, "on_heartbeat"),
     ("message of a peer", Workers, "on_peer"),
     ("look at leases", Workers, "tick"),
-    ("placement pass", Reconciler, "_place_all"),
+    ("placement pass", PlacementPass, "run"),
     ("fleet plan", Fleet, "_plan"),
     ("fleet returns", Fleet, "_return"),
-    ("proof of polls", UserRequests, "_prove"),
+    ("proof of polls", StatusPolls, "confirm"),
     ("view change", Workers, "on_view"),
 ]
 
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -142,7 +142,7 @@
     e = engine()
     e.replica.put(VIEW, {"term": 5, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
-    e.replica.view_changed = False
+    e.replica.changes.view = False
     e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
     e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
         e.membership.store_answered_at
@@ -163,7 +163,7 @@
         e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
             e.membership.store_answered_at
         ) = e.now
-        batch: list[ev.Cmd] = [ev.Tick()] if told else [ev.PeerOpened("n1")]
+        batch: list[ev.Command] = [ev.Tick()] if told else [ev.PeerOpened("n1")]
         effects = e.handle(batch, e.now + c.TICK_S, 0.0)
         messages = [
             json.loads(wire.encode(x.message)) for x in effects if isinstance(x, ev.PeerSend)
@@ -186,8 +186,8 @@
     names = [f"vm-{number:06d}" for number in range(c.GONE_MAX)]
     assert FLEET < c.GONE_RESENT_MAX
     e.workers.deleted_machines.update(dict.fromkeys(names, 0.0))
-    e.workers.gossip.on_peer_connected("n1")
-    e.workers.gossip._send_alive(list(e.workers.table), "n1")
+    e.workers.dissemination.on_peer_connected("n1")
+    e.workers.dissemination.send_alive(list(e.workers.table), "n1")
     sizes = [
         len(wire.encode(x.message)) for x in e.runtime.take_effects() if isinstance(x, ev.PeerSend)
     ]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -19,12 +19,14 @@
 from appledock.core.quota.admission import QueuedDemand, admit_queue
 from appledock.core.quota.resources import Resources
 from appledock.core.records.job import Attempt, Job, decode_job
-from appledock.core.scheduling import placement, preemption
+from appledock.core.records.membership_view import View
+from appledock.core.scheduling import placement
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.placement import Sampling
+from appledock.core.scheduling.victim_selection import Victim, select_victims
 from appledock.core.store.keys import JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
-from appledock.core.store.replica import Replica, View
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Put, Transaction
 from appledock.settings import Objective
 from tests.test_grown import owner_of_nothing
@@ -162,16 +164,16 @@
     job = spec(rank="production", cores=3.0)
     small = Job(spec(id="job-2", cores=2.0), 0)
     victims = [
-        preemption.Victim(small, 0, 9.0),
-        preemption.Victim(small, 1, 1.0),
-        preemption.Victim(small, 2, 5.0),
+        Victim(small, 0, 9.0),
+        Victim(small, 1, 1.0),
+        Victim(small, 2, 5.0),
     ]
-    chosen = preemption.select_victims(job, room("m", 1), victims)
+    chosen = select_victims(job, room("m", 1), victims)
     assert [v.task for v in chosen or ()] == [1]
-    chosen = preemption.select_victims(job, room("m", 0), victims)
+    chosen = select_victims(job, room("m", 0), victims)
     assert [v.task for v in chosen or ()] == [1, 2]
-    assert preemption.select_victims(job, room("m", 0, memory=0.0), victims[:1]) is None
-    chosen = preemption.select_victims(job, room("m", 4), victims, Resources(3.0))
+    assert select_victims(job, room("m", 0, memory=0.0), victims[:1]) is None
+    chosen = select_victims(job, room("m", 4), victims, Resources(3.0))
     assert len(chosen or ()) == 2
 
 
@@ -194,11 +196,11 @@
     ]
     for each in calls:
         b.add(each)
-    sent, _ = b.due(0.0)
+    sent, _ = b.take_due(0.0)
     assert [calls.index(x) for x in sent] == [4, 2, 3]
-    sent, _ = b.due(0.5)
+    sent, _ = b.take_due(0.5)
     assert [calls.index(x) for x in sent] == [1]
-    assert b.waiting(Priority.STEP) == 0 and b.size() == 1
+    assert b.count_waiting(Priority.STEP) == 0 and b.count_queued() == 1
 
 
 def test_rate_limiter_tries_for_more_and_gives_way() -> None:
@@ -206,7 +208,7 @@
     for _ in range(300):
         b.add(call(Priority.STEP, 2))
     for step in range(1, 100):
-        b.due(step / 10)
+        b.take_due(step / 10)
     assert b.writes.rate == 16.0
     b.on_rate_limited()
     assert b.writes.rate == pytest.approx(16 * c.WRITES_BACK)
@@ -220,16 +222,16 @@
     for _ in range(300):
         b.add(call(Priority.STEP, 2))
     for step in range(1, 100):
-        b.due(step / 10)
+        b.take_due(step / 10)
     assert b.recent_write_rate == pytest.approx(16.0, rel=0.2)
     b.on_peer_write_rate(9.0, 20.0)
     assert b.writes.rate == b.max_write_rate == 11.0
     b.on_peer_write_rate(19.0, 20.0)
     assert b.writes.rate == b.own_write_rate
-    b.due(10.0)
+    b.take_due(10.0)
     user = call(Priority.USER, 1)
     b.add(user)
-    assert b.due(10.0)[0] == [user]
+    assert b.take_due(10.0)[0] == [user]
 
 
 def test_results_are_recorded_however_many_services_come() -> None:
@@ -244,7 +246,7 @@
         urgent = call(Priority.URGENT, 1)
         urgent.queued_at = step / 5
         b.add(urgent)
-        sent += b.due(step / 5)[0]
+        sent += b.take_due(step / 5)[0]
     assert 6 <= sent.index(late) < 20  # services have a head start, and no more
 
 
@@ -274,7 +276,7 @@
         assert not b.add(call(priority, 1))
     for priority in (Priority.LEASE, Priority.VIEW, Priority.USER):
         assert b.add(call(priority, 0))
-    assert len(b.due(100.0)[1]) == most + 3  # what waited too long is given up
+    assert len(b.take_due(100.0)[1]) == most + 3  # what waited too long is given up
 
 
 def test_records_survive_the_state_service() -> None:
@@ -292,7 +294,7 @@
     replica = Replica()
     replica.put(JOBS + "job-1", {"spec": 5}, 3)
     replica.put(TEAMS + "red", [], 3)
-    assert not replica.jobs and not replica.team("red").shares
+    assert not replica.jobs and not replica.allocation_of("red").shares
 
 
 def test_old_news_never_replace_newer() -> None:
@@ -636,5 +638,7 @@
     for term, wanted in ((4, False), (5, True)):
         worker.commanded.repeatable_launches = dict.fromkeys(worker.tasks, term)
         e.view_requests.new_term = False
-        assert e.workers.commands_for(worker, direct=False) == []  # nothing is forgotten
+        assert (
+            e.workers.command_reconciler.commands_for(worker, pushed=False) == []
+        )  # nothing is forgotten
         assert e.view_requests.new_term == wanted
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -18,11 +18,13 @@
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import MembershipState
 from appledock.core.messages import Heartbeat
+from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job, decode_job
-from appledock.core.scheduling.reconciler import Reconciler
+from appledock.core.scheduling.lost_launches import LostLaunchDetector
 from appledock.core.store.keys import JOBS, VIEW
 from appledock.core.store_calls import Transaction
 from appledock.core.workers import Worker, Workers
+from appledock.core.workers.heartbeat_intake import HeartbeatIntake
 from tests.standins.world import World
 from tests.test_requests import engine, spec
 
@@ -136,7 +138,7 @@
     e.replica.put(
         VIEW, {"term": 5, "members": {"n0": "x.1", "n1": "y", "n2": "z"}, "leader": "n0"}, 1
     )
-    e.replica.view_changed = False
+    e.replica.changes.view = False
     e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
     e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
         e.membership.store_answered_at
@@ -191,7 +193,7 @@
         return e.view_requests.overrides
 
     assert wanted() == {}
-    monkeypatch.setattr(Workers, "ingest_heartbeat", lambda self, report: True)
+    monkeypatch.setattr(HeartbeatIntake, "ingest", lambda self, report, healthy_age_s=None: True)
     assert wanted() != {}
 
 
@@ -312,13 +314,13 @@
         assert world.judge.day_end(peace=50.0) == []
         assert world.unfinished() == []
     # Without the term in the settlement of launches never seen, this breaks.
-    monkeypatch.setattr(Reconciler, "_watch_lost", lambda self: None)
+    monkeypatch.setattr(LostLaunchDetector, "check", lambda self: None)
     verdict = Workers.verdict
 
-    def hasty(self: Workers, job: Job, attempt: Attempt, task: int) -> str | None:
+    def hasty(self: Workers, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
         worker = self.table.get(attempt.machine)
         if worker is not None and (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks:
-            return "settled"
+            return AttemptVerdict.SETTLED
         return verdict(self, job, attempt, task)
 
     monkeypatch.setattr(Workers, "verdict", hasty)
@@ -403,7 +405,7 @@
             e.now += 1.0
             if not silent:
                 e.workers.ingest_heartbeat(report("vm-1", 2 + step))
-            Reconciler._watch_lost(e.reconciler)
+            LostLaunchDetector.check(e.lost_launches)
         return e.view_requests.new_term
 
     assert wants(silent=False)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -5,13 +5,20 @@
 import pytest
 
 from appledock import wire
-from appledock.core.api.user_requests import UserRequests
-from appledock.core.jobs.cancellation import CancellationEnforcer
+from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
+from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
 from appledock.core.membership.membership import Membership
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
 from appledock.core.workers import Workers
-from tests.guards import absence_settles, no_charges, no_job_version, silence_settles
+from appledock.core.workers.command_reconciler import CommandReconciler
+from tests.guards import (
+    absence_settles,
+    answers_without_proof,
+    no_charges,
+    no_job_version,
+    silence_settles,
+)
 from tests.standins.faults import play
 from tests.standins.world import World
 
@@ -98,38 +105,33 @@
 
 
 def test_answers_without_proof(monkeypatch: Patch) -> None:
-    def tell(self: UserRequests) -> None:
-        polls, self.polls = self.polls, []
-        for asked in polls:
-            self._tell(asked, True)
-
-    monkeypatch.setattr(UserRequests, "_prove", tell)
+    answers_without_proof(monkeypatch)
     assert kinds(range(10), "isolate", "crash") & {"went_back", "forgotten"}
 
 
 def test_cancelled_jobs_that_are_never_halted(monkeypatch: Patch) -> None:
     """Owners that halt nothing are not enough to break the rule: whoever sees a task of a
     cancelled job halts it. Without that, machines go; without that too, the judge notices."""
-    commands = Workers.commands_for
+    commands = CommandReconciler.commands_for
     monkeypatch.setattr(
-        Workers,
+        CommandReconciler,
         "commands_for",
-        lambda self, worker, direct: [
-            x for x in commands(self, worker, direct) if x.op != wire.HALT
+        lambda self, worker, pushed: [
+            x for x in commands(self, worker, pushed) if x.op != wire.HALT
         ],
     )
     assert "ran_cancelled" not in play(0, seconds=110.0).judge.kinds()
-    monkeypatch.setattr(CancellationEnforcer, "_halt", lambda *_: None)
+    monkeypatch.setattr(CancelledTaskHalter, "halt", lambda *_: None)
     deleted: list[str] = []
-    delete = CancellationEnforcer._delete
+    delete = CancelledTaskMachines.delete
     monkeypatch.setattr(
-        CancellationEnforcer,
-        "_delete",
+        CancelledTaskMachines,
+        "delete",
         lambda self, names: (deleted.extend(names), delete(self, names))[1],
     )
     assert "ran_cancelled" not in play(0, seconds=110.0).judge.kinds()
     assert deleted
-    monkeypatch.setattr(CancellationEnforcer, "_delete", lambda *_: None)
+    monkeypatch.setattr(CancelledTaskMachines, "delete", lambda *_: None)
     assert "ran_cancelled" in kinds(range(1))
 
 
