--- a/appledock/core/api/health.py
+++ b/appledock/core/api/health.py
@@ -26,9 +26,10 @@
     def is_healthy(self) -> bool:
         """Can requests be taken?
 
-        Without the machine types (first start ever) no submission can be decided. A controller
-        that alone is not served by the key-value store steps aside; in an outage, which all
-        meet, none does: being taken back would take longer than the outage.
+        Not before the replica is loaded and the cluster joined, nor without machine types (on the
+        first start ever): no submission could be decided. A controller that alone is not served
+        by the key-value store is unhealthy, so that the platform sends requests to the others; in
+        an outage, which all of them meet, none is: readmission would take longer than the outage.
         """
         return (
             self._reader.loaded
