--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -80,7 +80,7 @@
 
 
 def test_a_cascade_that_stops_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(DependencyGraph, "_ended_badly", lambda self, need: False)
+    monkeypatch.setattr(DependencyGraph, "_is_cancelled", lambda self, need: False)
     assert "orphaned" in day(1, until=60.0).judge.kinds()
 
 
@@ -223,7 +223,7 @@
     stages: Stages, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with monkeypatch.context() as changed:
-        changed.setattr(DependencyGraph, "_ended_badly", lambda self, need: False)
+        changed.setattr(DependencyGraph, "_is_cancelled", lambda self, need: False)
         assert "orphaned" in cancelled_at_the_root(1, stages)[0].judge.kinds()
     check = DependencyGraph._check
 
