--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -19,12 +19,8 @@
 from appledock.core.jobs.team_record_writer import TeamRecordWriter
 from appledock.core.machines.capacity_index import CapacityIndex, StepReservation
 from appledock.core.machines.machine_capacity import is_allowed_on
-from appledock.core.quota.allocation import (
-    NotPossible,
-    PendingWrite,
-    QuotaAllocation,
-    RecordChange,
-)
+from appledock.core.quota.allocation import PendingWrite, QuotaAllocation
+from appledock.core.quota.record_plan import NotPossible, RecordChange
 from appledock.core.records.job import Job
 from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.runtime import Runtime
