--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -212,7 +212,7 @@
     theirs.put(MEMBERS + "n0", {"incarnation": "a.1", "lease": 3, "format": 2}, 6)
     assert theirs.members["n0"].incarnation == "a.1"
     ours.put(MEMBERS + "n0", {"incarnation": "a.1", "lease": 3}, 6)
-    assert ours.members["n0"].format == 1
+    assert ours.members["n0"].record_format == 1
     theirs.put(FORMAT, {"format": 2}, 8)  # unknown to it, and without effect
 
 
