--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -18,7 +18,7 @@
 from appledock.core.messages import Heartbeat
 from appledock.core.quota.admission import QueuedDemand, admit_queue
 from appledock.core.quota.resources import Resources
-from appledock.core.records.job import Attempt, Job, decode_job
+from appledock.core.records.job import Attempt, HandoffTarget, Job, decode_job
 from appledock.core.records.membership_view import View
 from appledock.core.scheduling import placement
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
@@ -280,7 +280,14 @@
 
 
 def test_records_survive_the_state_service() -> None:
-    job = Job(spec(crates=9, hulls=["h4"]), 5.0, 3, 4, cancelled=True, handoff_target=("n1", "x"))
+    job = Job(
+        spec(crates=9, hulls=["h4"]),
+        5.0,
+        3,
+        4,
+        cancelled=True,
+        handoff_target=HandoffTarget("n1", "x"),
+    )
     job.completed_tasks.add(0)
     job.attempts.append(Attempt("vm-1", 2, 4, 7, True, {1, 2, 5}))
     again = decode_job(msgspec.json.decode(wire.encode(job.encode())), 3)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -7,7 +7,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.records.job import Job
+from appledock.core.records.job import HandoffTarget, Job
 from appledock.core.store_calls import Put, Transaction
 from tests.standins.world import World
 from tests.test_grown import owner_of_nothing
@@ -117,7 +117,9 @@
     e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
     name = next(f"vm-{i}" for i in range(99) if e.replica.owner_of(f"vm-{i}") == "n1")
-    e.replica.set_job(Job(spec(owner="red", crates=2), e.wall, 5, handoff_target=("n0", "x.1")))
+    e.replica.set_job(
+        Job(spec(owner="red", crates=2), e.wall, 5, handoff_target=HandoffTarget("n0", "x.1"))
+    )
     seen: list[ev.Effect] = []
     for tick in range(int(seconds / c.TICK_S)):
         e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
--- a/tests/test_old_words.py
+++ b/tests/test_old_words.py
@@ -9,6 +9,7 @@
 from appledock.core import events as ev
 from appledock.core.fleet import Returning
 from appledock.core.messages import AliveWorker, WorkersAlive
+from appledock.core.records.job import HandoffTarget
 from tests.test_launches import NOW, leading, report, running
 
 
@@ -51,10 +52,10 @@
     assert view is not None
     view.members["n1"] = "y"
     job = running(e, 3)
-    job.handoff_target = ("n1", "y")
+    job.handoff_target = HandoffTarget("n1", "y")
     stop = {"kind": "stop", "job": job.id, "machine": "vm-1", "tasks": [0]}
     e.handle([ev.PeerMessage(stop)], NOW, 0.0)
-    job.handoff_target = ("n0", "x.1")
+    job.handoff_target = HandoffTarget("n0", "x.1")
     e.handle([ev.PeerMessage(stop)], NOW, 0.0)
     assert [bool(e.stop_requests.pending), bool(e.job_writer.queued_calls)] == [
         False,
@@ -62,9 +63,9 @@
     ]  # that one is written
     del e.job_writer.queued_calls[job.id]
     e.job_writer.jobs_in_flight.clear()
-    job.handoff_target = ("n1", "y")
+    job.handoff_target = HandoffTarget("n1", "y")
     e.handle([ev.PeerMessage(stop)], NOW + 1, 0.0)
-    job.handoff_target = ("n0", "x.1")
+    job.handoff_target = HandoffTarget("n0", "x.1")
     e.reconcile_queue.jobs.add(job.id)
     e.handle([ev.Tick()], NOW + 2, 0.0)
     assert not e.job_writer.queued_calls
--- a/tests/unit/scheduling/test_handoff.py
+++ b/tests/unit/scheduling/test_handoff.py
@@ -6,7 +6,7 @@
 
 from appledock import constants
 from appledock.core.machines.machine_capacity import MachineCapacity
-from appledock.core.records.job import Job
+from appledock.core.records.job import HandoffTarget, Job
 from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
@@ -42,7 +42,7 @@
 def test_a_batch_job_that_was_handed_here_rests_before_it_is_handed_off_again() -> None:
     handoff, runtime = parts()
     received = job(crates=4)
-    received.handoff_target = ("n0", "x")
+    received.handoff_target = HandoffTarget("n0", "x")
     handoff.on_job_owned(received)
     runtime.now += constants.HANDOFF_EVERY_S
     assert handoff.choose_target(received, [machine("n1", 4)], 4, {}) is None
