--- a/appledock/core/jobs/codec.py
+++ b/appledock/core/jobs/codec.py
@@ -13,7 +13,7 @@
 
 
 class JobRecordCodec:
-    """Encodes records of open jobs."""
+    """Encodes records of open jobs, and checks their size against the client's limit."""
 
     def __init__(
         self, replica: Replica, client: StoreClient, machine_types: dict[str, wire.MachineType]
@@ -23,7 +23,7 @@
         self._machine_types = machine_types
 
     def encode(self, job: Job) -> dict[str, Any]:
-        """The job's record, in the format in use."""
+        """Encode the job's record in the format that all members read."""
         return job.encode(self._replica.record_format.value)
 
     def fits(self, job: Job) -> bool:
--- a/appledock/core/records/intervals.py
+++ b/appledock/core/records/intervals.py
@@ -42,8 +42,8 @@
         return self.size
 
     def __contains__(self, number: int) -> bool:
-        place = bisect_right(self._lows, number) - 1
-        return place >= 0 and number <= self._highs[place]
+        index = bisect_right(self._lows, number) - 1
+        return index >= 0 and number <= self._highs[index]
 
     def __iter__(self) -> Iterator[int]:
         for low, high in zip(self._lows, self._highs, strict=True):
@@ -51,29 +51,29 @@
 
     def add(self, number: int) -> None:
         """Add one number."""
-        place = bisect_right(self._lows, number)
-        if place and number <= self._highs[place - 1]:
+        index = bisect_right(self._lows, number)
+        if index and number <= self._highs[index - 1]:
             return
         self.size += 1
-        joins_left = place > 0 and self._highs[place - 1] == number - 1
-        joins_right = place < len(self._lows) and self._lows[place] == number + 1
+        joins_left = index > 0 and self._highs[index - 1] == number - 1
+        joins_right = index < len(self._lows) and self._lows[index] == number + 1
         if joins_left and joins_right:
-            self._highs[place - 1] = self._highs[place]
-            del self._lows[place], self._highs[place]
+            self._highs[index - 1] = self._highs[index]
+            del self._lows[index], self._highs[index]
         elif joins_left:
-            self._highs[place - 1] = number
+            self._highs[index - 1] = number
         elif joins_right:
-            self._lows[place] = number
+            self._lows[index] = number
         else:
-            self._lows.insert(place, number)
-            self._highs.insert(place, number)
+            self._lows.insert(index, number)
+            self._highs.insert(index, number)
 
     def intervals(self) -> Iterator[tuple[int, int]]:
-        """The closed intervals."""
+        """Iterate over the closed intervals."""
         yield from zip(self._lows, self._highs, strict=True)
 
     def gaps(self, total: int) -> Iterator[tuple[int, int]]:
-        """Closed intervals of 0..total-1 that are not in the set."""
+        """Iterate over the closed intervals of 0..total-1 that are not in the set."""
         start = 0
         for low, high in zip(self._lows, self._highs, strict=True):
             if low > start:
