--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -18,7 +18,7 @@
 from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.quota.record_plan import NoRecordChange, NotPossible, RecordChange
 from appledock.core.quota.resources import Resources
-from appledock.core.records.job import Attempt, Job, decode_job
+from appledock.core.records.job import Attempt, HandoffTarget, Job, decode_job
 from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.store.keys import JOBS, MEMBERS, TEAMS, VIEW
 from appledock.core.store.rate_limiter import Priority
@@ -126,7 +126,7 @@
                 )
             )
         if rng.random() < 0.25:
-            new.handoff_target = (rng.choice(sorted(view.members)), "i")
+            new.handoff_target = HandoffTarget(rng.choice(sorted(view.members)), "i")
         heir = e.replica.job_owner(new)
         change = e.quota_allocation.plan(job, new, heir)
         record = change.record if isinstance(change, RecordChange) else None
--- a/tests/unit/quota/test_allocation.py
+++ b/tests/unit/quota/test_allocation.py
@@ -9,7 +9,7 @@
 from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.quota.record_plan import NoRecordChange, NotPossible, RecordChange
 from appledock.core.quota.usage import QuotaUsage
-from appledock.core.records.job import Attempt, Job
+from appledock.core.records.job import Attempt, HandoffTarget, Job
 from appledock.core.runtime import Runtime
 from appledock.core.store.keys import TEAMS, VIEW
 from appledock.core.store.replica import Replica
@@ -44,7 +44,10 @@
 def add_job(replica: Replica, number: int, tasks: int) -> Job:
     """A queued job of n0 whose tasks need one CPU."""
     job = Job(
-        spec(id=f"job-{number}", crates=tasks), float(number), version=2, handoff_target=("n0", "a")
+        spec(id=f"job-{number}", crates=tasks),
+        float(number),
+        version=2,
+        handoff_target=HandoffTarget("n0", "a"),
     )
     replica.set_job(job)
     return job
