--- a/tests/equivalence/__main__.py
+++ b/tests/equivalence/__main__.py
@@ -41,8 +41,8 @@
     for result in compare_all(pairs, arguments.jobs, arguments.version):
         verdict = "equal" if result.equal else "FAILED" if result.failure else "DIFFERENT"
         print(
-            f"{result.scenario:32} seed {result.seed:<5} {result.effects:7} effects "
-            f"{result.digest:12} {verdict}",
+            f"{result.scenario:38} seed {result.seed:<4} {result.effects:6} effects "
+            f"{result.digest:12} {result.seconds:5.1f} s  {verdict}",
             flush=True,
         )
         if result.difference is not None:
--- a/tests/equivalence/compare.py
+++ b/tests/equivalence/compare.py
@@ -7,6 +7,7 @@
 import os
 import subprocess
 import sys
+import time
 from collections import deque
 from collections.abc import Iterator
 from concurrent.futures import ThreadPoolExecutor
@@ -59,6 +60,8 @@
     seed: int
     effects: int
     digest: str
+    seconds: float
+    """taken by the run of the version that is compared"""
     difference: Difference | None = None
     failure: str = ""
     """why one of the two could not be run to its end"""
@@ -148,23 +151,29 @@
 def compare(scenario: str, seed: int, version: str = "present") -> Result:
     """Run both versions, the baseline only if its recording is not there yet."""
     expected = baseline_recording(scenario, seed)
-    actual = CACHE / f"last-{hashlib.sha256(version.encode()).hexdigest()[:8]}" / expected.name
     if not expected.exists():
         fresh = expected.with_suffix(f".{os.getpid()}")
         if failure := record(scenario, seed, "baseline", fresh):
-            return Result(scenario, seed, 0, "", failure=failure)
+            return Result(scenario, seed, 0, "", 0.0, failure=failure)
         fresh.replace(expected)
+    actual = CACHE / "last" / f"{scenario}-{seed}.{os.getpid()}.txt"
     actual.unlink(missing_ok=True)
+    started = time.monotonic()
     failure = record(scenario, seed, version, actual)
+    seconds = time.monotonic() - started
     content = actual.read_bytes() if actual.exists() else b""
-    return Result(
+    result = Result(
         scenario,
         seed,
         content.count(b"\n"),
         hashlib.sha256(content).hexdigest()[:12],
+        seconds,
         first_difference(expected, actual) if content else None,
-        failure,
+        failure or ("" if content else f"{version}: no effects were recorded"),
     )
+    if result.equal:
+        actual.unlink()  # those that differ are kept, to be looked at
+    return result
 
 
 def compare_all(
--- a/tests/equivalence/recorder.py
+++ b/tests/equivalence/recorder.py
@@ -58,13 +58,14 @@
     def __init__(self, output: TextIO) -> None:
         super().__init__(logging.ERROR)
         self.output = output
-        self.count = 0
+        self.versions: set[Code] = set()
+        """those that any controller ran"""
 
     def effects(self, node: Node, effects: list[Any]) -> None:
         """Write the effects of one batch of a controller."""
         code = node.runs
+        self.versions.add(code)
         for effect in effects:
-            self.count += 1
             self.output.write(
                 f"{node.clock.now!r} {node.name}.{node.life} {code.kind(effect).value} "
                 f"{content(code, effect)}\n"
@@ -73,7 +74,6 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Write which exception was logged; its text may name what was renamed."""
         if record.exc_info and record.exc_info[0] is not None:
-            self.count += 1
             self.output.write(f"- - exception {record.exc_info[0].__name__}\n")
 
 
--- a/tests/equivalence/worker.py
+++ b/tests/equivalence/worker.py
@@ -28,11 +28,14 @@
 def run(scenario: str, seed: int, version: str, output: Path) -> None:
     """Play the scenario and write its effects to the file, which appears when it is over."""
     logging.getLogger("appledock").propagate = False
-    versions.put_under_test(chosen(version))
+    code = chosen(version)
+    versions.put_under_test(code)
     partial = output.with_name(f"{output.name}.{os.getpid()}")
     try:
-        with partial.open("w") as lines, recorded(lines):
+        with partial.open("w") as lines, recorded(lines) as recorder:
             SCENARIOS[scenario].run(seed)
+            if code not in recorder.versions:
+                raise RuntimeError(f"no controller ran {code}")
     finally:
         # Also what was recorded before a failure shows where the effects differ first.
         partial.replace(output)
