--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -290,7 +290,7 @@
     """As `place_held`, for a room that was not kept."""
     under_way = self.active.get(job.id)
     if under_way is None or any(
-        attempt.number == under_way.order.attempt for attempt in rest.attempts
+        attempt.attempt_number == under_way.order.attempt for attempt in rest.attempts
     ):
         return []
     room = self.engine.capacity_index.machines.get(under_way.order.destination)
@@ -352,7 +352,9 @@
         task = min(attempt.tasks)
         source, term = attempt.machine, engine.membership.term
         orders.append(
-            MoveOrder("n9", number, term, job, task, attempt.number, source, destination, 0.0)
+            MoveOrder(
+                "n9", number, term, job, task, attempt.attempt_number, source, destination, 0.0
+            )
         )
     assert engine.moves._refused_here(orders[0]) is None
     engine.moves.on_peer(MoveRequested(orders[0]))
@@ -377,7 +379,15 @@
     attempt, term = record.attempts[0], engine.membership.term
     destination = next(machine for machine, load in loads(world).items() if load == 0.0)
     order = MoveOrder(
-        "n9", 1, term, name, min(attempt.tasks), attempt.number, attempt.machine, destination, 0.0
+        "n9",
+        1,
+        term,
+        name,
+        min(attempt.tasks),
+        attempt.attempt_number,
+        attempt.machine,
+        destination,
+        0.0,
     )
     assert engine.moves._refused_by_job(order) is None
     others = [StepReservation(destination, record.spec, 4)]
