--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -425,10 +425,12 @@
         return [under_way.order for under_way in controller.moves.active.values()]
 
     def hears(self, controller: Any, peer: str) -> bool:
-        return bool(controller.heartbeats.is_reachable(peer))
+        return bool(controller.heartbeats.reached(peer))
 
     def told_by(self, controller: Any, peer: str) -> dict[str, Any]:
-        heard = controller.heartbeats.last_heartbeats[peer]
+        return self._heartbeat_fields(controller, peer, controller.heartbeats.heard[peer])
+
+    def _heartbeat_fields(self, controller: Any, peer: str, heard: Any) -> dict[str, Any]:
         return {
             "node": peer,
             "served_s": round(controller.now - heard.served_at, 3),
@@ -484,6 +486,13 @@
             job.completed_tasks.add(task)
         return job
 
+    def hears(self, controller: Any, peer: str) -> bool:
+        return bool(controller.heartbeats.is_reachable(peer))
+
+    def told_by(self, controller: Any, peer: str) -> dict[str, Any]:
+        last_heartbeats = controller.heartbeats.last_heartbeats
+        return self._heartbeat_fields(controller, peer, last_heartbeats[peer])
+
     def store_request(self, call: Any) -> HttpCall:
         return HttpCall(*self.store.build_request(call.request))
 
