--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -13,7 +13,6 @@
 from appledock.capacity.holdings import Bucket, Holding, bucket_of
 from appledock.capacity.lending import Lenders, lent
 from appledock.capacity.settings import Pool
-from appledock.core.fleet.demand import queued_demand
 from appledock.core.records.capacity import HOLDINGS
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store_calls import (
@@ -118,10 +117,10 @@
             and worker.report.type in engine.machine_types
         }
         queued: dict[str, float] = {}
-        for demand in queued_demand(engine):
+        for demand in engine.fleet.queued_demand():
             spec = demand.job.spec
             name = self.shares.partition_of(spec)
-            if demand.ready and name is not None and _may_use(spec, pool):
+            if demand.is_ready and name is not None and _may_use(spec, pool):
                 most = max((_fits_on(spec, kind) for kind in types.values()), default=0)
                 if most:
                     queued[name] = queued.get(name, 0.0) + demand.tasks / most
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -151,7 +151,7 @@
         self.settlement = Settlement(
             self.replica,
             self.workers.verdict,
-            lambda machine, job_id: self.fleet.task_failed(machine, job_id),  # noqa: PLW0108 -- built later
+            lambda machine, job_id: self.fleet.on_task_failed(machine, job_id),  # noqa: PLW0108 -- built later
         )
         self.team_record_writer = TeamRecordWriter(
             client=self.client,
@@ -279,10 +279,27 @@
             machines=CancelledTaskMachines(
                 self.runtime,
                 self.workers,
-                lambda names: self.fleet.deleted(names),  # noqa: PLW0108 -- built later
+                lambda names: self.fleet.on_machines_deleted(names),  # noqa: PLW0108 -- built later
             ),
         )
-        self.fleet = Fleet(self)
+        self.fleet = Fleet(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            membership=self.membership,
+            heartbeats=self.heartbeats,
+            workers=self.workers,
+            capacity_index=self.capacity_index,
+            machine_types=self.machine_types,
+            machine_zones=self.machine_zones,
+            operator_settings=self.operator_settings,
+            quota_usage=self.quota_usage,
+            queue_order=self.queue_order,
+            objectives=self.objectives,
+            reconcile_queue=self.reconcile_queue,
+            stop_requests=self.stop_requests,
+        )
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
         self.job_states = JobStates(self.replica, self.workers)
         self.user_requests = self._build_user_requests()
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -221,7 +221,7 @@
             replica.changes.teams.clear()
             for job_id in sorted(replica.changes.jobs):
                 if job_id in replica.jobs:
-                    self.fleet.note(replica.jobs[job_id])
+                    self.fleet.on_job_changed(replica.jobs[job_id])
                     if (
                         job_id in replica.dependencies.prerequisites
                         and job_id not in replica.dependencies.waiting_jobs
--- a/appledock/core/fleet/__init__.py
+++ b/appledock/core/fleet/__init__.py
@@ -1,9 +1,10 @@
-"""The machines: what to rent and return. Decided by the leader alone.
+"""Scale out and scale in: which machines to rent, to keep and to delete.
 
-`manager.Fleet` is the only part that the rest of the core deals with.
+Decided by the leader alone; cordons concern every controller. The rest of the core deals with
+`manager.Fleet` only.
 """
 
 from appledock.core.fleet.manager import Fleet
-from appledock.core.fleet.model import MachineKind, Returning
+from appledock.core.fleet.model import MachineKind, PendingDeletion, ScaleInReason
 
-__all__ = ["Fleet", "MachineKind", "Returning"]
+__all__ = ["Fleet", "MachineKind", "PendingDeletion", "ScaleInReason"]
--- a/appledock/core/fleet/catalogue.py
+++ b/appledock/core/fleet/catalogue.py
@@ -1,111 +1,138 @@
-"""The machine types: read from the cloud, kept in the state service."""
+"""Catalogue of machine types: read from the cloud, kept in the key-value store."""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Iterable
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable, Iterable
+from typing import Any
 
 import msgspec
 
-from appledock import constants as c
-from appledock import wire
-from appledock.core.events import CloudOutcome, CloudReply
-from appledock.core.fleet.cloud import CloudCalls
+from appledock import constants, wire
+from appledock.core.fleet.cloud import CloudClient, CloudFailure
+from appledock.core.jobs.reconcile_queue import ReconcileQueue
+from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import CATALOGUE
 from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Committed, Put, StoreOutcome, Transaction
 
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
-
 log = logging.getLogger(__name__)
 
 
-class Catalogue:
-    """Keeps `engine.machine_types` up to date."""
-
-    def __init__(self, engine: Controller, cloud: CloudCalls) -> None:
-        self.engine = engine
-        self.cloud = cloud
-        self.next_read = 0.0
-        self.reading = False
-        self.read_version = -1
+class MachineTypeCatalogue:
+    """Keeps the machine types up to date that all parts of the controller read.
+
+    The leader stores them, so that an outage of the cloud does not keep a restarted controller
+    from placing tasks.
+    """
+
+    def __init__(  # noqa: PLR0913 -- it connects the cloud, the store and the types in memory
+        self,
+        *,
+        runtime: Runtime,
+        client: StoreClient,
+        replica: Replica,
+        capacity_index: CapacityIndex,
+        machine_types: dict[str, wire.MachineType],
+        cloud: CloudClient,
+        is_leader: Callable[[], bool],
+        reconcile_queue: ReconcileQueue,
+    ) -> None:
+        self._runtime = runtime
+        self._client = client
+        self._replica = replica
+        self._capacity_index = capacity_index
+        self._machine_types = machine_types
+        self._cloud = cloud
+        self._is_leader = is_leader
+        self._reconcile_queue = reconcile_queue
+        self._next_read_at = 0.0
+        self._is_reading = False
+        self._loaded_version = -1
 
     def load_stored(self) -> None:
-        """Take over the types that any controller has seen last.
-
-        So an outage of the cloud does not keep a restarted controller from deciding.
-        """
-        catalogue = self.engine.replica.catalogue
-        if catalogue.version == self.read_version:
+        """Add the stored types, if they have changed; those read from the cloud stay."""
+        stored = self._replica.catalogue
+        if stored.version == self._loaded_version:
             return
-        self.read_version = catalogue.version
+        self._loaded_version = stored.version
         try:
-            types = _stored_types(catalogue.value)
+            machine_types = _decode(stored.value)
         except msgspec.ValidationError as error:
-            log.error("malformed catalogue: %s", error)
+            log.error("stored catalogue malformed: error=%s", error)
             return
-        for machine_type in types:
-            self.engine.machine_types.setdefault(machine_type.name, machine_type)
-        self.engine.capacity_index.mark_all_changed()
+        for machine_type in machine_types:
+            self._machine_types.setdefault(machine_type.name, machine_type)
+        self._capacity_index.mark_all_changed()
 
     def refresh(self) -> None:
-        """Read the types from the cloud if it is time to."""
-        if self.engine.now >= self.next_read and not self.reading:
-            self.reading = True
-            self.cloud.call("types", (), self._on_types)
-
-    def _on_types(self, reply: CloudReply) -> None:
-        engine = self.engine
-        self.reading = False
-        self.next_read = engine.now + c.TYPES_EVERY_S
-        if reply.outcome is not CloudOutcome.OK:
-            self.next_read = engine.now + c.TYPES_RETRY_S + engine.rng.random()
-            self.cloud.back_off()
+        """Read the types from the cloud if that is due."""
+        if self._runtime.now >= self._next_read_at and not self._is_reading:
+            self._is_reading = True
+            self._cloud.list_machine_types(self._on_types)
+
+    def _on_types(self, result: wire.MachineTypes | CloudFailure) -> None:
+        now = self._runtime.now
+        self._is_reading = False
+        if isinstance(result, CloudFailure):
+            self._next_read_at = now + constants.TYPES_RETRY_S + self._runtime.rng.random()
+            self._cloud.back_off()
             return
-        engine.machine_types.clear()
-        engine.machine_types.update((offered.name, offered) for offered in reply.data.types)
-        engine.capacity_index.mark_all_changed()
-        engine.reconcile_queue.placement_due = True
-        if engine.membership.is_leader() and self._differs_from_stored():
+        self._next_read_at = now + constants.TYPES_EVERY_S
+        self._machine_types.clear()
+        self._machine_types.update((offered.name, offered) for offered in result.types)
+        self._capacity_index.mark_all_changed()
+        self._reconcile_queue.placement_due = True
+        if self._is_leader() and self._differs_from_stored():
             self._store()
 
     def _differs_from_stored(self) -> bool:
-        """Has anything but the prices changed, which move all the time?"""
+        """Has anything but the prices changed? Those change all the time."""
         try:
-            stored = _stored_types(self.engine.replica.catalogue.value)
+            stored = _decode(self._replica.catalogue.value)
         except msgspec.ValidationError:
             return True
-        return _without_prices(stored) != _without_prices(self.engine.machine_types.values())
+        return _without_prices(stored) != _without_prices(self._machine_types.values())
 
     def _store(self) -> None:
-        engine = self.engine
-        version = engine.replica.catalogue.version
-        value = {"types": [msgspec.to_builtins(kind) for kind in engine.machine_types.values()]}
-        if len(wire.encode(value)) > engine.client.max_value_bytes:
+        version = self._replica.catalogue.version
+        value = {
+            "types": [msgspec.to_builtins(offered) for offered in self._machine_types.values()]
+        }
+        if len(wire.encode(value)) > self._client.max_value_bytes:
             return
 
         def on_outcome(outcome: StoreOutcome) -> None:
             if isinstance(outcome, Committed):
-                engine.replica.put(CATALOGUE, value, outcome.revision)
+                self._replica.put(CATALOGUE, value, outcome.revision)
             else:
-                self.next_read = min(self.next_read, engine.now + c.CATALOGUE_RETRY_S)
+                retry_at = self._runtime.now + constants.CATALOGUE_RETRY_S
+                self._next_read_at = min(self._next_read_at, retry_at)
 
-        engine.client.submit(
+        self._client.submit(
             Transaction({CATALOGUE: version}, [Put(CATALOGUE, value)]),
             Priority.PROGRESS,
             on_outcome,
         )
 
 
-def _stored_types(rows: list[Any]) -> list[wire.MachineType]:
-    """The types of a stored catalogue; raises ValidationError if malformed."""
+def _decode(rows: list[Any]) -> list[wire.MachineType]:
+    """The types of a stored catalogue; raises ValidationError if it is malformed."""
     return [msgspec.convert(row, wire.MachineType) for row in rows]
 
 
-def _without_prices(types: Iterable[wire.MachineType]) -> list[tuple[object, ...]]:
+def _without_prices(machine_types: Iterable[wire.MachineType]) -> list[tuple[object, ...]]:
     return sorted(
-        (kind.name, kind.cpus, kind.gpus, kind.memory_gb, kind.boot_s, tuple(kind.zones))
-        for kind in types
+        (
+            offered.name,
+            offered.cpus,
+            offered.gpus,
+            offered.memory_gb,
+            offered.boot_s,
+            tuple(offered.zones),
+        )
+        for offered in machine_types
     )
--- a/appledock/core/fleet/cloud.py
+++ b/appledock/core/fleet/cloud.py
@@ -1,28 +1,69 @@
-"""Calls to the cloud: all of them pause together after one was refused or failed."""
+"""Client of the cloud: typed calls, and one backoff for all of them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from dataclasses import dataclass
+from typing import Any
 
-from appledock import constants as c
-from appledock.core.events import CloudCall, CloudReply
+from appledock import constants, wire
+from appledock.core.events import CloudCall, CloudOutcome, CloudReply
+from appledock.core.runtime import Runtime
 
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
 
+@dataclass(frozen=True, slots=True)
+class CloudFailure:
+    """A call that did not succeed."""
 
-class CloudCalls:
-    """Sends calls to the cloud and keeps the pause after trouble."""
+    outcome: CloudOutcome
+    """never `OK`"""
 
-    def __init__(self, engine: Controller) -> None:
-        self.engine = engine
+
+class CloudClient:
+    """Sends calls to the cloud; the result is what the cloud answered, or a `CloudFailure`.
+
+    Callers end each failure that is not about their request alone with `back_off`, and send
+    nothing before `paused_until`.
+    """
+
+    def __init__(self, runtime: Runtime) -> None:
+        self._runtime = runtime
         self.paused_until = 0.0
+        """end of the backoff"""
+
+    def list_machine_types(
+        self, on_result: Callable[[wire.MachineTypes | CloudFailure], None]
+    ) -> None:
+        """Read what the cloud offers."""
+        self._submit("types", (), on_result)
+
+    def list_machines(
+        self, after: str | None, on_result: Callable[[wire.MachineList | CloudFailure], None]
+    ) -> None:
+        """Read one page of the machine list, from behind the machine `after`."""
+        self._submit("list", (after, constants.MACHINE_LIST_LIMIT), on_result)
 
-    def call(self, op: str, args: tuple[Any, ...], done: Callable[[CloudReply], None]) -> None:
-        """Emit a call; `done` gets its outcome."""
-        self.engine.call(lambda call_id: CloudCall(call_id, op, args, c.CLOUD_TIMEOUT_S), done)
+    def rent(
+        self, request: wire.Rent, on_result: Callable[[wire.Rented | CloudFailure], None]
+    ) -> None:
+        """Rent machines; repeated under the same name, the request is executed once."""
+        self._submit("rent", (request,), on_result)
+
+    def delete(self, machines: list[str], on_result: Callable[[CloudFailure | None], None]) -> None:
+        """Delete machines; None: the cloud has confirmed it."""
+        self._submit("delete", (machines,), on_result)
 
     def back_off(self) -> None:
-        """429 or outage: pause, with jitter against a herd."""
-        self.paused_until = self.engine.now + c.CLOUD_PAUSE_S + self.engine.rng.random()
+        """Pause all calls after a refusal or failure, with jitter: controllers spread out."""
+        self.paused_until = self._runtime.now + constants.CLOUD_PAUSE_S + self._runtime.rng.random()
+
+    def _submit(self, op: str, args: tuple[Any, ...], on_result: Callable[[Any], None]) -> None:
+        """Emit a call; the adapter decodes its answer as the type that `op` has."""
+
+        def on_reply(reply: CloudReply) -> None:
+            is_ok = reply.outcome is CloudOutcome.OK
+            on_result(reply.data if is_ok else CloudFailure(reply.outcome))
+
+        self._runtime.call(
+            lambda call_id: CloudCall(call_id, op, args, constants.CLOUD_TIMEOUT_S), on_reply
+        )
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -1,91 +1,100 @@
-"""What the queue asks for, and what running work gives back soon."""
+"""Demand for machines: what the queue requests, and what running tasks free soon."""
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from typing import TYPE_CHECKING
+from collections.abc import Iterator, Mapping
 
-from appledock import constants as c
-from appledock import wire
-from appledock.core.fleet.forecast import Forecast, left_by_estimate_s
-from appledock.core.fleet.model import Demand
+from appledock import constants, wire
+from appledock.core.fleet.boot_time import boot_and_fetch_s
+from appledock.core.fleet.forecast import QueueOrder, ReadinessForecast, remaining_by_estimate_s
+from appledock.core.fleet.model import JobDemand
+from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.machines.machine_capacity import MachineCapacity, can_run_on_type
 from appledock.core.quota.resources import Resources, demand_of, limit_of
-from appledock.core.records.job import Job
-from appledock.core.workers import Worker
+from appledock.core.quota.usage import QuotaUsage
+from appledock.core.records.job import Attempt, Job
+from appledock.core.runtime import Runtime
+from appledock.core.store.replica import Replica
+from appledock.core.workers import Worker, Workers
 
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
 
+class DemandEstimator:
+    """Estimates how many tasks need capacity, and how much comes free by itself."""
 
-def queued_demand(engine: Controller) -> list[Demand]:
-    """Tasks that their teams' limits admit, the most urgent first.
+    def __init__(  # noqa: PLR0913 -- demand depends on records, workers, capacity and quota
+        self,
+        *,
+        runtime: Runtime,
+        replica: Replica,
+        workers: Workers,
+        capacity_index: CapacityIndex,
+        machine_types: Mapping[str, wire.MachineType],
+        quota_usage: QuotaUsage,
+        queue_order: QueueOrder,
+        forecast: ReadinessForecast,
+    ) -> None:
+        self._runtime = runtime
+        self._replica = replica
+        self._workers = workers
+        self._capacity_index = capacity_index
+        self._machine_types = machine_types
+        self._quota_usage = quota_usage
+        self._queue_order = queue_order
+        self._forecast = forecast
 
-    Those of jobs that will be ready soon come after all that is queued.
-    """
-    held: dict[str, Resources] = {}
-    result = []
-    queued = _most_urgent_first(engine)
-    for job in queued + Forecast(engine).upcoming():
-        limits = engine.teams.get(job.spec.team)
-        if limits is None or not any(
-            can_run_on_type(job.spec, machine_type)
-            for machine_type in engine.machine_types.values()
-        ):
-            continue
-        if job.consecutive_failures >= c.RENT_FAILURES:
-            continue  # a job that fails everywhere is not worth machines
-        used = held.get(job.spec.team)
-        if used is None:
-            used = engine.quota_usage.held_by_team(job.spec.team)
-        tasks = min(
-            job.queued_task_count,
-            limit_of(limits).above(used).count_tasks(job.spec),
-        )
-        if tasks:
-            held[job.spec.team] = used + demand_of(job.spec, tasks)
-            result.append(Demand(job, tasks, job.id in engine.replica.queued_jobs))
-    return result
-
-
-def _most_urgent_first(engine: Controller) -> list[Job]:
-    return sorted(
-        (engine.replica.jobs[job_id] for job_id in engine.replica.queued_jobs),
-        key=lambda job: (engine.queue_order.sort_key(job), job.id),
-    )
+    def queued(self) -> list[JobDemand]:
+        """Tasks that their teams' limits admit, the most urgent first.
 
-
-def soon_free(engine: Controller) -> Iterator[MachineCapacity]:
-    """What arrays at work give back while a machine would boot and fetch."""
-    for name, room in engine.capacity_index.machines.items():
-        worker = engine.workers.table[name]
-        freed = MachineCapacity("", room.type, room.zone, room.spot, 0, 0.0, 0.0, 0.0)
-        for job_id, attempts in engine.replica.attempts_by_machine.get(name, {}).items():
-            spec = engine.replica.jobs[job_id].spec
-            if spec.service or spec.estimate_s <= 0:
+        Those of jobs that will be ready soon come after all that are queued.
+        """
+        used_by_team: dict[str, Resources] = {}
+        demand = []
+        for job in self._most_urgent_first() + self._forecast.upcoming_jobs():
+            team = job.spec.team
+            limits = self._runtime.teams.get(team)
+            if limits is None or not self._is_worth_machines(job):
                 continue
-            horizon_s = boot_and_fetch_s(spec, room.type) * c.SOON_SHARE
-            for attempt in attempts:
-                for task in attempt.tasks:
-                    left_s = _expected_left_s(
-                        engine.now, spec, worker, (f"{job_id}/{task}", attempt.attempt_number)
-                    )
-                    if left_s is not None and left_s < horizon_s:
-                        freed.reserve(spec, -1)
-        if freed.cpus > 0 or freed.gpus > 0:
-            yield freed
+            used = used_by_team.get(team)
+            if used is None:
+                used = self._quota_usage.held_by_team(team)
+            tasks = min(job.queued_task_count, limit_of(limits).above(used).count_tasks(job.spec))
+            if tasks:
+                used_by_team[team] = used + demand_of(job.spec, tasks)
+                demand.append(JobDemand(job, tasks, job.id in self._replica.queued_jobs))
+        return demand
 
+    def _most_urgent_first(self) -> list[Job]:
+        return sorted(
+            (self._replica.jobs[job_id] for job_id in self._replica.queued_jobs),
+            key=lambda job: (self._queue_order.sort_key(job), job.id),
+        )
 
-def _expected_left_s(
-    now: float, spec: wire.JobSpec, worker: Worker, key: tuple[str, int]
-) -> float | None:
-    """How long the task may still run, by its estimate; None: it does not run yet."""
-    since = worker.status.running_since.get(key)
-    return None if since is None else left_by_estimate_s(spec, now - since)
+    def _is_worth_machines(self, job: Job) -> bool:
+        """Can it run on a type that is offered, and has it not failed on machine after machine?"""
+        return job.consecutive_failures < constants.RENT_FAILURES and any(
+            can_run_on_type(job.spec, machine_type) for machine_type in self._machine_types.values()
+        )
 
+    def freed_soon(self) -> Iterator[MachineCapacity]:
+        """By machine, what batch tasks free while a new machine would boot and fetch an image."""
+        for name, machine in self._capacity_index.machines.items():
+            worker = self._workers.table[name]
+            freed = MachineCapacity("", machine.type, machine.zone, machine.spot, 0, 0.0, 0.0, 0.0)
+            for job_id, attempts in self._replica.attempts_by_machine.get(name, {}).items():
+                spec = self._replica.jobs[job_id].spec
+                if not spec.service and spec.estimate_s > 0:
+                    self._release_ending(freed, spec, attempts, worker)
+            if freed.cpus > 0 or freed.gpus > 0:
+                yield freed
 
-def boot_and_fetch_s(spec: wire.JobSpec, machine_type: wire.MachineType) -> float:
-    """How long a new machine takes until it has the job's image."""
-    if machine_type.fetch_gb_per_s <= 0:
-        return machine_type.boot_s
-    return machine_type.boot_s + spec.image_gb / machine_type.fetch_gb_per_s
+    def _release_ending(
+        self, freed: MachineCapacity, spec: wire.JobSpec, attempts: list[Attempt], worker: Worker
+    ) -> None:
+        """Add what the tasks free that, by their estimate, end within the horizon."""
+        horizon_s = boot_and_fetch_s(spec, freed.type) * constants.SOON_SHARE
+        now, running_since = self._runtime.now, worker.status.running_since
+        for attempt in attempts:
+            for task in attempt.tasks:
+                since = running_since.get((f"{spec.id}/{task}", attempt.attempt_number))
+                if since is not None and remaining_by_estimate_s(spec, now - since) < horizon_s:
+                    freed.release(spec)
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -3,146 +3,268 @@
 from __future__ import annotations
 
 from collections.abc import Container
-from typing import TYPE_CHECKING
-
-from appledock import constants as c
-from appledock.core.fleet.catalogue import Catalogue
-from appledock.core.fleet.cloud import CloudCalls
-from appledock.core.fleet.cordons import Cordons
-from appledock.core.fleet.demand import queued_demand
-from appledock.core.fleet.headroom import Headroom
-from appledock.core.fleet.machines import Machines
-from appledock.core.fleet.model import BootingMachine, Demand, MachineKind
-from appledock.core.fleet.offers import Offers
-from appledock.core.fleet.planning import Planner
-from appledock.core.fleet.rental import Rental
-from appledock.core.fleet.returns import Returns
+from typing import assert_never
+
+from appledock import constants, wire
+from appledock.core.fleet.catalogue import MachineTypeCatalogue
+from appledock.core.fleet.cloud import CloudClient
+from appledock.core.fleet.cordons import Cordons, OperatorAction
+from appledock.core.fleet.deletions import MachineDeletions
+from appledock.core.fleet.demand import DemandEstimator
+from appledock.core.fleet.desired_capacity import CapacityPlanner
+from appledock.core.fleet.forecast import QueueOrder, ReadinessForecast, WaitObjectives
+from appledock.core.fleet.idle_reserve import IdleReserve
+from appledock.core.fleet.inventory import MachineInventory
+from appledock.core.fleet.machine_list import MachineListReader
+from appledock.core.fleet.model import BootingMachine, JobDemand, MachineKind
+from appledock.core.fleet.offers import InstanceOffers
+from appledock.core.fleet.scale_in import ScaleIn
+from appledock.core.fleet.scale_out import ScaleOut
+from appledock.core.fleet.summary import FleetSummary
+from appledock.core.fleet.unresponsive import UnresponsiveMachineDetector
+from appledock.core.fleet.upcoming_reserve import UpcomingReserve
+from appledock.core.fleet.zone_distribution import ZoneDistribution
+from appledock.core.jobs.reconcile_queue import ReconcileQueue
+from appledock.core.jobs.stop_requests import StopRequests
+from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.machines.zones import MachineZones
+from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.membership.membership import Membership
 from appledock.core.messages import FleetMessage, MachineCordoned, MachinesRented
+from appledock.core.operator_settings import OperatorSettings
+from appledock.core.quota.usage import QuotaUsage
 from appledock.core.records.job import Job
-
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
+from appledock.core.store.reader import StateReader
+from appledock.core.store.replica import Replica
+from appledock.core.workers import Workers
 
 
 class Fleet:
-    """Rents, watches and returns machines."""
-
-    def __init__(self, engine: Controller) -> None:
-        self.engine = engine
-        self.cloud = CloudCalls(engine)
-        self.catalogue = Catalogue(engine, self.cloud)
-        self.offers = Offers(engine)
-        self.machines = Machines(engine, self.cloud, self._on_failed)
-        self.rental = Rental(engine, self.cloud, self.machines, self.offers, self._replan)
-        self.planner = Planner(engine, self.machines, self.offers, self.rental)
-        self.cordons = Cordons(engine)
-        self.headroom = Headroom(engine)
-        self.returns = Returns(engine, self.cloud, self.machines, self.cordons, self.headroom)
-        self.next_plan = 0.0
-        self.next_drain = 0.0
-        self.led_since: float | None = None
-        """when this controller began to lead, None while it does not"""
+    """Builds the parts that deal with machines, and runs what is due.
+
+    Only the leader rents, probes and deletes; every controller keeps cordons and remembers
+    rentals, since it may become leader.
+    """
+
+    def __init__(  # noqa: PLR0913 -- it builds the parts of the package
+        self,
+        *,
+        runtime: Runtime,
+        client: StoreClient,
+        replica: Replica,
+        reader: StateReader,
+        membership: Membership,
+        heartbeats: Heartbeats,
+        workers: Workers,
+        capacity_index: CapacityIndex,
+        machine_types: dict[str, wire.MachineType],
+        machine_zones: MachineZones,
+        operator_settings: OperatorSettings,
+        quota_usage: QuotaUsage,
+        queue_order: QueueOrder,
+        objectives: WaitObjectives,
+        reconcile_queue: ReconcileQueue,
+        stop_requests: StopRequests,
+    ) -> None:
+        self._runtime = runtime
+        self._reader = reader
+        self._membership = membership
+        self._capacity_index = capacity_index
+        self._machine_types = machine_types
+        self._next_scaling_at = 0.0
+        self._next_cordon_check_at = 0.0
+        self.leader_since: float | None = None
+        """when this controller became leader, None while it is not"""
+        self.cloud = CloudClient(runtime)
+        self.catalogue = MachineTypeCatalogue(
+            runtime=runtime,
+            client=client,
+            replica=replica,
+            capacity_index=capacity_index,
+            machine_types=machine_types,
+            cloud=self.cloud,
+            is_leader=membership.is_leader,
+            reconcile_queue=reconcile_queue,
+        )
+        self.cordons = Cordons(
+            runtime, replica, workers, capacity_index, reconcile_queue, stop_requests
+        )
+        self.inventory = MachineInventory(
+            runtime=runtime,
+            replica=replica,
+            workers=workers,
+            capacity_index=capacity_index,
+            reconcile_queue=reconcile_queue,
+            machine_types=machine_types,
+            on_failed=self._on_failed,
+        )
+        self.machine_list = MachineListReader(runtime, self.cloud, self.inventory.on_list)
+        self.deletions = MachineDeletions(
+            runtime, workers, self.cloud, self.inventory, self.cordons
+        )
+        self.offers = InstanceOffers(runtime, machine_types)
+        self.scale_out = ScaleOut(
+            runtime,
+            membership,
+            self.cloud,
+            self.inventory,
+            self.offers,
+            on_no_capacity=self._scale_at_once,
+        )
+        self.demand_estimator = DemandEstimator(
+            runtime=runtime,
+            replica=replica,
+            workers=workers,
+            capacity_index=capacity_index,
+            machine_types=machine_types,
+            quota_usage=quota_usage,
+            queue_order=queue_order,
+            forecast=ReadinessForecast(
+                runtime, replica, workers, machine_types, queue_order, objectives
+            ),
+        )
+        self.planner = CapacityPlanner(
+            operator_settings=operator_settings,
+            workers=workers,
+            capacity_index=capacity_index,
+            machine_types=machine_types,
+            inventory=self.inventory,
+            offers=self.offers,
+            scale_out=self.scale_out,
+            demand_estimator=self.demand_estimator,
+            zone_distribution=ZoneDistribution(machine_types, machine_zones, self.offers),
+        )
+        self.idle_reserve = IdleReserve(runtime, replica, capacity_index, machine_types)
+        self.upcoming_reserve = UpcomingReserve(workers, capacity_index, self.inventory)
+        self.unresponsive = UnresponsiveMachineDetector(runtime, replica, workers, membership)
+        self.scale_in = ScaleIn(
+            runtime=runtime,
+            operator_settings=operator_settings,
+            replica=replica,
+            workers=workers,
+            capacity_index=capacity_index,
+            inventory=self.inventory,
+            deletions=self.deletions,
+            unresponsive=self.unresponsive,
+            idle_reserve=self.idle_reserve,
+            upcoming_reserve=self.upcoming_reserve,
+            summary=FleetSummary(
+                runtime, operator_settings, workers, capacity_index, self.inventory
+            ),
+            is_reachable=heartbeats.is_reachable,
+        )
 
     # --- timers -----------------------------------------------------------
     def tick(self) -> None:
-        """Do what is due; all but drains is the leader's."""
-        now = self.engine.now
-        if not self.engine.reader.loaded:
+        """Do what is due; all but the cordons is the leader's."""
+        if not self._reader.loaded:
             return
-        if self.engine.membership.can_act() and now >= self.next_drain:
-            self.next_drain = now + c.FLEET_EVERY_S
-            self.cordons.drain(self._returning_as_leader())
-        leader = self._follow_leadership()
+        now = self._runtime.now
+        if self._membership.can_act() and now >= self._next_cordon_check_at:
+            self._next_cordon_check_at = now + constants.FLEET_EVERY_S
+            self.cordons.enforce(self._pending_deletions_as_leader())
+        is_leader = self._follow_leadership()
         if now < self.cloud.paused_until:
             return
-        if leader or not self.engine.machine_types:
+        if is_leader or not self._machine_types:
             self.catalogue.refresh()
-        if not leader:
-            return
-        self.machines.refresh()
-        self.rental.retry()
-        if now >= self.next_plan and self.engine.machine_types:
-            self.next_plan = now + c.FLEET_EVERY_S
-            self.engine.capacity_index.recompute()
-            demand = self._demand()
-            self._plan(demand)
-            self._return(demand)
+        if is_leader:
+            self._tick_as_leader()
+
+    def _tick_as_leader(self) -> None:
+        now = self._runtime.now
+        self.machine_list.refresh()
+        self.scale_out.retry()
+        if now >= self._next_scaling_at and self._machine_types:
+            self._next_scaling_at = now + constants.FLEET_EVERY_S
+            self._capacity_index.recompute()
+            demand = self.queued_demand()
+            self.rent_missing(demand)
+            self.delete_surplus(demand)
 
     def _follow_leadership(self) -> bool:
-        """Do we lead? When that begins, what is known of the machines may be old."""
-        if not self.engine.membership.is_leader():
-            self.led_since = None
+        """Is this controller the leader? When that begins, old knowledge is dropped.
+
+        Scaling then waits for `LEADER_PAUSE_S`: until the peers have sent what they know, a
+        machine without a heartbeat here is neither late nor missing.
+        """
+        if not self._membership.is_leader():
+            self.leader_since = None
             return False
-        if self.led_since is None:
-            now = self.engine.now
-            self.led_since = now
-            self.machines.read_anew()
-            # The peers send their pictures first: a machine not heard of yet is
-            # neither late nor missing.
-            self.next_plan = now + c.LEADER_PAUSE_S
-            self.returns.returning.clear()
+        if self.leader_since is None:
+            now = self._runtime.now
+            self.leader_since = now
+            self.machine_list.restart()
+            self._next_scaling_at = now + constants.LEADER_PAUSE_S
+            self.deletions.pending.clear()
         return True
 
-    def _returning_as_leader(self) -> Container[str]:
-        """Machines that we, as the leader, return."""
-        return self.returns.returning if self.led_since is not None else ()
+    def _pending_deletions_as_leader(self) -> Container[str]:
+        return self.deletions.pending if self.leader_since is not None else ()
 
-    def _demand(self) -> list[Demand]:
-        return queued_demand(self.engine)
+    def queued_demand(self) -> list[JobDemand]:
+        """Tasks that need capacity, the most urgent first."""
+        return self.demand_estimator.queued()
 
-    def _plan(self, demand: list[Demand]) -> None:
-        self.planner.plan(demand, self.returns.returning)
+    def rent_missing(self, demand: list[JobDemand]) -> None:
+        """Scale out."""
+        self.planner.plan(demand, self.deletions.pending)
 
-    def _return(self, demand: list[Demand]) -> None:
-        self.returns.review(demand, self.led_since)
+    def delete_surplus(self, demand: list[JobDemand]) -> None:
+        """Scale in."""
+        self.scale_in.review(demand, self.leader_since)
 
-    def _replan(self) -> None:
-        self.next_plan = self.engine.now
+    # --- callbacks of the parts -------------------------------------------
+    def _scale_at_once(self) -> None:
+        self._next_scaling_at = self._runtime.now
 
-    def _on_failed(self, names: list[str]) -> None:
-        self.returns.on_failed(names)
+    def _on_failed(self, machines: list[str]) -> None:
+        self.deletions.on_failed(machines)
 
     # --- from the rest of the core ----------------------------------------
     def read_catalogue(self) -> None:
-        """Take over the machine types that the state service keeps, if they are new."""
+        """Take over the stored machine types, if they have changed."""
         self.catalogue.load_stored()
 
-    def note(self, job: Job) -> None:
-        """A record changed: arrivals of services tell what headroom they need."""
-        self.headroom.note(job)
+    def on_job_changed(self, job: Job) -> None:
+        """A record changed: arrivals of services decide on the idle reserve."""
+        self.idle_reserve.on_job_changed(job)
+
+    def on_task_failed(self, machine: str, job_id: str) -> None:
+        """A task of the job has failed on the machine."""
+        self.cordons.on_task_failed(machine, job_id)
+
+    def on_machines_deleted(self, machines: list[str]) -> None:
+        """The cloud has confirmed the deletion of these machines."""
+        self.deletions.on_deleted(machines)
 
     def booting(self) -> dict[str, BootingMachine]:
-        """Machines paid for whose workers have not reported."""
-        return self.machines.booting()
+        """Machines paid for that have not sent a heartbeat yet."""
+        return self.inventory.booting()
 
     def zone_of(self, machine: str) -> str | None:
         """The zone of a listed machine."""
-        row = self.machines.listed.get(machine)
-        return row.zone if row is not None else None
-
-    def deleted(self, names: list[str]) -> None:
-        """The cloud has confirmed the deletion of these machines."""
-        self.returns.deleted(names)
-
-    def task_failed(self, machine: str, job: str) -> None:
-        """A task of the job has failed on the machine."""
-        self.cordons.task_failed(machine, job)
+        return self.inventory.zone_of(machine)
 
-    def operate(self, name: str, action: str) -> None:
-        """Cordon, release or drain a machine, as an operator asked."""
-        self.cordons.operate(name, action)
+    def operate(self, machine: str, action: str) -> None:
+        """Cordon, release or drain a machine, as an operator asked (an `OperatorAction`)."""
+        self.cordons.apply_operator_action(machine, OperatorAction(action))
 
-    # --- from peers -------------------------------------------------------
+    # --- peers ------------------------------------------------------------
     def on_peer(self, message: FleetMessage) -> None:
-        """What a peer tells of machines."""
+        """A peer rented machines, or set or ended a cordon."""
         match message:
             case MachinesRented():
-                self.machines.add_rented(message.machines, MachineKind(*message.machine_kind))
+                self.inventory.add_rented(message.machines, MachineKind(*message.machine_kind))
             case MachineCordoned():
-                self.cordons.set(message.worker, message.why)
+                self.cordons.set_locally(message.worker, message.why)
+            case _:
+                assert_never(message)
 
-    def on_peer_connected(self, name: str) -> None:
-        """A link opened: the peer may lead soon and must know our rentals."""
-        self.cordons.announce_all(name, self._returning_as_leader())
-        for kind, machines in self.machines.rentals_by_kind().items():
-            self.rental.announce(machines, kind, name)
+    def on_peer_connected(self, peer: str) -> None:
+        """A link opened: the peer may become leader soon and must know cordons and rentals."""
+        self.cordons.announce_all(peer, self._pending_deletions_as_leader())
+        for kind, machines in self.inventory.rentals_by_kind().items():
+            self.scale_out.announce(machines, kind, peer)
--- a/appledock/core/fleet/model.py
+++ b/appledock/core/fleet/model.py
@@ -1,7 +1,8 @@
-"""What the parts of the fleet tell each other about machines."""
+"""Values that the parts of the fleet pass to each other."""
 
 from __future__ import annotations
 
+import enum
 from dataclasses import dataclass
 from typing import NamedTuple
 
@@ -9,18 +10,35 @@
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.records.job import Job
 
-NEVER_CAME_UP = "never came up"
-SILENT = "silent"
-MUTE = "mute"
-FAILED = "failed"
-IDLE = "idle"
-DRAIN = "drain"
-FAULTY = "faulty"
-OPERATOR = "operator"
-"""why a machine is cordoned or returned: told to peers, operators and the log"""
 
-ENDED_BY_A_REPORT = (MUTE, SILENT, NEVER_CAME_UP)
-"""reasons to delete a machine that no longer hold once it is heard of"""
+class ScaleInReason(enum.StrEnum):
+    """Why a machine is cordoned, deleted, or both.
+
+    The values are sent to peers and shown by the administration API.
+    """
+
+    BOOT_FAILED = "never came up"
+    HEARTBEAT_TIMEOUT = "silent"
+    UNRESPONSIVE = "mute"
+    """neither heartbeats nor answers to probes arrive"""
+    FAILED = "failed"
+    """the cloud lists it as failed"""
+    IDLE = "idle"
+    DRAIN = "drain"
+    """an operator has it emptied"""
+    FAULTY = "faulty"
+    """tasks of several jobs failed there"""
+    OPERATOR = "operator"
+    """an operator has cordoned it; it is kept"""
+
+    @property
+    def is_void_after_heartbeat(self) -> bool:
+        """Does the reason no longer hold once a heartbeat of the machine arrives?"""
+        return self in (
+            ScaleInReason.UNRESPONSIVE,
+            ScaleInReason.HEARTBEAT_TIMEOUT,
+            ScaleInReason.BOOT_FAILED,
+        )
 
 
 class MachineKind(NamedTuple):
@@ -30,8 +48,8 @@
     zone: str
     spot: bool
 
-    def empty_room(self, machine_type: wire.MachineType) -> MachineCapacity:
-        """The room of a machine of this kind on which nothing runs."""
+    def empty_capacity(self, machine_type: wire.MachineType) -> MachineCapacity:
+        """Free capacity of a machine of this kind on which nothing runs."""
         return MachineCapacity(
             "",
             machine_type,
@@ -45,47 +63,46 @@
 
 
 class BootingMachine(NamedTuple):
-    """A machine that is paid for and whose worker has not reported."""
+    """A machine that is paid for and has not sent a heartbeat yet."""
 
     kind: MachineKind
     age_s: float
 
 
-@dataclass(slots=True)
-class RentedMachine:
-    """A machine rented but perhaps neither listed nor heard of yet."""
+class RentedMachine(NamedTuple):
+    """A machine rented lately, perhaps without heartbeat or row in the machine list yet."""
 
     kind: MachineKind
-    at: float
+    rented_at: float
 
 
 @dataclass(slots=True)
-class RentRequest:
-    """A rental request under way; repeated under the same name until answered."""
+class ScaleOutRequest:
+    """A rental under way; repeated under the same name until it is answered."""
 
     name: str
     kind: MachineKind
     count: int
-    tries: int = 0
-    next_try: float = 0.0
+    attempts: int = 0
+    next_attempt_at: float = 0.0
 
 
 @dataclass(slots=True)
-class Returning:
-    """A machine on its way out: cordoned, then deleted if still empty."""
+class PendingDeletion:
+    """A machine to be deleted, `CORDON_S` after its cordon, if it is still empty by then."""
 
-    since: float
-    why: str
-    force: bool = False
-    """delete even if it is not empty or does not answer"""
-    calling: bool = False
+    cordoned_at: float
+    reason: ScaleInReason
+    is_forced: bool = False
+    """delete it even if it is not empty"""
+    is_call_in_flight: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class JobDemand:
     """Tasks of a job that may run as far as its team's limits go."""
 
     job: Job
     tasks: int
-    ready: bool = True
-    """False: the job still waits for others that are about to end"""
+    is_ready: bool = True
+    """False: the job still waits for prerequisites that are about to complete"""
--- /dev/null
+++ b/appledock/core/fleet/scale_out.py
@@ -0,0 +1,100 @@
+"""Scale out: rental requests, repeated until they are answered, and broadcast to the peers."""
+
+from __future__ import annotations
+
+import logging
+import math
+from collections.abc import Callable
+
+from appledock import constants, wire
+from appledock.core.events import CloudOutcome, PeerSend
+from appledock.core.fleet.cloud import CloudClient, CloudFailure
+from appledock.core.fleet.inventory import MachineInventory
+from appledock.core.fleet.model import MachineKind, ScaleOutRequest
+from appledock.core.fleet.offers import InstanceOffers
+from appledock.core.membership.membership import Membership
+from appledock.core.messages import MachinesRented
+from appledock.core.runtime import Runtime
+
+log = logging.getLogger(__name__)
+
+
+class ScaleOut:
+    """Rents machines, each request exactly once however often it is sent."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        membership: Membership,
+        cloud: CloudClient,
+        inventory: MachineInventory,
+        offers: InstanceOffers,
+        on_no_capacity: Callable[[], None],
+    ) -> None:
+        """Build it; `on_no_capacity` is called when another kind should be requested."""
+        self._runtime = runtime
+        self._membership = membership
+        self._cloud = cloud
+        self._inventory = inventory
+        self._offers = offers
+        self._on_no_capacity = on_no_capacity
+        self.requests: list[ScaleOutRequest] = []
+        """those under way"""
+        self._last_number = 0
+
+    def rent(self, kind: MachineKind, count: int) -> None:
+        """Begin a new request.
+
+        Its name must never be used twice, by any controller: it is made of term, incarnation
+        and a counter.
+        """
+        membership = self._membership
+        self._last_number += 1
+        name = f"r-{membership.term}-{membership.incarnation}-{self._last_number}"
+        request = ScaleOutRequest(name, kind, count)
+        self.requests.append(request)
+        self._send(request)
+
+    def retry(self) -> None:
+        """Repeat the requests whose outcome is unknown."""
+        now = self._runtime.now
+        for request in self.requests:
+            if now >= request.next_attempt_at:
+                self._send(request)
+
+    def announce(self, machines: list[str], kind: MachineKind, peer: str | None = None) -> None:
+        """Send one peer, or all, what was rented: each may become leader soon."""
+        self._runtime.emit(PeerSend(MachinesRented(machines, kind), peer))
+
+    def _send(self, request: ScaleOutRequest) -> None:
+        request.next_attempt_at = math.inf  # not while a reply is awaited
+        request.attempts += 1
+        rental = wire.Rent(request.name, *request.kind, count=request.count)
+        self._cloud.rent(rental, lambda result: self._on_result(request, result))
+
+    def _on_result(self, request: ScaleOutRequest, result: wire.Rented | CloudFailure) -> None:
+        if not isinstance(result, CloudFailure):
+            self.requests.remove(request)
+            self._on_rented(request, list(result.machines))
+        elif result.outcome is CloudOutcome.UNKNOWN and request.attempts < constants.RENT_TRIES:
+            request.next_attempt_at = (
+                self._runtime.now + constants.CLOUD_PAUSE_S + self._runtime.rng.random()
+            )
+        else:
+            self.requests.remove(request)
+            self._on_failure(request, result)
+
+    def _on_rented(self, request: ScaleOutRequest, machines: list[str]) -> None:
+        log.info("machines rented: kind=%s machines=%s", tuple(request.kind), machines)
+        self._inventory.add_rented(machines, request.kind)
+        self.announce(machines, request.kind)
+        if len(machines) < request.count:
+            self._offers.mark_unavailable(request.kind)
+
+    def _on_failure(self, request: ScaleOutRequest, failure: CloudFailure) -> None:
+        if failure.outcome is CloudOutcome.NO_CAPACITY:
+            log.info("cloud has no capacity: kind=%s", tuple(request.kind))
+            self._offers.mark_unavailable(request.kind)
+            self._on_no_capacity()
+        else:
+            self._cloud.back_off()
--- a/appledock/core/fleet/summary.py
+++ b/appledock/core/fleet/summary.py
@@ -1,53 +1,62 @@
-"""What the machines do, for whoever reads the log for the costs."""
+"""One log line about all machines from time to time, for whoever looks into the costs."""
 
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING
 
-from appledock import constants as c
-from appledock.core.fleet.headroom import WarmMachines
-from appledock.core.fleet.machines import Machines
-
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
+from appledock import constants
+from appledock.core.fleet.idle_reserve import Reserve
+from appledock.core.fleet.inventory import MachineInventory
+from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.operator_settings import OperatorSettings
+from appledock.core.runtime import Runtime
+from appledock.core.workers import Workers
 
 log = logging.getLogger(__name__)
 
 
-class Summary:
-    """Logs one line about the fleet now and then."""
-
-    def __init__(self, engine: Controller, machines: Machines) -> None:
-        self.engine = engine
-        self.machines = machines
-        self.next_tell = 0.0
-
-    def tell(self, headroom_cpus: float, warm: WarmMachines, returning: int) -> None:
-        """Log the line if it is time to."""
-        engine, now = self.engine, self.engine.now
-        if now < self.next_tell:
+class FleetSummary:
+    """Logs how many machines are idle, and why they are kept."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        operator_settings: OperatorSettings,
+        workers: Workers,
+        capacity_index: CapacityIndex,
+        inventory: MachineInventory,
+    ) -> None:
+        self._runtime = runtime
+        self._operator_settings = operator_settings
+        self._workers = workers
+        self._capacity_index = capacity_index
+        self._inventory = inventory
+        self._next_line_at = 0.0
+
+    def log_if_due(self, target_cpus: float, reserve: Reserve, pending_deletions: int) -> None:
+        """Log the line, at most once in `TELL_EVERY_S`."""
+        now, inventory = self._runtime.now, self._inventory
+        if now < self._next_line_at:
             return
-        self.next_tell = now + c.TELL_EVERY_S
-        up = [worker for worker in engine.workers.table.values() if worker.report is not None]
+        self._next_line_at = now + constants.TELL_EVERY_S
+        up = [worker for worker in self._workers.table.values() if worker.report is not None]
         idle = [worker for worker in up if worker.placement.idle_since]
-        rooms = engine.capacity_index.machines.values()
+        idle_return_s = self._operator_settings["idle_return_s"]
+        machines = self._capacity_index.machines.values()
         log.info(
-            "fleet: %d up, %d booting, %d returning; %d idle: %d just so, %d not paid for, "
-            "%d not settled, %d kept warm; cores %.0f, free %.0f; warm %.0f of %.0f wanted",
+            "fleet summary: up=%d booting=%d deleting=%d idle=%d idle_briefly=%d"
+            " idle_in_minimum_charge=%d idle_not_empty=%d idle_in_reserve=%d"
+            " cpus=%.0f free_cpus=%.0f reserve_cpus=%.0f reserve_target_cpus=%.0f",
             len(up),
-            len(self.machines.booting()),
-            returning,
+            len(inventory.booting()),
+            pending_deletions,
             len(idle),
-            sum(
-                now - worker.placement.idle_since <= engine.operator_settings["idle_return_s"]
-                for worker in idle
-            ),
-            sum(not self.machines.past_minimum_charge(worker.id) for worker in idle),
-            sum(not self.machines.empty(worker.id) for worker in idle),
-            sum(not warm.spare(worker.id, headroom_cpus) for worker in idle),
-            sum(room.type.cpus for room in rooms),
-            sum(max(0.0, room.cpus) for room in rooms),
-            warm.cpus,
-            headroom_cpus,
+            sum(now - worker.placement.idle_since <= idle_return_s for worker in idle),
+            sum(not inventory.is_past_minimum_charge(worker.id) for worker in idle),
+            sum(not inventory.is_empty(worker.id) for worker in idle),
+            sum(not reserve.can_spare(worker.id, target_cpus) for worker in idle),
+            sum(machine.type.cpus for machine in machines),
+            sum(max(0.0, machine.cpus) for machine in machines),
+            reserve.cpus,
+            target_cpus,
         )
--- a/appledock/core/fleet/supply.py
+++ b/appledock/core/fleet/supply.py
@@ -1,76 +1,95 @@
-"""Free room by class: machines of the same kind with the same left are one row."""
+"""Free capacity counted by class, for bin packing over a whole cluster at once."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from appledock import wire
 from appledock.core.machines.machine_capacity import MachineCapacity, is_allowed_on
 
-RoomClass = tuple[str, str, bool, float, float, float]
-"""machine type, zone, spot, and the cores, cards and memory that are free"""
 
+class CapacityClass(NamedTuple):
+    """Machines that are alike in kind and free capacity."""
+
+    machine_type: str
+    zone: str
+    spot: bool
+    cpus: float
+    gpus: float
+    memory_gb: float
+
+
+class CapacitySupply:
+    """How many machines there are of each class.
 
-class Supply:
-    """How many machines have the same kind and the same left."""
+    Thousands of machines are a few classes, and a job takes of a class as many as it needs at
+    once: the cost of a pass doesn't grow with the cluster.
+    """
 
     def __init__(self) -> None:
-        self.rows: dict[RoomClass, tuple[MachineCapacity, int]] = {}
+        self._classes: dict[CapacityClass, tuple[MachineCapacity, int]] = {}
+        """class -> free capacity of one of its machines, and their number"""
 
-    def add(self, room: MachineCapacity, number: int) -> None:
-        """Count `number` more machines with such room."""
-        key = (
-            room.type.name,
-            room.zone,
-            room.spot,
-            round(room.cpus, 3),
-            round(room.gpus, 3),
-            round(room.memory_gb, 2),
+    def add(self, machine: MachineCapacity, count: int) -> None:
+        """Count `count` more machines with such free capacity."""
+        key = CapacityClass(
+            machine.type.name,
+            machine.zone,
+            machine.spot,
+            round(machine.cpus, 3),
+            round(machine.gpus, 3),
+            round(machine.memory_gb, 2),
         )
-        _, count = self.rows.get(key, (room, 0))
-        self.rows[key] = (room, count + number)
+        _, known = self._classes.get(key, (machine, 0))
+        self._classes[key] = (machine, known + count)
 
-    def count(self, spec: wire.JobSpec, zone: str) -> int:
+    def count_slots(self, spec: wire.JobSpec, zone: str) -> int:
         """How many tasks of this size fit in the zone."""
         return sum(
-            room.free_slots(spec) * number
-            for room, number in self.rows.values()
-            if room.zone == zone and is_allowed_on(spec, room)
+            machine.free_slots(spec) * count
+            for machine, count in self._classes.values()
+            if machine.zone == zone and is_allowed_on(spec, machine)
         )
 
-    def take(self, spec: wire.JobSpec, tasks: int, zone: str | None = None) -> int:
-        """Put up to `tasks` tasks on the rows, the tightest first; what is left."""
-        for key in self._tightest_first(spec, zone):
+    def reserve(self, spec: wire.JobSpec, tasks: int, zone: str | None = None) -> int:
+        """Place up to `tasks` tasks, least free CPUs first; return how many are left over."""
+        for key in self._least_free_first(spec, zone):
             if tasks <= 0:
                 break
-            room, number = self.rows.pop(key)
-            per_machine = room.free_slots(spec)
-            full = min(number, tasks // per_machine)
+            machine, count = self._classes.pop(key)
+            per_machine = machine.free_slots(spec)
+            full = min(count, tasks // per_machine)
             tasks -= full * per_machine
-            self._add_remainder(room, spec, per_machine, full)
-            if full < number and tasks > 0:
-                self._add_remainder(room, spec, tasks, 1)
+            self._add_remainder(machine, spec, per_machine, full)
+            if full < count and tasks > 0:
+                self._add_remainder(machine, spec, tasks, 1)
                 tasks, full = 0, full + 1
-            if full < number:
-                self.add(room, number - full)
+            if full < count:
+                self.add(machine, count - full)
         return tasks
 
-    def _tightest_first(self, spec: wire.JobSpec, zone: str | None) -> list[RoomClass]:
-        rows = sorted(
-            (
-                (room.cpus, key)
-                for key, (room, _) in self.rows.items()
-                if is_allowed_on(spec, room) and room.fits(spec) and zone in (None, room.zone)
-            ),
-            key=lambda row: (row[0], row[1]),
+    def _least_free_first(self, spec: wire.JobSpec, zone: str | None) -> list[CapacityClass]:
+        classes = sorted(
+            (machine.cpus, key)
+            for key, (machine, _) in self._classes.items()
+            if is_allowed_on(spec, machine) and machine.fits(spec) and zone in (None, machine.zone)
         )
-        return [key for _, key in rows]
+        return [key for _, key in classes]
 
     def _add_remainder(
-        self, room: MachineCapacity, spec: wire.JobSpec, tasks: int, number: int
+        self, machine: MachineCapacity, spec: wire.JobSpec, tasks: int, count: int
     ) -> None:
-        """What `number` such machines have left with `tasks` tasks on each."""
-        if number > 0:
-            left = MachineCapacity(
-                "", room.type, room.zone, room.spot, 0, room.cpus, room.gpus, room.memory_gb
+        """Count what `count` such machines have left with `tasks` tasks on each."""
+        if count > 0:
+            remainder = MachineCapacity(
+                "",
+                machine.type,
+                machine.zone,
+                machine.spot,
+                0,
+                machine.cpus,
+                machine.gpus,
+                machine.memory_gb,
             )
-            left.reserve(spec, tasks)
-            self.add(left, number)
+            remainder.reserve(spec, tasks)
+            self.add(remainder, count)
--- /dev/null
+++ b/appledock/core/fleet/unresponsive.py
@@ -0,0 +1,104 @@
+"""Detects machines of services that neither send heartbeats nor answer probes."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Container
+
+from appledock import constants
+from appledock.core.membership.membership import Membership
+from appledock.core.runtime import Runtime
+from appledock.core.store.replica import Replica
+from appledock.core.workers import Worker, Workers
+
+log = logging.getLogger(__name__)
+
+
+class UnresponsiveMachineDetector:
+    """Tells machines that have failed from a network that has.
+
+    Replicas of a service on a failed machine come back sooner if the machine is deleted than if
+    its worker's lease is waited for.
+    """
+
+    def __init__(
+        self, runtime: Runtime, replica: Replica, workers: Workers, membership: Membership
+    ) -> None:
+        self._runtime = runtime
+        self._replica = replica
+        self._workers = workers
+        self._membership = membership
+        self._report_s = runtime.settings.cluster.workers.report_s
+
+    def are_most_workers_reporting(self) -> bool:
+        """Do most workers send heartbeats, and most of this controller's own send them here?
+
+        If not, the failure is this controller's or the network's, and no machine may be taken
+        for a failed one. The second part guards against a leader that alone is cut off from
+        its workers: their heartbeats still arrive through the peers, only its own probes stay
+        unanswered, and it once deleted a fifth of the machines.
+        """
+        now, recent_s = self._runtime.now, 2 * self._report_s
+        are_recent = [
+            now - worker.reachability.last_healthy_at < recent_s
+            for worker in self._workers.table.values()
+            if worker.report
+        ]
+        return (
+            sum(are_recent) >= constants.CALM_SHARE * len(are_recent)
+            and self._workers.reporting_fraction() >= constants.REPORTING_SHARE
+        )
+
+    def find(self, pending_deletions: Container[str]) -> list[str]:
+        """Find machines to delete, and probe those that are only suspected.
+
+        To be called only while `are_most_workers_reporting`. A new leader probes at once, but
+        names no machine until it has been able to act for `CALM_S`.
+        """
+        can_delete = self._runtime.now - self._membership.can_act_since >= constants.CALM_S
+        unresponsive = []
+        for machine, worker in self._workers.table.items():
+            if machine in pending_deletions or not self._is_suspected(worker):
+                continue
+            silent_s = self._runtime.now - worker.reachability.last_healthy_at
+            if (
+                can_delete
+                and self._is_last_probe_unanswered(worker)
+                and silent_s > constants.MUTE_S * self._report_s
+            ):
+                log.warning("machine unresponsive: machine=%s silent_s=%.1f", machine, silent_s)
+                unresponsive.append(machine)
+            else:
+                self._probe_if_due(worker)
+        return unresponsive
+
+    def _is_suspected(self, worker: Worker) -> bool:
+        """Has a machine that runs a service sent no healthy heartbeat for a while?
+
+        A heartbeat is not healthy if its worker no longer receives our answers.
+        """
+        silent_s = self._runtime.now - worker.reachability.last_healthy_at
+        return (
+            worker.report is not None
+            and worker.id not in self._workers.deleted_machines
+            and silent_s >= constants.SUSPECT_REPORTS * self._report_s
+            and self._runs_service(worker.id)
+        )
+
+    def _runs_service(self, machine: str) -> bool:
+        return any(
+            self._replica.jobs[job_id].spec.service
+            for job_id in self._replica.attempts_by_machine.get(machine, ())
+        )
+
+    def _is_last_probe_unanswered(self, worker: Worker) -> bool:
+        reachability = worker.reachability
+        return (
+            reachability.last_healthy_at < reachability.probe_failed_at
+            and self._runtime.now - reachability.probe_failed_at < 2 * constants.SHOW_EVERY_S
+        )
+
+    def _probe_if_due(self, worker: Worker) -> None:
+        reachability = worker.reachability
+        if self._runtime.now >= reachability.next_probe_at and not reachability.calls_in_flight:
+            self._workers.probe(worker)
--- /dev/null
+++ b/appledock/core/fleet/upcoming_reserve.py
@@ -0,0 +1,59 @@
+"""Idle machines kept for jobs that will be ready soon."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from appledock import wire
+from appledock.core.fleet.inventory import MachineInventory
+from appledock.core.fleet.model import JobDemand
+from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.machines.machine_capacity import is_allowed_on
+from appledock.core.workers import Workers
+
+
+@dataclass(slots=True)
+class UpcomingTasks:
+    """Tasks of one job for which no idle machine is kept yet."""
+
+    spec: wire.JobSpec
+    tasks: int
+
+
+class UpcomingReserve:
+    """Keeps idle machines for upcoming jobs, no more than those need.
+
+    Without the count, any upcoming job would keep nearly all idle machines.
+    """
+
+    def __init__(
+        self, workers: Workers, capacity_index: CapacityIndex, inventory: MachineInventory
+    ) -> None:
+        self._workers = workers
+        self._capacity_index = capacity_index
+        self._inventory = inventory
+        self._unserved: list[UpcomingTasks] = []
+
+    def renew(self, demand: list[JobDemand]) -> None:
+        """Take over the present demand, for one pass over the machines.
+
+        Idle machines whose minimum charge is not used up stay anyway, so they are kept first.
+        """
+        self._unserved = [
+            UpcomingTasks(item.job.spec, item.tasks) for item in demand if not item.is_ready
+        ]
+        for name, worker in self._workers.table.items():
+            if worker.placement.idle_since and not self._inventory.is_past_minimum_charge(name):
+                self.keep(name)
+
+    def keep(self, machine_name: str) -> bool:
+        """Keep the idle machine for an upcoming job; False: none needs it."""
+        machine = self._capacity_index.machines.get(machine_name)
+        if machine is None:
+            return False
+        for upcoming in self._unserved:
+            spec = upcoming.spec
+            if upcoming.tasks > 0 and is_allowed_on(spec, machine) and machine.fits(spec):
+                upcoming.tasks -= machine.free_slots(spec)
+                return True
+        return False
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -35,8 +35,8 @@
     ("message of a peer", Workers, "on_peer"),
     ("look at leases", Workers, "tick"),
     ("placement pass", PlacementPass, "run"),
-    ("fleet plan", Fleet, "_plan"),
-    ("fleet returns", Fleet, "_return"),
+    ("scale out", Fleet, "rent_missing"),
+    ("scale in", Fleet, "delete_surplus"),
     ("proof of polls", StatusPolls, "confirm"),
     ("view change", Workers, "on_view"),
 ]
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -14,8 +14,7 @@
 from appledock import wire
 from appledock.core import events as ev
 from appledock.core.controller import Controller
-from appledock.core.fleet.demand import queued_demand
-from appledock.core.fleet.machines import Machines
+from appledock.core.fleet.machine_list import MachineListReader
 from appledock.core.membership.membership import MembershipState
 from appledock.core.records.job import Job
 from appledock.core.store.keys import VIEW
@@ -98,7 +97,7 @@
         node.engine for node in world.nodes.values() if node.engine.membership.is_leader()
     )
     world.clock.run(88.0)
-    assert len(leader.fleet.machines.listed) == FLEET
+    assert len(leader.fleet.inventory.listed) == FLEET
 
     for number in jobs:
         world.clock.after(0.05 * number, lambda n=number: world.cancel(f"job-{n:06d}"))
@@ -119,7 +118,7 @@
     for node in world.nodes.values():
         node.engine.settings = _with_cloud_rps(node.engine.settings, 2.0)
     world.clock.run(seconds)
-    return max(len(node.engine.fleet.machines.listed) for node in world.nodes.values())
+    return max(len(node.engine.fleet.inventory.listed) for node in world.nodes.values())
 
 
 def _with_cloud_rps(settings: Settings, rps: float) -> Settings:
@@ -131,7 +130,7 @@
 def test_a_list_of_eight_pages_is_read_to_its_end(monkeypatch: Patch) -> None:
     assert listed_after(25.0) == FLEET
     # As it was: page after page without a pause, and from the first one after a refusal.
-    monkeypatch.setattr(Machines, "_page_pause_s", lambda self: 0.0)
+    monkeypatch.setattr(MachineListReader, "_page_pause_s", lambda self: 0.0)
     monkeypatch.setattr(c, "LIST_ABANDON_S", -1.0)
     assert listed_after(25.0) == 0
 
@@ -217,9 +216,9 @@
     """Two hundred of its tasks counted, so that a job of 16,000 cores got fifty machines,
     and fifty more only once those were up and full."""
     e = engine()
-    e.teams = {"red": deployment.settings("n0", ["n0"]).cluster.teams[0]}
+    e.runtime.teams = {"red": deployment.settings("n0", ["n0"]).cluster.teams[0]}
     e.replica.set_job(Job(spec(crates=4 * FLEET, owner="red", cores=1.0), 0.0, 2))
-    assert [item.tasks for item in queued_demand(e)] == [4 * FLEET]
+    assert [item.tasks for item in e.fleet.queued_demand()] == [4 * FLEET]
 
 
 def test_connections_beyond_the_limit_are_told_to_come_again(
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -11,7 +11,7 @@
 from appledock import wire
 from appledock.core import events as ev
 from appledock.core.controller import Controller
-from appledock.core.fleet import Returning
+from appledock.core.fleet import PendingDeletion, ScaleInReason
 from appledock.core.store.keys import CATALOGUE
 from appledock.core.store_calls import Transaction
 from tests.test_launches import NOW, leading, report
@@ -57,7 +57,7 @@
 
 def test_a_former_leader_keeps_no_cordon() -> None:
     e = follower()
-    e.fleet.returns.cordon("vm-1", "idle")
+    e.fleet.deletions.cordon("vm-1", ScaleInReason.IDLE)
     live_on(e, c.CORDON_LAPSE_S + 3)
     assert e.eligibility.is_eligible(e.workers.table["vm-1"])
 
@@ -72,10 +72,10 @@
 def test_while_the_cloud_is_in_trouble_the_leader_repeats_its_cordons() -> None:
     e = leading()
     e.handle([ev.Reported(1, report(1))], NOW, 0.0)
-    e.fleet.returns.returning["vm-1"] = Returning(NOW - 10, "idle")
-    e.fleet.returns.delete(["vm-1"])
+    e.fleet.deletions.pending["vm-1"] = PendingDeletion(NOW - 10, ScaleInReason.IDLE)
+    e.fleet.deletions.delete(["vm-1"])
     assert IDLE in said(e)
-    e.fleet.returns.delete(["vm-1"])
+    e.fleet.deletions.delete(["vm-1"])
     assert IDLE not in said(e)
 
 
@@ -86,7 +86,7 @@
     kind = wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])
 
     def written(types: list[wire.MachineType]) -> bool:
-        catalogue._on_types(ev.CloudReply(0, ev.CloudOutcome.OK, wire.MachineTypes(types)))
+        catalogue._on_types(wire.MachineTypes(types))
         plans = [
             call.request
             for queue in e.client.limiter.queues
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -372,20 +372,20 @@
         for k in [(t.name, z, s)]
     }
     assert prices[kind] == min(prices.values())
-    offers.refused[MachineKind(*kind)] = e.now + 5
+    offers.unavailable_until[MachineKind(*kind)] = e.now + 5
     assert offers.cheapest(job, tasks) != kind
 
 
 def test_fresh_leader_keeps_machines_it_has_not_heard_of() -> None:
     """A restarted leader once deleted 19 machines whose reports went to its peers."""
     e = engine()
-    e.fleet.led_since = e.now
+    e.fleet.leader_since = e.now
     running = wire.Machine("vm-1", "h4", "a", "running", age_s=500.0)
     starting = wire.Machine("vm-2", "h4", "a", wire.BOOTING, age_s=500.0)
-    e.fleet.machines.listed = {"vm-1": running, "vm-2": starting}
+    e.fleet.inventory.listed = {"vm-1": running, "vm-2": starting}
     booting = BootingMachine(MachineKind("h4", "a", False), 500.0)
-    assert not e.fleet.machines.stuck("vm-1", booting, e.fleet.led_since)
-    assert e.fleet.machines.stuck("vm-2", booting, e.fleet.led_since)
+    assert not e.fleet.inventory.has_failed_to_boot("vm-1", booting, e.fleet.leader_since)
+    assert e.fleet.inventory.has_failed_to_boot("vm-2", booting, e.fleet.leader_since)
 
 
 def test_stops_wait_while_the_victim_is_being_written() -> None:
@@ -413,7 +413,7 @@
     e.workers.ingest_heartbeat(
         wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1, True, notice_s=9.0)
     )
-    e.fleet.cordons.drain(())
+    e.fleet.cordons.enforce(())
     assert e.stop_requests.pending == {"job-1": {"vm-1": {0}}}
 
 
@@ -422,19 +422,20 @@
     counted as up, for ever. Not while most machines are silent: that is our trouble."""
     e = engine()
     e.replica.put("ad/live/view", {"term": 1, "members": {"n0": "x"}, "leader": "n0"}, 1)
-    e.fleet.led_since = e.now
+    e.fleet.leader_since = e.now
     for number in range(5):
         e.workers.ingest_heartbeat(wire.Report(f"vm-{number}", "10.0.0.9:9", "h4", "a", 1, 1, 1))
     e.now += 100.0
-    e.fleet._return(e.fleet._demand())
-    assert not e.fleet.returns.returning
+    e.fleet.delete_surplus(e.fleet.queued_demand())
+    assert not e.fleet.deletions.pending
     for number in range(1, 5):
         worker = e.workers.table[f"vm-{number}"]
         worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = (
             worker.reachability.last_direct_heartbeat_at
         ) = e.now
-    e.fleet._return(e.fleet._demand())
-    assert "vm-0" in e.fleet.returns.returning and e.fleet.returns.returning["vm-0"].why == "silent"
+    e.fleet.delete_surplus(e.fleet.queued_demand())
+    pending = e.fleet.deletions.pending
+    assert "vm-0" in pending and pending["vm-0"].reason == "silent"
 
 
 def test_a_step_finds_the_few_machines_that_have_the_image() -> None:
@@ -490,8 +491,8 @@
         e.workers.table["vm-1"].placement.idle_since = e.now - 20
         e.replica.set_job(Job(spec(cores=size), 0, 5))
         e.capacity_index.recompute()
-        e.fleet._return(e.fleet._demand())
-        return set(e.fleet.returns.returning)
+        e.fleet.delete_surplus(e.fleet.queued_demand())
+        return set(e.fleet.deletions.pending)
 
     assert returned(4.0) == set()
     assert returned(4.5) == {"vm-1"}
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -8,8 +8,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.fleet.forecast import Forecast
-from appledock.core.fleet.model import Demand
+from appledock.core.fleet.forecast import ReadinessForecast
+from appledock.core.fleet.model import JobDemand
 from appledock.core.records.job import Job
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store_calls import Put, Transaction
@@ -69,7 +69,7 @@
 def test_machines_are_rented_before_the_next_stage_is_ready(monkeypatch: Patch) -> None:
     seeds = (3, 5, 6)
     ahead = [wide_stage(seed) for seed in seeds]
-    monkeypatch.setattr(Forecast, "upcoming", lambda self: [])
+    monkeypatch.setattr(ReadinessForecast, "upcoming_jobs", lambda self: [])
     late = [wide_stage(seed) for seed in seeds]
     assert all(early[1] >= few[1] + 3 for early, few in zip(ahead, late, strict=True))
     # A boot takes 3 to 7 s there; the last machine to come up decides.
@@ -78,7 +78,7 @@
 
 def test_nothing_is_rented_ahead_for_a_chain_without_deadline(monkeypatch: Patch) -> None:
     _, up = wide_stage(3, None)
-    monkeypatch.setattr(Forecast, "upcoming", lambda self: [])
+    monkeypatch.setattr(ReadinessForecast, "upcoming_jobs", lambda self: [])
     _, few = wide_stage(3, None)
     assert up == few
 
@@ -91,16 +91,16 @@
     for name in names:
         e.workers.ingest_heartbeat(report(name, 1))
     e.capacity_index.recompute()
-    returns = e.fleet.returns
+    reserve = e.fleet.upcoming_reserve
     stage = Job(spec(id="job-000001", crates=9, cores=2.0, memory_gb=1.0), 0.0, 1)
 
-    def kept(demand: list[Demand]) -> int:
-        returns._reserve_for_upcoming(demand)
-        return sum(returns._reserve(name) for name in names)
+    def kept(demand: list[JobDemand]) -> int:
+        reserve.renew(demand)
+        return sum(reserve.keep(name) for name in names)
 
-    assert kept([Demand(stage, 5, ready=False)]) == 3
-    assert kept([Demand(stage, 5, ready=False), Demand(stage, 2, ready=False)]) == 4
-    assert kept([Demand(stage, 5)]) == 0  # what is queued is looked at by itself
+    assert kept([JobDemand(stage, 5, is_ready=False)]) == 3
+    assert kept([JobDemand(stage, 5, is_ready=False), JobDemand(stage, 2, is_ready=False)]) == 4
+    assert kept([JobDemand(stage, 5)]) == 0  # what is queued is looked at by itself
 
 
 def test_arrays_gather_room_for_a_larger_step_while_writes_lack() -> None:
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -267,14 +267,14 @@
 
     def returned() -> tuple[Controller, set[str]]:
         e = owner_of_nothing()
-        e.fleet.led_since = e.now - 60
+        e.fleet.leader_since = e.now - 60
         e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
         for name in names:
             e.workers.ingest_heartbeat(report(name, 1))
             e.workers.table[name].placement.idle_since = e.now - 50
         e.heartbeats.on_peer(Heartbeat("n1", 0.1))  # n2 is not heard
-        e.fleet._return(e.fleet._demand())
-        return e, set(e.fleet.returns.returning)
+        e.fleet.delete_surplus(e.fleet.queued_demand())
+        return e, set(e.fleet.deletions.pending)
 
     e, gone = returned()
     assert gone == {name for name in names if e.replica.owner_of(name) != "n2"}
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -88,10 +88,10 @@
     world.clock.run(6.0)
     leader = next(node for node in world.nodes.values() if node.engine.membership.is_leader())
     others = [node for node in world.nodes.values() if node is not leader]
-    rented = set(leader.engine.fleet.machines.rented_at)
-    assert rented and all(not node.engine.fleet.machines.rented_at for node in others)
+    rented = set(leader.engine.fleet.inventory.rented_at)
+    assert rented and all(not node.engine.fleet.inventory.rented_at for node in others)
     world.clock.run(14.0)
-    assert all(rented <= set(node.engine.fleet.machines.rented_at) for node in others)
+    assert all(rented <= set(node.engine.fleet.inventory.rented_at) for node in others)
     world.clock.run(25.0)
     machine = next(iter(world.judge.on["job-000001/0"]))
     world.refuse_peers(5.0)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -118,5 +118,5 @@
                 assert [x.levelno for x in caplog.records] == [logging.WARNING], message
                 assert "malformed message" in caplog.text and body["kind"] in caplog.text
                 assert set(e.workers.deleted_machines) == {"vm-9"} and not e.workers.table
-                assert not e.fleet.machines.rentals and not e.heartbeats.last_heartbeats
+                assert not e.fleet.inventory.rentals and not e.heartbeats.last_heartbeats
                 assert not any(isinstance(x, ev.Reply) for x in effects)
--- a/tests/test_old_words.py
+++ b/tests/test_old_words.py
@@ -7,7 +7,7 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.core import events as ev
-from appledock.core.fleet import Returning
+from appledock.core.fleet import PendingDeletion, ScaleInReason
 from appledock.core.messages import AliveWorker, WorkersAlive
 from appledock.core.records.job import HandoffTarget
 from tests.test_launches import NOW, leading, report, running
@@ -19,7 +19,7 @@
     every trouble for its own and deleted no silent machine any more."""
     e = leading()
     e.handle([ev.Reported(1, report(1))], NOW, 0.0)
-    assert e.fleet.returns.silence.calm()
+    assert e.fleet.unresponsive.are_most_workers_reporting()
     e.workers.mark_deleted(["vm-1"])
     if direct:  # to the controller itself, or as the late answer to a question
         e.handle([ev.Reported(2, report(2))], NOW + 1, 0.0)
@@ -27,7 +27,7 @@
         e.workers.ingest_heartbeat(report(2))
     assert "vm-1" not in e.workers.table
     e.handle([], NOW + 60, 0.0)
-    assert e.fleet.returns.silence.calm()
+    assert e.fleet.unresponsive.are_most_workers_reporting()
 
 
 def test_a_report_whose_number_alone_is_known_is_news() -> None:
@@ -75,12 +75,12 @@
 def test_a_machine_that_is_well_again_is_not_deleted_when_the_cloud_answers(why: str) -> None:
     e = leading()
     e.handle([ev.Reported(1, report(1))], NOW, 0.0)
-    e.fleet.led_since = NOW - 100
-    e.fleet.returns.returning["vm-1"] = Returning(NOW - c.CORDON_S, why, True)
+    e.fleet.leader_since = NOW - 100
+    e.fleet.deletions.pending["vm-1"] = PendingDeletion(NOW - c.CORDON_S, ScaleInReason(why), True)
     e.fleet.cloud.paused_until = NOW + 5  # the cloud is down; meanwhile the machine goes on
     for seq in range(2, 6):
         e.handle([ev.Reported(seq, report(seq))], NOW + seq, 0.0)
-    e.fleet._return([])
+    e.fleet.delete_surplus([])
     deletes = [
         x for x in e.handle([], NOW + 6, 0.0) if isinstance(x, ev.CloudCall) and x.op == "delete"
     ]
@@ -92,11 +92,11 @@
     """A leader that got its lead back, cut off from the others, went by its last list, in
     which the machine was starting, and deleted it with the services on it."""
     e = leading()
-    e.fleet.led_since = NOW - 1
+    e.fleet.leader_since = NOW - 1
     row = wire.Machine("vm-1", "h4", "a", wire.BOOTING, "10.0.0.9:1", False, 3.0)
-    machines = e.fleet.machines
-    machines.listed, machines.listed_at = {"vm-1": row}, NOW - 200
+    inventory = e.fleet.inventory
+    inventory.listed, inventory.listed_at = {"vm-1": row}, NOW - 200
     if steps:
         running(e, 3)
-    e.fleet._return([])
-    assert ("vm-1" in e.fleet.returns.returning) is not steps
+    e.fleet.delete_surplus([])
+    assert ("vm-1" in e.fleet.deletions.pending) is not steps
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -60,7 +60,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The emptied machines stay, so that the copies find somebody.
-    monkeypatch.setattr("appledock.core.fleet.returns.Returns.delete", lambda *_: None)
+    monkeypatch.setattr("appledock.core.fleet.deletions.MachineDeletions.delete", lambda *_: None)
     world = moved_twice(3)
     assert world.judge.broken == []
     # The guard taken out: the judge sees tasks on two machines.
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -5,7 +5,7 @@
 import pytest
 
 from appledock import wire
-from appledock.core.fleet.planning import Planner
+from appledock.core.fleet.zone_distribution import ZoneDistribution, ZoneTasks
 from appledock.core.machines.machine_capacity import (
     MachineCapacity,
     count_free_slots,
@@ -72,7 +72,9 @@
     world = idle_machines(quays, **job)
     assert len(set(places(world))) == zones and len(places(world)) == job["crates"]
     assert world.judge.broken == []
-    monkeypatch.setattr(Planner, "by_zone", lambda self, job, tasks, supply: [(None, tasks)])
+    monkeypatch.setattr(
+        ZoneDistribution, "distribute", lambda self, job, tasks, supply: [ZoneTasks(None, tasks)]
+    )
     assert len(places(idle_machines(quays, **job))) < job["crates"]  # type: ignore[operator]
 
 
