--- a/appledock/adapters/store.py
+++ b/appledock/adapters/store.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from appledock import wire
-from appledock.core.events import StoreCall, StoreReply
+from appledock.core.commands import StoreReply
+from appledock.core.effects import StoreCall
 from appledock.core.store_calls import (
     Acknowledged,
     Committed,
--- a/appledock/adapters/users.py
+++ b/appledock/adapters/users.py
@@ -8,7 +8,15 @@
 import msgspec
 
 from appledock import wire
-from appledock.core import events as ev
+from appledock.core.commands import (
+    AdminRequest,
+    CancelJob,
+    Command,
+    GetJobState,
+    HealthRequest,
+    HeartbeatReceived,
+    SubmitJob,
+)
 
 _SPEC = msgspec.json.Decoder(wire.JobSpec)
 _REPORT = msgspec.json.Decoder(wire.Report)
@@ -27,17 +35,17 @@
         self.status, self.error, self.headers = status, error, headers
 
 
-def command(request_id: int, method: str, path: str, body: bytes) -> ev.Command:
+def command(request_id: int, method: str, path: str, body: bytes) -> Command:
     """The command that a request stands for; raises Refused."""
     if path == wire.PATH_REPORT:
         _only(method, "POST")
-        return ev.Reported(request_id, _decode(_REPORT, body))
+        return HeartbeatReceived(request_id, _decode(_REPORT, body))
     if path == wire.PATH_HEALTH:
         _only(method, "GET")
-        return ev.Health(request_id)
+        return HealthRequest(request_id)
     if path == wire.PATH_JOBS:
         _only(method, "POST")
-        return ev.Submit(request_id, _submission(_decode(_SPEC, body)))
+        return SubmitJob(request_id, _submission(_decode(_SPEC, body)))
     if path.startswith(wire.PATH_JOBS + "/"):
         rest = path[len(wire.PATH_JOBS) + 1 :]
         job, slash, action = rest.partition("/")
@@ -46,7 +54,7 @@
         _only(method, "POST" if slash else "GET")
         if not _ID.match(job):
             raise Refused(404, "no such job")
-        return ev.Cancel(request_id, job) if slash else ev.Poll(request_id, job)
+        return CancelJob(request_id, job) if slash else GetJobState(request_id, job)
     if path.startswith(ADMIN):
         payload: Any = None
         if body:
@@ -54,7 +62,7 @@
                 payload = msgspec.json.decode(body)
             except MALFORMED as error:
                 raise Refused(400, f"not JSON: {error}") from None
-        return ev.Admin(
+        return AdminRequest(
             request_id, method, tuple(path[len(ADMIN) :].strip("/").split("/")), payload
         )
     raise Refused(404, "no such path")
--- a/appledock/adapters/workers.py
+++ b/appledock/adapters/workers.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from appledock import wire
-from appledock.core.events import WorkerCall, WorkerOutcome, WorkerReply
+from appledock.core.commands import WorkerOutcome, WorkerReply
+from appledock.core.effects import WorkerCall
 from appledock.net.http import Client, NoAnswer, NotSent
 from appledock.settings import split_address
 
@@ -38,7 +39,7 @@
     async def run(self, call: WorkerCall) -> WorkerReply:
         """Send orders or ask for the report; a report comes with nearly every answer."""
         try:
-            client = self._client(call.addr)
+            client = self._client(call.address)
             if call.orders is None:
                 status, body = await client.request("GET", wire.PATH_SHOW, b"", call.timeout_s)
             else:
@@ -46,7 +47,7 @@
                     "POST", wire.PATH_ORDERS, wire.encode(call.orders), call.timeout_s
                 )
             if status not in (200, 409):
-                log.error("worker %s answered %d: %s", call.addr, status, body[:200])
+                log.error("worker %s answered %d: %s", call.address, status, body[:200])
                 return WorkerReply(call.call_id, WorkerOutcome.UNKNOWN)
             report = msgspec.json.decode(body, type=wire.Report)
             return WorkerReply(
@@ -54,10 +55,10 @@
             )
         except (NotSent, ValueError) as error:
             if isinstance(error, msgspec.DecodeError | UnicodeDecodeError):
-                log.error("malformed answer of worker %s: %s", call.addr, error)
+                log.error("malformed answer of worker %s: %s", call.address, error)
                 return WorkerReply(call.call_id, WorkerOutcome.UNKNOWN)
-            log.info("worker %s: %s", call.addr, error)
+            log.info("worker %s: %s", call.address, error)
             return WorkerReply(call.call_id, WorkerOutcome.NOT_SENT)
         except NoAnswer as error:
-            log.info("worker %s: %s", call.addr, error)
+            log.info("worker %s: %s", call.address, error)
             return WorkerReply(call.call_id, WorkerOutcome.UNKNOWN)
--- a/appledock/app.py
+++ b/appledock/app.py
@@ -14,11 +14,31 @@
 from appledock import wire
 from appledock.adapters import users
 from appledock.adapters.cloud import Cloud
+from appledock.adapters.cloud import operation as cloud_operation
 from appledock.adapters.store import Store, operation
 from appledock.adapters.workers import WorkerCalls
 from appledock.capacity.settings import Capacity
-from appledock.core import events as ev
+from appledock.core.cloud_calls import CloudOutcome
+from appledock.core.commands import (
+    CloudReply,
+    Command,
+    PeerConnected,
+    PeerMessageReceived,
+    StoreReply,
+    Tick,
+    WorkerOutcome,
+    WorkerReply,
+)
 from appledock.core.controller import Controller
+from appledock.core.effects import (
+    CloudCall,
+    Effect,
+    PeerSend,
+    Response,
+    SetLogLevel,
+    StoreCall,
+    WorkerCall,
+)
 from appledock.core.store_calls import UnknownOutcome, WatchKeys
 from appledock.metrics import Metrics
 from appledock.net.http import Answer, Server
@@ -28,7 +48,7 @@
 
 log = logging.getLogger(__name__)
 
-Called = TypeVar("Called", ev.StoreReply, ev.CloudReply, ev.WorkerReply)
+Called = TypeVar("Called", StoreReply, CloudReply, WorkerReply)
 
 
 class App:
@@ -46,7 +66,7 @@
         self.engine = Controller(
             settings, f"{rng.getrandbits(48):012x}", rng, rebalancing, capacity
         )
-        self.queue: list[ev.Command] = []
+        self.queue: list[Command] = []
         self.scheduled = False
         self.next_batch = 0.0
         self.answers: dict[int, Answer] = {}
@@ -64,7 +84,7 @@
             peer.name: PeerLink(
                 peer.name,
                 *split_address(peer.address),
-                opened=lambda name: self.push(ev.PeerOpened(name)),
+                opened=lambda name: self.push(PeerConnected(name)),
             )
             for peer in settings.peers
         }
@@ -75,7 +95,7 @@
         """Serve until the process is killed."""
         await self.server.start(*split_address(self.settings.listen))
         await self.loop.create_server(
-            lambda: PeerServer(lambda message: self.push(ev.PeerMessage(message))),
+            lambda: PeerServer(lambda message: self.push(PeerMessageReceived(message))),
             *split_address(self.settings.peer_listen),
             reuse_address=True,
         )
@@ -89,12 +109,12 @@
         )
         gc.freeze()
         gc.set_threshold(c.GC_ALLOCATIONS)
-        self.push(ev.Tick())
+        self.push(Tick())
         while True:
             await asyncio.sleep(c.TICK_S)
-            self.push(ev.Tick())
+            self.push(Tick())
 
-    def push(self, command: ev.Command) -> None:
+    def push(self, command: Command) -> None:
         """Queue a command; the whole queue is worked through as one batch.
 
         Batches keep a least distance: with hundreds of machines what follows from a batch cost
@@ -154,49 +174,49 @@
         self.started[self.last_request_id] = (type(command).__name__.lower(), self.loop.time())
         self.push(command)
 
-    def _carry_out(self, effect: ev.Effect) -> None:
+    def _carry_out(self, effect: Effect) -> None:
         match effect:
-            case ev.Reply():
+            case Response():
                 answer = self.answers.pop(effect.request_id, None)
                 if answer is not None:
                     kind, since = self.started.pop(effect.request_id)
                     self.metrics.took(f"request.{kind}", self.loop.time() - since)
                     answer(effect.status, wire.encode(effect.body), effect.headers)
-            case ev.StoreCall():
+            case StoreCall():
                 self._spawn(self._store(effect))
-            case ev.CloudCall():
+            case CloudCall():
                 self._spawn(self._cloud(effect))
-            case ev.WorkerCall():
+            case WorkerCall():
                 self._spawn(self._worker(effect))
-            case ev.PeerSend():
+            case PeerSend():
                 payload = frame(wire.encode(effect.message))
                 for name, payloads in self.outgoing.items():
                     if effect.to is None or effect.to == name:
                         payloads.append(payload)
-            case ev.SetLogLevel():
+            case SetLogLevel():
                 logging.getLogger().setLevel(effect.level.upper())
 
-    async def _store(self, call: ev.StoreCall) -> None:
+    async def _store(self, call: StoreCall) -> None:
         since = self.loop.time()
         reply = await self._outcome(
-            self.store.run(call), ev.StoreReply(call.call_id, UnknownOutcome())
+            self.store.run(call), StoreReply(call.call_id, UnknownOutcome())
         )
         if not isinstance(call.request, WatchKeys):
             self.metrics.took(f"state.{operation(call.request)}", self.loop.time() - since)
         self.push(reply)
 
-    async def _cloud(self, call: ev.CloudCall) -> None:
+    async def _cloud(self, call: CloudCall) -> None:
         since = self.loop.time()
         reply = await self._outcome(
-            self.cloud.run(call), ev.CloudReply(call.call_id, ev.CloudOutcome.UNKNOWN)
+            self.cloud.run(call), CloudReply(call.call_id, CloudOutcome.UNKNOWN)
         )
-        self.metrics.took(f"cloud.{call.op}", self.loop.time() - since)
+        self.metrics.took(f"cloud.{cloud_operation(call.request)}", self.loop.time() - since)
         self.push(reply)
 
-    async def _worker(self, call: ev.WorkerCall) -> None:
+    async def _worker(self, call: WorkerCall) -> None:
         self.push(
             await self._outcome(
-                self.workers.run(call), ev.WorkerReply(call.call_id, ev.WorkerOutcome.UNKNOWN)
+                self.workers.run(call), WorkerReply(call.call_id, WorkerOutcome.UNKNOWN)
             )
         )
 
--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -12,7 +12,8 @@
 from appledock import constants as c
 from appledock.core.api.capacity_api import SharesApi
 from appledock.core.api.console_feed import ConsoleFeed
-from appledock.core.events import Admin, Reply, SetLogLevel
+from appledock.core.commands import AdminRequest
+from appledock.core.effects import Response, SetLogLevel
 from appledock.core.operator_settings import DECLARATIONS, InvalidSettingError, validate
 from appledock.core.quota.resources import NO_RESOURCES
 from appledock.core.records.job import Attempt, Job
@@ -45,7 +46,7 @@
         """path -> what `GET` answers there"""
 
     # --- requests ---------------------------------------------------------
-    def request(self, cmd: Admin) -> None:
+    def request(self, cmd: AdminRequest) -> None:
         """Answer a request."""
         read = self._readers.get(cmd.path[0]) if len(cmd.path) == 1 else None
         match (cmd.method, *cmd.path):
@@ -68,9 +69,9 @@
             case _:
                 self._answer(cmd, {"error": "no such path"}, 404)
 
-    def _answer(self, cmd: Admin, body: Any, status: int = 200) -> None:
+    def _answer(self, cmd: AdminRequest, body: Any, status: int = 200) -> None:
         headers = {"Retry-After": str(c.RETRY_AFTER_S)} if status == 503 else None
-        self.engine.emit(Reply(cmd.request_id, status, body, headers))
+        self.engine.emit(Response(cmd.request_id, status, body, headers))
 
     # --- reading ----------------------------------------------------------
     def status(self) -> dict[str, Any]:
@@ -234,7 +235,7 @@
             },
         }
 
-    def _changes(self, cmd: Admin, incarnation: str, version: str, limit: str) -> None:
+    def _changes(self, cmd: AdminRequest, incarnation: str, version: str, limit: str) -> None:
         """What has changed on a console's screen since a version of this incarnation."""
         most = c.CONSOLE_ROWS_MAX
         if not version.isdecimal() or not limit.isdecimal() or not 1 <= int(limit) <= most:
@@ -244,7 +245,7 @@
         self._answer(cmd, self.feed.since(incarnation, int(version), int(limit)))
 
     # --- changing ---------------------------------------------------------
-    def _change(self, cmd: Admin) -> None:
+    def _change(self, cmd: AdminRequest) -> None:
         """Take `{"settings": {name: value or null}, "version": n}`; null: the default again.
 
         With a version, a change made meanwhile by somebody else gives 409.
@@ -289,7 +290,7 @@
             c.REQUEST_DEADLINE_S,
         )
 
-    def _machine(self, cmd: Admin, name: str, action: str) -> None:
+    def _machine(self, cmd: AdminRequest, name: str, action: str) -> None:
         worker = self.engine.workers.table.get(name)
         if worker is None or worker.report is None:
             self._answer(cmd, {"error": f"no such machine: {name}"}, 404)
@@ -300,7 +301,7 @@
         self.engine.fleet.operate(name, action)
         self._answer(cmd, {"id": name, "cordoned": worker.placement.cordon_reason or None})
 
-    def _log_level(self, cmd: Admin) -> None:
+    def _log_level(self, cmd: AdminRequest) -> None:
         level = cmd.body.get("level") if isinstance(cmd.body, dict) else None
         if level not in LEVELS:
             self._answer(cmd, {"error": f"level: one of {', '.join(LEVELS)}"}, 400)
--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -8,7 +8,8 @@
 from appledock import constants as c
 from appledock.capacity.apportion import apportion
 from appledock.capacity.settings import CapacityError, Shares, check_shares
-from appledock.core.events import Admin, Reply
+from appledock.core.commands import AdminRequest
+from appledock.core.effects import Response
 from appledock.core.records.capacity import AGREED
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store_calls import (
@@ -44,7 +45,7 @@
     def __init__(self, engine: Controller) -> None:
         self.engine = engine
 
-    def request(self, cmd: Admin, action: str) -> None:
+    def request(self, cmd: AdminRequest, action: str) -> None:
         """Propose (a dry run), apply or withdraw."""
         if not self.engine.partitions.enabled:
             self._answer(cmd, {"error": "capacity shares are off"}, 404)
@@ -59,9 +60,9 @@
         else:
             self._apply(cmd, change)
 
-    def _answer(self, cmd: Admin, body: Any, status: int = 200) -> None:
+    def _answer(self, cmd: AdminRequest, body: Any, status: int = 200) -> None:
         headers = {"Retry-After": str(c.RETRY_AFTER_S)} if status == 503 else None
-        self.engine.emit(Reply(cmd.request_id, status, body, headers))
+        self.engine.emit(Response(cmd.request_id, status, body, headers))
 
     # --- checking ---------------------------------------------------------
     def _change(self, body: Any) -> Change:
@@ -136,7 +137,7 @@
         return {"shares": shares, "pools": pools}
 
     # --- writing ----------------------------------------------------------
-    def _apply(self, cmd: Admin, change: Change) -> None:
+    def _apply(self, cmd: AdminRequest, change: Change) -> None:
         engine = self.engine
         agreed = engine.replica.capacity.agreed
         if agreed is not None and agreed.request == change.request:
@@ -167,7 +168,7 @@
 
         engine.client.submit(plan, Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
 
-    def _read_and_answer(self, cmd: Admin, change: Change) -> None:
+    def _read_and_answer(self, cmd: AdminRequest, change: Change) -> None:
         """Somebody else's change came first, or it is not known whether ours did: read it."""
 
         def read() -> None:
@@ -182,7 +183,7 @@
 
         self.engine.reader.read_keys([AGREED], read, failed)
 
-    def _conflict(self, cmd: Admin, change: Change) -> None:
+    def _conflict(self, cmd: AdminRequest, change: Change) -> None:
         """The present version, and where it differs from what was asked for."""
         agreed = self.engine.replica.capacity.agreed
         present = self.engine.partitions.targets()
--- a/appledock/core/api/open_requests.py
+++ b/appledock/core/api/open_requests.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from appledock import constants, wire
-from appledock.core.events import Reply
+from appledock.core.effects import Response
 from appledock.core.runtime import Runtime
 from appledock.core.store.reader import StateReader
 
@@ -72,4 +72,4 @@
             return
         is_retryable = status in (429, 503)
         headers = {"Retry-After": str(constants.RETRY_AFTER_S)} if is_retryable else None
-        self._runtime.emit(Reply(request_id, status, body, headers))
+        self._runtime.emit(Response(request_id, status, body, headers))
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -8,7 +8,6 @@
 
 from appledock import constants, wire
 from appledock.capacity.settings import Capacity
-from appledock.core import events as ev
 from appledock.core.api.admin import AdminApi
 from appledock.core.api.first_owner import FirstOwner
 from appledock.core.api.health import HealthCheck
@@ -21,6 +20,8 @@
 from appledock.core.api.submission_check import SubmissionCheck
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.capacity.partitions import CapacityShares
+from appledock.core.commands import Command
+from appledock.core.effects import Effect
 from appledock.core.engine import Engine
 from appledock.core.fleet import Fleet
 from appledock.core.jobs.cancellation import CancellationEnforcer
@@ -348,7 +349,7 @@
         outcomes = DependencyOutcomes(self.runtime, self.replica, self.reader, records)
         return UserRequests(requests, submissions, polls, cancellations, outcomes)
 
-    def handle(self, batch: list[ev.Command], now: float, wall: float) -> list[ev.Effect]:
+    def handle(self, batch: list[Command], now: float, wall: float) -> list[Effect]:
         """Work through a batch; `now` is the steady clock, `wall` the time of day (s)."""
         return self.engine.handle(batch, now, wall)
 
@@ -426,11 +427,11 @@
         """Time to live of a controller's lease."""
         return self.runtime.lease_ttl_s
 
-    def emit(self, effect: ev.Effect) -> None:
+    def emit(self, effect: Effect) -> None:
         """Hand an effect to the adapters, with the others of this batch."""
         self.runtime.emit(effect)
 
-    def call(self, make: Callable[[int], ev.Effect], done: Callable[[Any], None]) -> None:
+    def call(self, make: Callable[[int], Effect], done: Callable[[Any], None]) -> None:
         """Emit a call whose answer goes to `done`."""
         self.runtime.call(make, done)
 
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -5,12 +5,27 @@
 import logging
 from typing import Any
 
-from appledock.core import events as ev
 from appledock.core import messages
 from appledock.core.api.admin import AdminApi
 from appledock.core.api.health import HealthCheck
 from appledock.core.api.user_requests import UserRequests
 from appledock.core.capacity.partitions import CapacityShares
+from appledock.core.commands import (
+    AdminRequest,
+    CancelJob,
+    CloudReply,
+    Command,
+    GetJobState,
+    HealthRequest,
+    HeartbeatReceived,
+    PeerConnected,
+    PeerMessageReceived,
+    StoreReply,
+    SubmitJob,
+    Tick,
+    WorkerReply,
+)
+from appledock.core.effects import Effect, Response
 from appledock.core.fleet import Fleet
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
@@ -96,7 +111,7 @@
         self._started = False
 
     # --- commands in, effects out -----------------------------------------
-    def handle(self, batch: list[ev.Command], now: float, wall: float) -> list[ev.Effect]:
+    def handle(self, batch: list[Command], now: float, wall: float) -> list[Effect]:
         """Work through a batch; `now` is the steady clock, `wall` the time of day."""
         self.runtime.now, self.runtime.wall = now, wall
         if not self._started:
@@ -112,7 +127,7 @@
                 request_id = getattr(command, "request_id", None)
                 if request_id is not None:
                     self.user_requests.open_requests.discard(request_id)
-                    self.runtime.emit(ev.Reply(request_id, 500, {"error": "internal error"}))
+                    self.runtime.emit(Response(request_id, 500, {"error": "internal error"}))
         for follow in (self._after, self.client.flush):
             # One after the other: whatever fails, leases are renewed and users answered.
             try:
@@ -121,35 +136,37 @@
                 log.exception("follow-up of a batch failed")
         return self.runtime.take_effects()
 
-    def _one(self, cmd: ev.Command) -> None:
+    def _one(self, cmd: Command) -> None:
         match cmd:
-            case ev.Reported():
+            case HeartbeatReceived():
                 self.workers.on_heartbeat(cmd.request_id, cmd.report)
-            case ev.StoreReply() | ev.CloudReply() | ev.WorkerReply():
+            case StoreReply() | CloudReply() | WorkerReply():
                 self.runtime.resolve(cmd)
-            case ev.PeerMessage():
+            case PeerMessageReceived():
                 self._peer(cmd.message)
-            case ev.PeerOpened():
+            case PeerConnected():
                 self.workers.on_peer_connected(cmd.name)
                 self.fleet.on_peer_connected(cmd.name)
                 self.cancellation_dissemination.on_peer_connected(cmd.name)
-            case ev.Tick():
+            case Tick():
                 self._tick()
-            case ev.Poll() | ev.Submit() | ev.Cancel() | ev.Health() | ev.Admin():
+            case GetJobState() | SubmitJob() | CancelJob() | HealthRequest() | AdminRequest():
                 self._request(cmd)
 
-    def _request(self, cmd: ev.Poll | ev.Submit | ev.Cancel | ev.Health | ev.Admin) -> None:
+    def _request(
+        self, cmd: GetJobState | SubmitJob | CancelJob | HealthRequest | AdminRequest
+    ) -> None:
         match cmd:
-            case ev.Poll():
+            case GetJobState():
                 self.user_requests.poll(cmd)
-            case ev.Submit():
+            case SubmitJob():
                 self.user_requests.submit(cmd)
-            case ev.Cancel():
+            case CancelJob():
                 self.user_requests.cancel(cmd)
-            case ev.Health():
+            case HealthRequest():
                 good = self.health.is_healthy()
-                self.runtime.emit(ev.Reply(cmd.request_id, 200 if good else 503, {"healthy": good}))
-            case ev.Admin():
+                self.runtime.emit(Response(cmd.request_id, 200 if good else 503, {"healthy": good}))
+            case AdminRequest():
                 self.admin.request(cmd)
 
     def _peer(self, body: Any) -> None:
--- a/appledock/core/fleet/catalogue.py
+++ b/appledock/core/fleet/catalogue.py
@@ -10,7 +10,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import CloudOutcome, CloudReply
+from appledock.core.cloud_calls import CloudOutcome, ListMachineTypes
+from appledock.core.commands import CloudReply
 from appledock.core.fleet.cloud import CloudCalls
 from appledock.core.store.keys import CATALOGUE
 from appledock.core.store.rate_limiter import Priority
@@ -54,7 +55,7 @@
         """Read the types from the cloud if it is time to."""
         if self.engine.now >= self.next_read and not self.reading:
             self.reading = True
-            self.cloud.call("types", (), self._on_types)
+            self.cloud.call(ListMachineTypes(), self._on_types)
 
     def _on_types(self, reply: CloudReply) -> None:
         engine = self.engine
--- a/appledock/core/fleet/cloud.py
+++ b/appledock/core/fleet/cloud.py
@@ -3,10 +3,12 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from appledock import constants as c
-from appledock.core.events import CloudCall, CloudReply
+from appledock.core.cloud_calls import CloudRequest
+from appledock.core.commands import CloudReply
+from appledock.core.effects import CloudCall
 
 if TYPE_CHECKING:
     from appledock.core.controller import Controller
@@ -19,9 +21,9 @@
         self.engine = engine
         self.paused_until = 0.0
 
-    def call(self, op: str, args: tuple[Any, ...], done: Callable[[CloudReply], None]) -> None:
+    def call(self, request: CloudRequest, done: Callable[[CloudReply], None]) -> None:
         """Emit a call; `done` gets its outcome."""
-        self.engine.call(lambda call_id: CloudCall(call_id, op, args, c.CLOUD_TIMEOUT_S), done)
+        self.engine.call(lambda call_id: CloudCall(call_id, request, c.CLOUD_TIMEOUT_S), done)
 
     def back_off(self) -> None:
         """429 or outage: pause, with jitter against a herd."""
--- a/appledock/core/fleet/cordons.py
+++ b/appledock/core/fleet/cordons.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from appledock import constants as c
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.fleet.model import DRAIN, FAULTY, IDLE, OPERATOR
 from appledock.core.messages import MachineCordoned
 from appledock.core.records.job import Attempt
--- a/appledock/core/fleet/machines.py
+++ b/appledock/core/fleet/machines.py
@@ -8,7 +8,9 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import CloudOutcome, CloudReply, PeerSend
+from appledock.core.cloud_calls import CloudOutcome, ListMachines
+from appledock.core.commands import CloudReply
+from appledock.core.effects import PeerSend
 from appledock.core.fleet.cloud import CloudCalls
 from appledock.core.fleet.model import BootingMachine, MachineKind, RentedMachine
 from appledock.core.messages import MachinesGone
@@ -71,8 +73,8 @@
 
     def _read_page(self, reading: ListReading) -> None:
         reading.calling = True
-        args = (reading.after, c.MACHINE_LIST_LIMIT)
-        self.cloud.call("list", args, lambda reply: self._on_page(reading, reply))
+        request = ListMachines(reading.after, c.MACHINE_LIST_LIMIT)
+        self.cloud.call(request, lambda reply: self._on_page(reading, reply))
 
     def _on_page(self, reading: ListReading, reply: CloudReply) -> None:
         now = self.engine.now
--- a/appledock/core/fleet/rental.py
+++ b/appledock/core/fleet/rental.py
@@ -9,7 +9,9 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import CloudOutcome, CloudReply, PeerSend
+from appledock.core.cloud_calls import CloudOutcome, RentMachines
+from appledock.core.commands import CloudReply
+from appledock.core.effects import PeerSend
 from appledock.core.fleet.cloud import CloudCalls
 from appledock.core.fleet.machines import Machines
 from appledock.core.fleet.model import MachineKind, RentRequest
@@ -62,7 +64,7 @@
         request.next_try = math.inf  # not while it waits for its answer
         request.tries += 1
         body = wire.Rent(request.name, *request.kind, count=request.count)
-        self.cloud.call("rent", (body,), lambda reply: self._on_reply(request, reply))
+        self.cloud.call(RentMachines(body), lambda reply: self._on_reply(request, reply))
 
     def _on_reply(self, request: RentRequest, reply: CloudReply) -> None:
         if reply.outcome is CloudOutcome.UNKNOWN and request.tries < c.RENT_TRIES:
--- a/appledock/core/fleet/returns.py
+++ b/appledock/core/fleet/returns.py
@@ -8,7 +8,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import CloudOutcome, CloudReply
+from appledock.core.cloud_calls import CloudOutcome, DeleteMachines
+from appledock.core.commands import CloudReply
 from appledock.core.fleet.cloud import CloudCalls
 from appledock.core.fleet.cordons import Cordons
 from appledock.core.fleet.headroom import Headroom
@@ -217,7 +218,7 @@
                 # The cloud is in trouble: nothing should be placed there meanwhile.
                 item.since = self.engine.now - c.CORDON_S
                 self.cordons.announce(name, item.why)
-        self.cloud.call("delete", (names,), lambda reply: self._on_deleted(names, reply))
+        self.cloud.call(DeleteMachines(names), lambda reply: self._on_deleted(names, reply))
 
     def _on_deleted(self, names: list[str], reply: CloudReply) -> None:
         items = {name: self.returning[name] for name in names if name in self.returning}
--- a/appledock/core/jobs/cancellation_dissemination.py
+++ b/appledock/core/jobs/cancellation_dissemination.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from appledock import wire
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.messages import JobCancelled
 from appledock.core.records.job import Job
--- a/appledock/core/jobs/cancelled_task_halter.py
+++ b/appledock/core/jobs/cancelled_task_halter.py
@@ -11,7 +11,8 @@
 from typing import NamedTuple
 
 from appledock import constants, wire
-from appledock.core.events import WorkerCall, WorkerReply
+from appledock.core.commands import WorkerReply
+from appledock.core.effects import WorkerCall
 from appledock.core.records.job import split_task_name
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
--- a/appledock/core/jobs/cancelled_task_machines.py
+++ b/appledock/core/jobs/cancelled_task_machines.py
@@ -9,7 +9,9 @@
 from collections.abc import Callable
 
 from appledock import constants
-from appledock.core.events import CloudCall, CloudOutcome, CloudReply
+from appledock.core.cloud_calls import CloudOutcome, DeleteMachines
+from appledock.core.commands import CloudReply
+from appledock.core.effects import CloudCall
 from appledock.core.runtime import Runtime
 from appledock.core.workers import Workers
 
@@ -52,7 +54,7 @@
                     self._requested_at.pop(name, None)
 
         self._runtime.call(
-            lambda call_id: CloudCall(call_id, "delete", (due,), constants.CLOUD_TIMEOUT_S),
+            lambda call_id: CloudCall(call_id, DeleteMachines(due), constants.CLOUD_TIMEOUT_S),
             on_reply,
         )
 
--- a/appledock/core/jobs/stop_requests.py
+++ b/appledock/core/jobs/stop_requests.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.messages import StopTasks
--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from appledock import constants
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.membership.membership import Membership
 from appledock.core.messages import Heartbeat
 from appledock.core.runtime import Runtime
--- a/appledock/core/runtime.py
+++ b/appledock/core/runtime.py
@@ -7,12 +7,11 @@
 from typing import Any
 
 from appledock import constants
-from appledock.core.events import CloudReply, Effect, StoreReply, WorkerReply
+from appledock.core.commands import CallReply
+from appledock.core.effects import Effect
 from appledock.settings import Settings
 from appledock.settings import Team as TeamLimits
 
-Reply = StoreReply | CloudReply | WorkerReply
-
 
 class Runtime:
     """Clock, random source, settings and outbox of one controller.
@@ -63,7 +62,7 @@
         self._on_reply[self._last_call_id] = on_reply
         self.emit(make(self._last_call_id))
 
-    def resolve(self, reply: Reply) -> None:
+    def resolve(self, reply: CallReply) -> None:
         """Pass a reply to whoever made the call; an unknown call id is ignored."""
         on_reply = self._on_reply.pop(reply.call_id, None)
         if on_reply is not None:
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -19,7 +19,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.machines.capacity_index import StepReservation
 from appledock.core.machines.machine_capacity import is_allowed_on
 from appledock.core.messages import MoveEnded, MoveHeld, MoveMessage, MoveOrder, MoveRequested
--- a/appledock/core/store/client.py
+++ b/appledock/core/store/client.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 
 from appledock import constants, wire
-from appledock.core.events import StoreCall, StoreReply
+from appledock.core.commands import StoreReply
+from appledock.core.effects import StoreCall
 from appledock.core.runtime import Runtime
 from appledock.core.store.keys import key_kind
 from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
--- a/appledock/core/workers/command_pusher.py
+++ b/appledock/core/workers/command_pusher.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 
 from appledock import constants, wire
-from appledock.core.events import WorkerCall, WorkerOutcome, WorkerReply
+from appledock.core.commands import WorkerOutcome, WorkerReply
+from appledock.core.effects import WorkerCall
 from appledock.core.membership.membership import Membership
 from appledock.core.runtime import Runtime
 from appledock.core.workers.command_reconciler import CommandReconciler
--- a/appledock/core/workers/dissemination.py
+++ b/appledock/core/workers/dissemination.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 
 from appledock import constants, wire
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.messages import (
     AliveWorker,
     MachinesGone,
--- a/appledock/core/workers/heartbeat_responder.py
+++ b/appledock/core/workers/heartbeat_responder.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from appledock import wire
-from appledock.core.events import Reply
+from appledock.core.effects import Response
 from appledock.core.membership.membership import Membership
 from appledock.core.runtime import Runtime
 from appledock.core.workers.command_reconciler import CommandReconciler
@@ -50,10 +50,10 @@
         elif self.table.owns(report.worker):
             self._answer_as_owner(request_id, report)
         else:
-            self.runtime.emit(Reply(request_id, 421, self.redirects.redirect(report)))
+            self.runtime.emit(Response(request_id, 421, self.redirects.redirect(report)))
 
     def _refuse(self, request_id: int, reason: str) -> None:
-        self.runtime.emit(Reply(request_id, 503, {"error": reason}))
+        self.runtime.emit(Response(request_id, 503, {"error": reason}))
 
     def _ingest_without_authority(self, report: wire.Report) -> None:
         """Take in a heartbeat that may not be answered here.
@@ -80,4 +80,6 @@
             return
         commands = self.commands.commands_for(worker, pushed=False)
         worker.lease.renewable_until = max(worker.lease.renewable_until, self.runtime.now)
-        self.runtime.emit(Reply(request_id, 200, wire.ReportAnswer(self.membership.term, commands)))
+        self.runtime.emit(
+            Response(request_id, 200, wire.ReportAnswer(self.membership.term, commands))
+        )
--- a/appledock/core/workers/own_reachability.py
+++ b/appledock/core/workers/own_reachability.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from appledock import constants
-from appledock.core.events import WorkerCall, WorkerReply
+from appledock.core.commands import WorkerReply
+from appledock.core.effects import WorkerCall
 from appledock.core.membership.membership import Membership
 from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.runtime import Runtime
--- a/appledock/core/workers/probes.py
+++ b/appledock/core/workers/probes.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from appledock import constants
-from appledock.core.events import WorkerCall, WorkerReply
+from appledock.core.commands import WorkerReply
+from appledock.core.effects import WorkerCall
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
 from appledock.core.workers.heartbeat_intake import HeartbeatIntake
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -103,6 +103,8 @@
     allocations: ModuleType
     calls: ModuleType
     rebalancing_settings: ModuleType
+    effects: ModuleType
+    cloud_calls: ModuleType
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -206,10 +208,14 @@
     def kind(self, effect: Any) -> EffectKind:
         """Which kind of effect it is."""
         for name, kind in self.EFFECTS.items():
-            if isinstance(effect, getattr(self.events, name)):
+            if isinstance(effect, getattr(self.effect_types(), name)):
                 return kind
         raise TypeError(f"not an effect: {effect!r}")
 
+    def effect_types(self) -> ModuleType:
+        """The module of the effects' classes."""
+        return self.events
+
     def call_id(self, call: Any) -> int:
         """The number that the answer to the call has to carry."""
         return int(call.tag)
@@ -453,6 +459,17 @@
         "keys": "core.store.keys",
         "calls": "core.store_calls",
         "engine": "core.controller",
+        "events": "core.commands",
+        "effects": "core.effects",
+        "cloud_calls": "core.cloud_calls",
+    }
+    EFFECTS: ClassVar[dict[str, EffectKind]] = {
+        "Response": EffectKind.REPLY,
+        "StoreCall": EffectKind.STORE_CALL,
+        "CloudCall": EffectKind.CLOUD_CALL,
+        "WorkerCall": EffectKind.WORKER_CALL,
+        "PeerSend": EffectKind.PEER_SEND,
+        "SetLogLevel": EffectKind.LOG_LEVEL,
     }
 
     def controller(
@@ -510,7 +527,25 @@
         return self.events.StoreReply(self.call_id(call), self.store.classify(call, status, body))
 
     def cloud_reply(self, call: Any, outcome: str) -> Any:
-        return super().cloud_reply(call, self.events.CloudOutcome(outcome))
+        return super().cloud_reply(call, self.cloud_calls.CloudOutcome(outcome))
+
+    def cloud_answered(self, call: Any, status: int, body: bytes) -> Any:
+        return self.cloud.classify(call, status, body)
+
+    def cloud_request(self, call: Any) -> HttpCall:
+        return HttpCall(*self.cloud.build_request(call.request))
+
+    def effect_types(self) -> ModuleType:
+        return self.effects
+
+    def peer_opened(self, name: str) -> Any:
+        return self.events.PeerConnected(name)
+
+    def peer_message(self, message: dict[str, Any]) -> Any:
+        return self.events.PeerMessageReceived(message)
+
+    def worker_address(self, call: Any) -> str:
+        return str(call.address)
 
     def worker_reply(self, call: Any, outcome: str, report: dict[str, Any] | None = None) -> Any:
         return super().worker_reply(call, self.events.WorkerOutcome(outcome), report)
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -12,8 +12,9 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import events as ev
+from appledock.core.commands import Command, PeerConnected, Tick
 from appledock.core.controller import Controller
+from appledock.core.effects import PeerSend
 from appledock.core.fleet.demand import queued_demand
 from appledock.core.fleet.machines import Machines
 from appledock.core.membership.membership import MembershipState
@@ -163,11 +164,9 @@
         e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
             e.membership.store_answered_at
         ) = e.now
-        batch: list[ev.Command] = [ev.Tick()] if told else [ev.PeerOpened("n1")]
+        batch: list[Command] = [Tick()] if told else [PeerConnected("n1")]
         effects = e.handle(batch, e.now + c.TICK_S, 0.0)
-        messages = [
-            json.loads(wire.encode(x.message)) for x in effects if isinstance(x, ev.PeerSend)
-        ]
+        messages = [json.loads(wire.encode(x.message)) for x in effects if isinstance(x, PeerSend)]
         told |= {m["report"]["dockhand"] for m in messages if m["kind"] == "worker"}
         most = max(most, sum(len(frame(json.dumps(m).encode())) for m in messages))
     return most, len(told)
@@ -189,7 +188,7 @@
     e.workers.dissemination.on_peer_connected("n1")
     e.workers.dissemination.send_alive(list(e.workers.table), "n1")
     sizes = [
-        len(wire.encode(x.message)) for x in e.runtime.take_effects() if isinstance(x, ev.PeerSend)
+        len(wire.encode(x.message)) for x in e.runtime.take_effects() if isinstance(x, PeerSend)
     ]
     assert max(sizes) < c.PEER_FRAME_MAX / 2
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -9,8 +9,9 @@
 
 from appledock import constants as c
 from appledock.app import App
-from appledock.core import events as ev
-from appledock.core.events import StoreCall
+from appledock.core.cloud_calls import CloudOutcome, ListMachineTypes
+from appledock.core.commands import Tick, WorkerOutcome
+from appledock.core.effects import CloudCall, Effect, StoreCall, WorkerCall
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store_calls import GetKey, NotExecuted, RenewLease, StoreOutcome, UnknownOutcome
 from tests.standins.deployment import settings
@@ -26,11 +27,11 @@
     "make",
     [
         lambda call_id: StoreCall(call_id, GetKey("ad/live/view"), 1.0),
-        lambda call_id: ev.CloudCall(call_id, "types", (), 1.0),
-        lambda call_id: ev.WorkerCall(call_id, "10.0.0.9:70000", None, 1.0),
+        lambda call_id: CloudCall(call_id, ListMachineTypes(), 1.0),
+        lambda call_id: WorkerCall(call_id, "10.0.0.9:70000", None, 1.0),
     ],
 )
-def test_every_call_gets_an_answer(make: Callable[[int], ev.Effect]) -> None:
+def test_every_call_gets_an_answer(make: Callable[[int], Effect]) -> None:
     """A call whose end was never heard left its flag set: no renewal, proof, list or order
     was sent again until a restart."""
 
@@ -48,8 +49,8 @@
                 break
         assert answers in (
             [UnknownOutcome()],
-            [ev.CloudOutcome.UNKNOWN],
-            [ev.WorkerOutcome.NOT_SENT],
+            [CloudOutcome.UNKNOWN],
+            [WorkerOutcome.NOT_SENT],
         )
 
     asyncio.run(body())
@@ -60,7 +61,7 @@
     controller lost its lease, and the next owner of that job did as well."""
     e = leading()
     monkeypatch.setattr(e.reconciler, "tick", lambda: 1 / 0)
-    effects = e.handle([ev.Tick()], NOW + c.TOUCH_EVERY_S, 0.0)
+    effects = e.handle([Tick()], NOW + c.TOUCH_EVERY_S, 0.0)
     requests = [x.request for x in effects if isinstance(x, StoreCall)]
     assert any(isinstance(request, RenewLease) for request in requests)
 
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -7,8 +7,9 @@
 import pytest
 
 from appledock import wire
-from appledock.core import events as ev
 from appledock.core.api.status_polls import StatusPolls
+from appledock.core.commands import StoreReply, SubmitJob, Tick
+from appledock.core.effects import Effect, Response
 from appledock.core.records.dependencies import DependencyGraph
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.keys import FINAL, FORMAT, JOBS
@@ -311,8 +312,8 @@
     return e
 
 
-def replies(effects: list[ev.Effect]) -> list[ev.Reply]:
-    return [x for x in effects if isinstance(x, ev.Reply)]
+def replies(effects: list[Effect]) -> list[Response]:
+    return [x for x in effects if isinstance(x, Response)]
 
 
 @pytest.mark.parametrize(
@@ -345,17 +346,17 @@
 
 def test_a_job_never_accepted_gets_422_only_from_reads_that_succeeded() -> None:
     e = ready_engine()
-    effects = e.handle([ev.Submit(1, spec(tethers=["job-7"]))], 100.0, 0.0)
+    effects = e.handle([SubmitJob(1, spec(tethers=["job-7"]))], 100.0, 0.0)
     (read,) = calls(effects, GetKey)
     assert read.request == GetKey(JOBS + "job-7")
-    effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(5))], 100.0, 0.0)
+    effects = e.handle([StoreReply(read.call_id, wire.Missing(5))], 100.0, 0.0)
     (read,) = calls(effects, GetKey)
     assert read.request == GetKey(FINAL + "job-7")
-    effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(5))], 100.0, 0.0)
+    effects = e.handle([StoreReply(read.call_id, wire.Missing(5))], 100.0, 0.0)
     assert not replies(effects)  # it may have been accepted itself, long ago
-    effects = e.handle([ev.Tick()], 100.2, 0.0)
+    effects = e.handle([Tick()], 100.2, 0.0)
     proof = next(x for x in calls(effects, Transaction) if not x.request.writes)
-    effects = e.handle([ev.StoreReply(proof.call_id, wire.Committed(6))], 100.3, 0.0)
+    effects = e.handle([StoreReply(proof.call_id, wire.Committed(6))], 100.3, 0.0)
     assert [reply.status for reply in replies(effects)] == [422]
 
 
@@ -363,18 +364,18 @@
     """Its owner saw it in the watch and ended it with its need; so did this controller."""
     e = ready_engine()
     e.replica.add_final("job-7", wire.CANCELLED)
-    (create,) = calls(e.handle([ev.Submit(1, spec(tethers=["job-7"]))], 100.0, 0.0), Transaction)
+    (create,) = calls(e.handle([SubmitJob(1, spec(tethers=["job-7"]))], 100.0, 0.0), Transaction)
     (write,) = create.request.writes
     e.replica.put(write.key, write.value, 5)
     e.replica.drop(write.key, 6)
-    effects = e.handle([ev.StoreReply(create.call_id, wire.Committed(5))], 100.2, 0.0)
+    effects = e.handle([StoreReply(create.call_id, wire.Committed(5))], 100.2, 0.0)
     assert replies(effects) == []
     (read,) = calls(effects, GetKey)
-    effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(7))], 100.2, 0.0)
+    effects = e.handle([StoreReply(read.call_id, wire.Missing(7))], 100.2, 0.0)
     (read,) = calls(effects, GetKey)
     assert read.request == GetKey(FINAL + "job-000001")
     row = wire.Row(read.request.key, {"state": wire.CANCELLED}, 6)
-    (reply,) = replies(e.handle([ev.StoreReply(read.call_id, row)], 100.3, 0.0))
+    (reply,) = replies(e.handle([StoreReply(read.call_id, row)], 100.3, 0.0))
     assert (reply.status, reply.body.state) == (200, wire.CANCELLED)
 
 
@@ -383,25 +384,25 @@
     outcome: NotExecuted | UnknownOutcome,
 ) -> None:
     e = ready_engine()
-    effects = e.handle([ev.Submit(1, spec(tethers=["job-7"]))], 100.0, 0.0)
-    effects = e.handle([ev.StoreReply(calls(effects, GetKey)[0].call_id, outcome)], 100.0, 0.0)
+    effects = e.handle([SubmitJob(1, spec(tethers=["job-7"]))], 100.0, 0.0)
+    effects = e.handle([StoreReply(calls(effects, GetKey)[0].call_id, outcome)], 100.0, 0.0)
     (reply,) = replies(effects)
     assert reply.status == 503 and reply.headers == {"Retry-After": "1"}
 
 
 def test_before_all_nodes_know_dependencies_nothing_is_asked_of_the_old_ones() -> None:
     e = engine()
-    (reply,) = replies(e.handle([ev.Submit(1, spec(tethers=["job-7"]))], 100.0, 0.0))
+    (reply,) = replies(e.handle([SubmitJob(1, spec(tethers=["job-7"]))], 100.0, 0.0))
     assert reply.status == 503 and reply.headers == {"Retry-After": "1"}
 
 
 def test_more_needs_than_a_record_holds_are_refused() -> None:
     e = ready_engine()
     needs = [f"job-{number:09d}" for number in range(900)]
-    e.handle([ev.Submit(1, spec(tethers=needs))], 100.0, 0.0)
-    effects = e.handle([ev.Tick()], 100.2, 0.0)
+    e.handle([SubmitJob(1, spec(tethers=needs))], 100.0, 0.0)
+    effects = e.handle([Tick()], 100.2, 0.0)
     proof = next(x for x in calls(effects, Transaction) if not x.request.writes)
-    effects = e.handle([ev.StoreReply(proof.call_id, wire.Committed(6))], 100.3, 0.0)
+    effects = e.handle([StoreReply(proof.call_id, wire.Committed(6))], 100.3, 0.0)
     assert [(reply.status, reply.body) for reply in replies(effects)] == [
         (400, {"error": "needs: more than the record can hold"})
     ]
@@ -414,12 +415,12 @@
     assert "job-2" not in e.replica.queued_jobs and e.replica.dependencies.has_unknown_outcome(
         "job-2"
     )
-    effects = e.handle([ev.Tick()], 100.1, 0.0)
+    effects = e.handle([Tick()], 100.1, 0.0)
     read = next(x for x in calls(effects, GetKey) if x.request.key.startswith(JOBS))
-    effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(9))], 100.2, 0.0)
+    effects = e.handle([StoreReply(read.call_id, wire.Missing(9))], 100.2, 0.0)
     read = next(x for x in calls(effects, GetKey) if x.request == GetKey(FINAL + "job-1"))
     e.handle(
-        [ev.StoreReply(read.call_id, wire.Row(FINAL + "job-1", {"state": "done"}, 2))], 100.3, 0.0
+        [StoreReply(read.call_id, wire.Row(FINAL + "job-1", {"state": "done"}, 2))], 100.3, 0.0
     )
     assert "job-2" in e.replica.queued_jobs
     assert e.queue_order.ready_at["job-2"] == e.wall
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -19,7 +19,8 @@
 from appledock.console.link import Link
 from appledock.console.rows import Changes, ClusterRow, ControllerRow, Row, TeamRow, WorkerRow
 from appledock.console.screen import Console
-from appledock.core import events as ev
+from appledock.core.commands import AdminRequest, HeartbeatReceived
+from appledock.core.effects import Response
 from appledock.net.http import NotSent
 from tests.standins.spreading import crowded, rules
 from tests.test_launches import NOW, leading, report
@@ -218,7 +219,7 @@
 # --- controllers and command line --------------------------------------------
 def test_a_controller_tells_rows_whether_load_is_spread_or_not() -> None:
     engine = leading()
-    engine.handle([ev.Reported(1, report(1))], NOW, 0.0)
+    engine.handle([HeartbeatReceived(1, report(1))], NOW, 0.0)
     told = engine.admin.feed.since("-", 0, 100)
     assert told.full and not told.more and told.rows["cluster/"][4] == "off"
     assert told.rows["worker/vm-1"][:2] == ["n0", 0.0]
@@ -235,8 +236,8 @@
 def test_wrong_questions_get_400_and_change_nothing() -> None:
     engine = leading()
     for path in (("x", "-1", "5"), ("x", "0", "0"), ("x", "0", "501"), ("x", "0", "many")):
-        (reply,) = engine.handle([ev.Admin(1, "GET", ("changes", *path), None)], NOW, 0.0)
-        assert isinstance(reply, ev.Reply) and reply.status == 400
+        (reply,) = engine.handle([AdminRequest(1, "GET", ("changes", *path), None)], NOW, 0.0)
+        assert isinstance(reply, Response) and reply.status == 400
         assert "ROWS from 1 to 500" in reply.body["error"]
 
 
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -9,8 +9,10 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import events as ev
+from appledock.core.cloud_calls import CloudOutcome
+from appledock.core.commands import CloudReply, HeartbeatReceived, PeerMessageReceived, Tick
 from appledock.core.controller import Controller
+from appledock.core.effects import Effect, PeerSend
 from appledock.core.fleet import Returning
 from appledock.core.store.keys import CATALOGUE
 from appledock.core.store_calls import Transaction
@@ -19,25 +21,25 @@
 IDLE = {"kind": "cordon", "worker": "vm-1", "why": "idle"}
 
 
-def live_on(e: Controller, seconds: float) -> list[ev.Effect]:
+def live_on(e: Controller, seconds: float) -> list[Effect]:
     """The machine goes on reporting, the controller keeps its authority."""
-    effects: list[ev.Effect] = []
+    effects: list[Effect] = []
     for step in range(int(seconds)):
         e.membership.lease_renewed_at = e.membership.view_confirmed_at = NOW + step
         seq = e.workers.table["vm-1"].status.newest.seq + 1
-        effects += e.handle([ev.Reported(seq, report(seq)), ev.Tick()], NOW + step, 0.0)
+        effects += e.handle([HeartbeatReceived(seq, report(seq)), Tick()], NOW + step, 0.0)
     return effects
 
 
 def said(e: Controller) -> list[Any]:
     """What the peers are told now, as it comes to them."""
     effects = e.handle([], NOW, 0.0)
-    return [json.loads(wire.encode(x.message)) for x in effects if isinstance(x, ev.PeerSend)]
+    return [json.loads(wire.encode(x.message)) for x in effects if isinstance(x, PeerSend)]
 
 
 def follower() -> Controller:
     e = leading()
-    e.handle([ev.Reported(1, report(1))], NOW, 0.0)
+    e.handle([HeartbeatReceived(1, report(1))], NOW, 0.0)
     view = e.replica.view
     assert view is not None
     view.leader = "n1"
@@ -48,7 +50,7 @@
     """The leader ended within the second of a cordon, or a link lost the word that ended
     it: with a service on it, the rest of the machine's room was lost for ever."""
     e = follower()
-    e.handle([ev.PeerMessage(IDLE)], NOW, 0.0)
+    e.handle([PeerMessageReceived(IDLE)], NOW, 0.0)
     live_on(e, c.CORDON_LAPSE_S)
     assert not e.eligibility.is_eligible(e.workers.table["vm-1"])
     live_on(e, c.CORDON_LAPSE_S + 3)
@@ -71,7 +73,7 @@
 
 def test_while_the_cloud_is_in_trouble_the_leader_repeats_its_cordons() -> None:
     e = leading()
-    e.handle([ev.Reported(1, report(1))], NOW, 0.0)
+    e.handle([HeartbeatReceived(1, report(1))], NOW, 0.0)
     e.fleet.returns.returning["vm-1"] = Returning(NOW - 10, "idle")
     e.fleet.returns.delete(["vm-1"])
     assert IDLE in said(e)
@@ -86,7 +88,7 @@
     kind = wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])
 
     def written(types: list[wire.MachineType]) -> bool:
-        catalogue._on_types(ev.CloudReply(0, ev.CloudOutcome.OK, wire.MachineTypes(types)))
+        catalogue._on_types(CloudReply(0, CloudOutcome.OK, wire.MachineTypes(types)))
         plans = [
             call.request
             for queue in e.client.limiter.queues
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -137,7 +137,7 @@
         for name, node in self.world.nodes.items():
             for peer in self.world.names:
                 if peer != name:
-                    node.push(node.runs.events.PeerOpened(peer))
+                    node.push(node.runs.peer_opened(peer))
         self.world.clock.run(self.world.clock.now + 0.02)
         return [message for message in self.recorder.messages if message["kind"] == kind]
 
@@ -193,7 +193,7 @@
     for pulse in kept(version)["messages"]["pulse"]:
         node = next(node for name, node in told.world.nodes.items() if name != pulse["node"])
         code, controller = node.runs, node.engine
-        controller.handle([code.events.PeerMessage(pulse)], controller.now, controller.wall)
+        controller.handle([code.peer_message(pulse)], controller.now, controller.wall)
         assert code.hears(controller, pulse["node"])
         assert {"kind": "pulse", **code.told_by(controller, pulse["node"])} == pulse
 
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -12,9 +12,10 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import events as ev
 from appledock.core.api.user_requests import UserRequests
+from appledock.core.commands import HeartbeatReceived, PeerMessageReceived
 from appledock.core.controller import Controller
+from appledock.core.effects import PeerSend, StoreCall
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import MembershipState
 from appledock.core.messages import Heartbeat
@@ -157,8 +158,8 @@
     e.workers.ingest_heartbeat(report("vm-1", 50))
     e.workers.on_peer_connected("n1")
     for effect in e.runtime.take_effects():
-        assert isinstance(effect, ev.PeerSend)
-        fresh.handle([ev.PeerMessage(json.loads(wire.encode(effect.message)))], fresh.now, 0.0)
+        assert isinstance(effect, PeerSend)
+        fresh.handle([PeerMessageReceived(json.loads(wire.encode(effect.message)))], fresh.now, 0.0)
     assert not fresh.workers.ingest_heartbeat(report("vm-1", 49))
     assert fresh.workers.ingest_heartbeat(report("vm-1", 51))
 
@@ -189,7 +190,7 @@
         e.workers.ingest_heartbeat(report(name, 50))
         for step in range(12):
             e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
-            e.handle([ev.Reported(step, report(name, 20 + step))], e.now + 0.9, 0.0)
+            e.handle([HeartbeatReceived(step, report(name, 20 + step))], e.now + 0.9, 0.0)
         return e.view_requests.overrides
 
     assert wanted() == {}
@@ -381,7 +382,7 @@
     plans = [
         x.request
         for x in effects
-        if isinstance(x, ev.StoreCall) and isinstance(x.request, Transaction)
+        if isinstance(x, StoreCall) and isinstance(x.request, Transaction)
     ]
     puts = [put.value for plan in plans for put in plan.writes if put.key == JOBS + job_id]
     assert len(puts) == 1
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -6,7 +6,8 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import events as ev
+from appledock.core.commands import Command, PeerMessageReceived, Tick
+from appledock.core.effects import Effect, StoreCall
 from appledock.core.records.job import HandoffTarget, Job
 from appledock.core.store_calls import Put, Transaction
 from tests.standins.world import World
@@ -120,13 +121,13 @@
     e.replica.set_job(
         Job(spec(owner="red", crates=2), e.wall, 5, handoff_target=HandoffTarget("n0", "x.1"))
     )
-    seen: list[ev.Effect] = []
+    seen: list[Effect] = []
     for tick in range(int(seconds / c.TICK_S)):
         e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
-        batch: list[ev.Command] = [ev.Tick()]
+        batch: list[Command] = [Tick()]
         if tick % 20 == 0:  # its reports come, and show nothing new
             batch.append(
-                ev.PeerMessage(
+                PeerMessageReceived(
                     {
                         "kind": "worker",
                         "well_s": 0.0,
@@ -148,7 +149,7 @@
     writes = [
         write
         for effect in seen
-        if isinstance(effect, ev.StoreCall) and isinstance(effect.request, Transaction)
+        if isinstance(effect, StoreCall) and isinstance(effect.request, Transaction)
         for write in effect.request.writes
         if isinstance(write, Put)
     ]
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -9,8 +9,9 @@
 import pytest
 
 from appledock import wire
-from appledock.core import events as ev
 from appledock.core import messages
+from appledock.core.commands import Command, PeerMessageReceived
+from appledock.core.effects import Response
 from tests.test_launches import NOW, leading, report
 
 ORDER = messages.MoveOrder("n1", 3, 7, "job-1", 0, 2, "vm-1", "vm-2", 0.5)
@@ -113,10 +114,10 @@
                 e = leading()
                 caplog.clear()
                 good = {"kind": "gone", "machines": ["vm-9"]}
-                batch: list[ev.Command] = [ev.PeerMessage(message), ev.PeerMessage(good)]
+                batch: list[Command] = [PeerMessageReceived(message), PeerMessageReceived(good)]
                 effects = e.handle(batch, NOW, 0.0)
                 assert [x.levelno for x in caplog.records] == [logging.WARNING], message
                 assert "malformed message" in caplog.text and body["kind"] in caplog.text
                 assert set(e.workers.deleted_machines) == {"vm-9"} and not e.workers.table
                 assert not e.fleet.machines.rentals and not e.heartbeats.last_heartbeats
-                assert not any(isinstance(x, ev.Reply) for x in effects)
+                assert not any(isinstance(x, Response) for x in effects)
--- a/tests/test_old_words.py
+++ b/tests/test_old_words.py
@@ -6,7 +6,9 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.core import events as ev
+from appledock.core.cloud_calls import DeleteMachines
+from appledock.core.commands import HeartbeatReceived, PeerMessageReceived, Tick
+from appledock.core.effects import CloudCall
 from appledock.core.fleet import Returning
 from appledock.core.messages import AliveWorker, WorkersAlive
 from appledock.core.records.job import HandoffTarget
@@ -18,11 +20,11 @@
     """Rows of deleted machines stayed for ever, silent: with enough of them the leader took
     every trouble for its own and deleted no silent machine any more."""
     e = leading()
-    e.handle([ev.Reported(1, report(1))], NOW, 0.0)
+    e.handle([HeartbeatReceived(1, report(1))], NOW, 0.0)
     assert e.fleet.returns.silence.calm()
     e.workers.mark_deleted(["vm-1"])
     if direct:  # to the controller itself, or as the late answer to a question
-        e.handle([ev.Reported(2, report(2))], NOW + 1, 0.0)
+        e.handle([HeartbeatReceived(2, report(2))], NOW + 1, 0.0)
     else:
         e.workers.ingest_heartbeat(report(2))
     assert "vm-1" not in e.workers.table
@@ -54,9 +56,9 @@
     job = running(e, 3)
     job.handoff_target = HandoffTarget("n1", "y")
     stop = {"kind": "stop", "job": job.id, "machine": "vm-1", "tasks": [0]}
-    e.handle([ev.PeerMessage(stop)], NOW, 0.0)
+    e.handle([PeerMessageReceived(stop)], NOW, 0.0)
     job.handoff_target = HandoffTarget("n0", "x.1")
-    e.handle([ev.PeerMessage(stop)], NOW, 0.0)
+    e.handle([PeerMessageReceived(stop)], NOW, 0.0)
     assert [bool(e.stop_requests.pending), bool(e.job_writer.queued_calls)] == [
         False,
         True,
@@ -64,25 +66,27 @@
     del e.job_writer.queued_calls[job.id]
     e.job_writer.jobs_in_flight.clear()
     job.handoff_target = HandoffTarget("n1", "y")
-    e.handle([ev.PeerMessage(stop)], NOW + 1, 0.0)
+    e.handle([PeerMessageReceived(stop)], NOW + 1, 0.0)
     job.handoff_target = HandoffTarget("n0", "x.1")
     e.reconcile_queue.jobs.add(job.id)
-    e.handle([ev.Tick()], NOW + 2, 0.0)
+    e.handle([Tick()], NOW + 2, 0.0)
     assert not e.job_writer.queued_calls
 
 
 @pytest.mark.parametrize("why", ["mute", "silent", "never came up", "failed"])
 def test_a_machine_that_is_well_again_is_not_deleted_when_the_cloud_answers(why: str) -> None:
     e = leading()
-    e.handle([ev.Reported(1, report(1))], NOW, 0.0)
+    e.handle([HeartbeatReceived(1, report(1))], NOW, 0.0)
     e.fleet.led_since = NOW - 100
     e.fleet.returns.returning["vm-1"] = Returning(NOW - c.CORDON_S, why, True)
     e.fleet.cloud.paused_until = NOW + 5  # the cloud is down; meanwhile the machine goes on
     for seq in range(2, 6):
-        e.handle([ev.Reported(seq, report(seq))], NOW + seq, 0.0)
+        e.handle([HeartbeatReceived(seq, report(seq))], NOW + seq, 0.0)
     e.fleet._return([])
     deletes = [
-        x for x in e.handle([], NOW + 6, 0.0) if isinstance(x, ev.CloudCall) and x.op == "delete"
+        x
+        for x in e.handle([], NOW + 6, 0.0)
+        if isinstance(x, CloudCall) and isinstance(x.request, DeleteMachines)
     ]
     assert bool(deletes) is (why == "failed")
 
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -5,7 +5,8 @@
 import pytest
 
 from appledock import wire
-from appledock.core import events as ev
+from appledock.core.commands import GetJobState, Tick
+from appledock.core.effects import StoreCall
 from appledock.core.fleet import Fleet
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.quota.resources import Resources
@@ -86,6 +87,6 @@
 def test_users_are_answered_whatever_fails_in_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     e = leading()
     monkeypatch.setattr(Fleet, "tick", lambda self: 1 / 0)
-    effects = e.handle([ev.Poll(1, "job-000009"), ev.Tick()], NOW, 0.0)
-    requests = [x.request for x in effects if isinstance(x, ev.StoreCall)]
+    effects = e.handle([GetJobState(1, "job-000009"), Tick()], NOW, 0.0)
+    requests = [x.request for x in effects if isinstance(x, StoreCall)]
     assert sum(isinstance(request, Transaction) for request in requests) == 1
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -9,9 +9,10 @@
 
 from appledock import wire
 from appledock.adapters import users
-from appledock.core import events as ev
 from appledock.core.api.submission_check import MACHINE_TYPES_UNKNOWN, SubmissionCheck
+from appledock.core.commands import CancelJob, GetJobState, StoreReply, SubmitJob, Tick
 from appledock.core.controller import Controller
+from appledock.core.effects import Effect, Response, StoreCall
 from appledock.core.records.job import Job
 from appledock.core.store.keys import FINAL, FORMAT, JOBS, TEAMS
 from appledock.core.store.rate_limiter import Priority
@@ -54,14 +55,14 @@
     return SubmissionCheck(e.runtime, e.client, e.codec, e.machine_types)
 
 
-def calls(effects: list[ev.Effect], kind: type) -> list[ev.StoreCall]:
-    return [x for x in effects if isinstance(x, ev.StoreCall) and isinstance(x.request, kind)]
+def calls(effects: list[Effect], kind: type) -> list[StoreCall]:
+    return [x for x in effects if isinstance(x, StoreCall) and isinstance(x.request, kind)]
 
 
 def spec(**changes: object) -> wire.JobSpec:
     body = wire.encode({**SPEC, **changes})
     command = users.command(1, "POST", "/v2/runs", body)
-    assert isinstance(command, ev.Submit)
+    assert isinstance(command, SubmitJob)
     return command.spec
 
 
@@ -146,19 +147,19 @@
     """Refused only once it is proven that nobody accepted it before."""
     e = engine()
     asked = spec(hulls=["h4", *(f"g{number}" for number in range(900))])
-    effects = e.handle([ev.Submit(1, asked)], 100.0, 0.0)
-    assert not any(isinstance(x, ev.Reply) for x in effects)
-    effects = e.handle([ev.Tick()], 100.2, 0.0)
+    effects = e.handle([SubmitJob(1, asked)], 100.0, 0.0)
+    assert not any(isinstance(x, Response) for x in effects)
+    effects = e.handle([Tick()], 100.2, 0.0)
     proof = next(x for x in calls(effects, Transaction) if not x.request.writes)
     assert set(proof.request.conditions) == {JOBS + asked.id, FINAL + asked.id}
-    effects = e.handle([ev.StoreReply(proof.call_id, wire.Committed(1))], 100.3, 0.0)
-    (reply,) = (x for x in effects if isinstance(x, ev.Reply))
+    effects = e.handle([StoreReply(proof.call_id, wire.Committed(1))], 100.3, 0.0)
+    (reply,) = (x for x in effects if isinstance(x, Response))
     assert reply.status == 422
 
 
 def test_unknown_fields_are_ignored_and_absent_is_null() -> None:
     body = {k: v for k, v in SPEC.items() if v is not None}
-    assert users.command(1, "POST", "/v2/runs", wire.encode({**body, "new": 1})) == ev.Submit(
+    assert users.command(1, "POST", "/v2/runs", wire.encode({**body, "new": 1})) == SubmitJob(
         1, spec()
     )
 
@@ -185,8 +186,8 @@
 def test_open_record_is_read_before_the_final_one() -> None:
     """Read at the same time, a job ending in between showed in neither: 404."""
     e = engine()
-    e.handle([ev.Cancel(1, "job-000001")], 100.0, 0.0)
-    effects = e.handle([ev.Tick()], 100.1, 0.0)
+    e.handle([CancelJob(1, "job-000001")], 100.0, 0.0)
+    effects = e.handle([Tick()], 100.1, 0.0)
     first = calls(effects, GetKey)
     assert [x.request for x in first] == [GetKey(JOBS + "job-000001")] or not first
 
@@ -195,24 +196,24 @@
     """The drop of the open record came first, and the final state was ignored."""
     e = engine()
     e.reader.watching = False
-    effects = e.handle([ev.Tick()], 101.0, 0.0)
+    effects = e.handle([Tick()], 101.0, 0.0)
     (watch,) = calls(effects, WatchKeys)
     events = [
         wire.Event(7, delete=JOBS + "job-000001"),
         wire.Event(7, put=FINAL + "job-000001", value={"state": "done"}),
     ]
-    e.handle([ev.StoreReply(watch.call_id, wire.Watched(7, events))], 101.1, 0.0)
-    effects = e.handle([ev.Poll(5, "job-000001")], 101.2, 0.0)
-    (reply,) = (x for x in effects if isinstance(x, ev.Reply))
+    e.handle([StoreReply(watch.call_id, wire.Watched(7, events))], 101.1, 0.0)
+    effects = e.handle([GetJobState(5, "job-000001")], 101.2, 0.0)
+    (reply,) = (x for x in effects if isinstance(x, Response))
     assert (reply.status, reply.body.state) == (200, "done")
 
 
 def test_given_up_requests_are_answered_at_once_with_retry_after() -> None:
     e = engine()
-    effects = e.handle([ev.Submit(1, spec())], 100.0, 0.0)
+    effects = e.handle([SubmitJob(1, spec())], 100.0, 0.0)
     (txn,) = calls(effects, Transaction)
-    effects = e.handle([ev.StoreReply(txn.call_id, NotExecuted())], 100.01, 0.0)
-    (reply,) = (x for x in effects if isinstance(x, ev.Reply))
+    effects = e.handle([StoreReply(txn.call_id, NotExecuted())], 100.01, 0.0)
+    (reply,) = (x for x in effects if isinstance(x, Response))
     assert reply.status == 503
     assert reply.headers == {"Retry-After": "1"}
 
@@ -226,40 +227,40 @@
     )
     call = calls(e.handle([], 100.0, 0.0), Transaction)[0]
     e.handle(
-        [ev.StoreReply(call.call_id, wire.Conflict(list(call.request.conditions)))],
+        [StoreReply(call.call_id, wire.Conflict(list(call.request.conditions)))],
         100.1,
         0.0,
     )
     assert e.client.conflicts == {"teams": 1, "final": 1}
 
 
-def interleaved(e: Controller, effects: list[ev.Effect], job: str) -> list[ev.Effect]:
+def interleaved(e: Controller, effects: list[Effect], job: str) -> list[Effect]:
     """The job's open record is read and is there. Before its final one is read and is not,
     the job ends, and the read of another request shows that the open record is gone."""
     (read,) = calls(effects, GetKey)
     assert read.request == GetKey(JOBS + job)
     record = wire.encode(Job(spec(id=job), 0.0, 5).encode())
     row = wire.Row(JOBS + job, msgspec.json.decode(record), 5)
-    effects = e.handle([ev.StoreReply(read.call_id, row)], 100.3, 0.0)
+    effects = e.handle([StoreReply(read.call_id, row)], 100.3, 0.0)
     (read,) = calls(effects, GetKey)
     assert read.request == GetKey(FINAL + job)
     e.replica.drop(JOBS + job, 7)
-    return e.handle([ev.StoreReply(read.call_id, wire.Missing(6))], 100.4, 0.0)
+    return e.handle([StoreReply(read.call_id, wire.Missing(6))], 100.4, 0.0)
 
 
-def read_again(e: Controller, effects: list[ev.Effect], job: str) -> list[ev.Effect]:
+def read_again(e: Controller, effects: list[Effect], job: str) -> list[Effect]:
     """Nobody was told anything; both records are read once more."""
-    assert not [x for x in effects if isinstance(x, ev.Reply)]
+    assert not [x for x in effects if isinstance(x, Response)]
     (read,) = calls(effects, GetKey)
     assert read.request == GetKey(JOBS + job)
-    effects = e.handle([ev.StoreReply(read.call_id, wire.Missing(8))], 100.5, 0.0)
+    effects = e.handle([StoreReply(read.call_id, wire.Missing(8))], 100.5, 0.0)
     (read,) = calls(effects, GetKey)
     row = wire.Row(FINAL + job, {"state": wire.CANCELLED}, 7)
-    return e.handle([ev.StoreReply(read.call_id, row)], 100.6, 0.0)
+    return e.handle([StoreReply(read.call_id, row)], 100.6, 0.0)
 
 
-def status_of(effects: list[ev.Effect]) -> list[int]:
-    return [x.status for x in effects if isinstance(x, ev.Reply)]
+def status_of(effects: list[Effect]) -> list[int]:
+    return [x.status for x in effects if isinstance(x, Response)]
 
 
 def test_a_poll_whose_read_is_overtaken_by_the_jobs_end_is_not_answered_404() -> None:
@@ -267,17 +268,17 @@
     open record was gone met the first one's that there was no final one yet."""
     e = engine()
     e.replica.set_job(Job(spec(), 0.0, 3))
-    e.handle([ev.Poll(1, "job-000001")], 100.0, 0.0)
-    (proof,) = calls(e.handle([ev.Tick()], 100.2, 0.0), Transaction)
+    e.handle([GetJobState(1, "job-000001")], 100.0, 0.0)
+    (proof,) = calls(e.handle([Tick()], 100.2, 0.0), Transaction)
     conflict = wire.Conflict([JOBS + "job-000001"], 5)
-    effects = e.handle([ev.StoreReply(proof.call_id, conflict)], 100.25, 0.0)
+    effects = e.handle([StoreReply(proof.call_id, conflict)], 100.25, 0.0)
     effects = interleaved(e, effects, "job-000001")
     assert status_of(read_again(e, effects, "job-000001")) == [200]
 
 
 def test_a_cancellation_whose_read_is_overtaken_by_the_jobs_end_is_not_answered_404() -> None:
     e = engine()
-    effects = e.handle([ev.Cancel(1, "job-000001")], 100.2, 0.0)
+    effects = e.handle([CancelJob(1, "job-000001")], 100.2, 0.0)
     effects = interleaved(e, effects, "job-000001")
     assert status_of(read_again(e, effects, "job-000001")) == [200]
 
@@ -285,7 +286,7 @@
 def test_a_need_that_ends_while_it_is_read_was_accepted_all_the_same() -> None:
     e = engine()
     e.replica.put(FORMAT, {"format": 2}, 1)
-    effects = e.handle([ev.Submit(1, spec(tethers=["job-7"]))], 100.2, 0.0)
+    effects = e.handle([SubmitJob(1, spec(tethers=["job-7"]))], 100.2, 0.0)
     effects = interleaved(e, effects, "job-7")
     (creation,) = calls(read_again(e, effects, "job-7"), Transaction)
     assert [write.key for write in creation.request.writes] == [JOBS + "job-000001"]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,7 @@
 import pytest
 
 from appledock import wire
-from appledock.core import events as ev
+from appledock.core.commands import StoreReply
 from appledock.core.membership.format_upgrade import NEWEST_FORMAT
 from appledock.core.records.job import Attempt, Job
 from appledock.core.records.membership_view import View
@@ -224,7 +224,7 @@
             {"kind": "pulse", "node": "n1", "served_s": 0.1, "new": [1]},
             {"kind": "pulse", "node": "n1", "served_s": 0.1},
         ):
-            one.handle([code.events.PeerMessage(message)], 100.0, 0.0)
+            one.handle([code.peer_message(message)], 100.0, 0.0)
         assert code.hears(one, "n1")
 
 
@@ -342,7 +342,7 @@
             plan = call.request
             if any(getattr(write, "key", "") == JOBS + name for write in plan.writes):
                 tries.append(e.now)
-                e.handle([ev.StoreReply(call.call_id, Rejected())], e.now, e.wall)
+                e.handle([StoreReply(call.call_id, Rejected())], e.now, e.wall)
                 bounds.add(e.client.max_value_bytes)
     assert 3 <= len(tries) <= 8
     gaps = [later - earlier for earlier, later in zip(tries, tries[1:], strict=False)]
--- a/tests/unit/api/test_open_requests.py
+++ b/tests/unit/api/test_open_requests.py
@@ -8,7 +8,7 @@
 
 from appledock import constants, wire
 from appledock.core.api.open_requests import NO_SUCH_JOB, OpenRequests
-from appledock.core.events import Reply
+from appledock.core.effects import Response
 from appledock.core.runtime import Runtime
 from appledock.core.store.reader import StateReader
 from tests.standins.deployment import settings
@@ -22,8 +22,8 @@
 
 def replies(runtime: Runtime) -> list[tuple[int, Any, Any]]:
     effects = runtime.take_effects()
-    assert all(isinstance(effect, Reply) for effect in effects)
-    return [(x.status, x.body, x.headers) for x in effects if isinstance(x, Reply)]
+    assert all(isinstance(effect, Response) for effect in effects)
+    return [(x.status, x.body, x.headers) for x in effects if isinstance(x, Response)]
 
 
 def test_a_request_gets_one_final_answer() -> None:
--- a/tests/unit/api/test_status_polls.py
+++ b/tests/unit/api/test_status_polls.py
@@ -10,7 +10,8 @@
 from appledock.core.api.job_states import JobStates
 from appledock.core.api.open_requests import NO_SUCH_JOB, OpenRequests
 from appledock.core.api.status_polls import PendingRequest, StatusPolls
-from appledock.core.events import Reply, StoreCall, StoreReply
+from appledock.core.commands import StoreReply
+from appledock.core.effects import Response, StoreCall
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
@@ -59,7 +60,7 @@
     def replies(self, call: StoreCall, outcome: StoreOutcome) -> dict[int, int]:
         """Request -> status that it is answered after the call's outcome."""
         self.runtime.resolve(StoreReply(call.call_id, outcome))
-        replies = [x for x in self.runtime.take_effects() if isinstance(x, Reply)]
+        replies = [x for x in self.runtime.take_effects() if isinstance(x, Response)]
         return {reply.request_id: reply.status for reply in replies}
 
 
@@ -78,5 +79,5 @@
     polls = Polls()
     polls.replica.put(FINAL + "job-1", {"state": "done"}, 3)
     polls.poll(1, "job-1")
-    assert [type(effect) for effect in polls.runtime.take_effects()] == [Reply]
+    assert [type(effect) for effect in polls.runtime.take_effects()] == [Response]
     assert polls.calls() == []
--- a/tests/unit/jobs/test_stop_requests.py
+++ b/tests/unit/jobs/test_stop_requests.py
@@ -5,7 +5,7 @@
 import random
 from typing import cast
 
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.jobs.writer import JobWriter
--- a/tests/unit/membership/test_heartbeats.py
+++ b/tests/unit/membership/test_heartbeats.py
@@ -5,7 +5,7 @@
 import random
 
 from appledock import constants
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.membership.heartbeats import Heartbeats, LocalStatus
 from appledock.core.membership.membership import Membership
 from appledock.core.messages import Heartbeat
--- a/tests/unit/store/test_reader.py
+++ b/tests/unit/store/test_reader.py
@@ -5,7 +5,8 @@
 import random
 
 from appledock import wire
-from appledock.core.events import StoreCall, StoreReply
+from appledock.core.commands import StoreReply
+from appledock.core.effects import StoreCall
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import FINAL, JOBS, MEMBERS
--- a/tests/unit/workers/test_heartbeat_intake.py
+++ b/tests/unit/workers/test_heartbeat_intake.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from appledock import wire
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.messages import WorkerReported
 from tests.unit.workers.parts import MACHINE, Parts, heartbeat, task
 
--- a/tests/unit/workers/test_lease_expiry.py
+++ b/tests/unit/workers/test_lease_expiry.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from appledock import constants
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.messages import SessionLapsed
 from appledock.core.records.membership_view import View
 from appledock.core.workers.lease_expiry import LeaseExpiry
