--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -173,10 +173,10 @@
         message = messages.decode(body)
         match message:
             case (
-                messages.WorkerReported()
-                | messages.WorkersAlive()
-                | messages.SessionLapsed()
-                | messages.MachinesGone()
+                messages.WorkerHeartbeat()
+                | messages.UnchangedHeartbeats()
+                | messages.AgentEpochExpired()
+                | messages.MachinesDeleted()
             ):
                 self.workers.on_peer(message)
             case messages.MachinesRented() | messages.MachineCordoned():
@@ -185,9 +185,9 @@
                 self.stop_requests.add(message.job, message.machine, set(message.tasks))
             case messages.JobCancelled():
                 self.cancellation_dissemination.on_peer(message)
-            case messages.MoveRequested() | messages.MoveHeld() | messages.MoveEnded():
+            case messages.MoveRequested() | messages.MoveReserved() | messages.MoveEnded():
                 self.moves.on_peer(message)
-            case messages.Heartbeat():
+            case messages.ControllerHeartbeat():
                 self.heartbeats.on_peer(message)
             case None:
                 pass
--- a/appledock/core/fleet/machines.py
+++ b/appledock/core/fleet/machines.py
@@ -13,7 +13,7 @@
 from appledock.core.effects import PeerSend
 from appledock.core.fleet.cloud import CloudCalls
 from appledock.core.fleet.model import BootingMachine, MachineKind, RentedMachine
-from appledock.core.messages import MachinesGone
+from appledock.core.messages import MachinesDeleted
 
 if TYPE_CHECKING:
     from appledock.core.controller import Controller
@@ -153,7 +153,7 @@
         self.engine.workers.mark_deleted(names)
         for name in names:
             self.rented_at.pop(name, None)
-        self.engine.emit(PeerSend(MachinesGone(names)))
+        self.engine.emit(PeerSend(MachinesDeleted(names)))
         self.engine.reconcile_queue.placement_due = True
 
     # --- questions --------------------------------------------------------
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -139,7 +139,7 @@
             case MachinesRented():
                 self.machines.add_rented(message.machines, MachineKind(*message.machine_kind))
             case MachineCordoned():
-                self.cordons.set(message.worker, message.why)
+                self.cordons.set(message.worker, message.reason)
 
     def on_peer_connected(self, name: str) -> None:
         """A link opened: the peer may lead soon and must know our rentals."""
--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -13,7 +13,7 @@
 from appledock import constants
 from appledock.core.effects import PeerSend
 from appledock.core.membership.membership import Membership
-from appledock.core.messages import Heartbeat
+from appledock.core.messages import ControllerHeartbeat
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.replica import Replica
@@ -38,7 +38,7 @@
     received_at: float
     served_at: float
     """when the store last served the peer"""
-    heartbeat: Heartbeat
+    heartbeat: ControllerHeartbeat
 
 
 class Heartbeats:
@@ -76,27 +76,29 @@
         self._send()
         if self.last_heartbeats:
             self._client.limiter.on_peer_write_rate(
-                sum(received.heartbeat.writes for received in self._from_reachable_peers()),
+                sum(received.heartbeat.write_rate for received in self._from_reachable_peers()),
                 self._runtime.settings.cluster.state.write_rps * constants.BUDGET_SHARE,
             )
 
     def _send(self) -> None:
-        served_s = self._runtime.now - self._membership.store_answered_at
+        store_answer_age_s = self._runtime.now - self._membership.store_answered_at
         status = self._local_status()
-        heartbeat = Heartbeat(
+        heartbeat = ControllerHeartbeat(
             node=self._runtime.node,
-            served_s=round(min(served_s, constants.AGE_MAX_S), 3),
-            writes=round(self._client.limiter.recent_write_rate, 2),
-            reporting=round(status.reporting_fraction, 3),
-            unanswered=status.owner_timeouts,
-            pressed=status.is_service_rate_limited,
+            store_answer_age_s=round(min(store_answer_age_s, constants.AGE_MAX_S), 3),
+            write_rate=round(self._client.limiter.recent_write_rate, 2),
+            reporting_fraction=round(status.reporting_fraction, 3),
+            owner_timeouts=status.owner_timeouts,
+            is_service_rate_limited=status.is_service_rate_limited,
         )
         self._runtime.emit(PeerSend(heartbeat))
 
-    def on_peer(self, message: Heartbeat) -> None:
+    def on_peer(self, message: ControllerHeartbeat) -> None:
         """A peer's heartbeat has arrived."""
         now = self._runtime.now
-        self.last_heartbeats[message.node] = ReceivedHeartbeat(now, now - message.served_s, message)
+        self.last_heartbeats[message.node] = ReceivedHeartbeat(
+            now, now - message.store_answer_age_s, message
+        )
 
     # --- a single controller ----------------------------------------------
     def is_reachable(self, node: str) -> bool:
@@ -120,7 +122,7 @@
     def receives_worker_reports(self, node: str) -> bool:
         """Is the node reachable, and do most of its workers reach it, as far as it says?"""
         received = self.last_heartbeats.get(node)
-        fraction = received.heartbeat.reporting if received is not None else 1.0
+        fraction = received.heartbeat.reporting_fraction if received is not None else 1.0
         return self.is_reachable(node) and fraction >= constants.REPORTING_SHARE
 
     # --- all peers --------------------------------------------------------
@@ -131,18 +133,21 @@
 
     def is_any_peer_under_pressure(self) -> bool:
         """Do services of another controller wait for the writes that all share?"""
-        return any(received.heartbeat.pressed for received in self._from_reachable_peers())
+        return any(
+            received.heartbeat.is_service_rate_limited for received in self._from_reachable_peers()
+        )
 
     def unanswered_workers_at_peers(self, owner: str) -> int:
         """Workers that came to a reachable peer after waiting for the owner in vain."""
         return sum(
-            received.heartbeat.unanswered.get(owner, 0) for received in self._from_reachable_peers()
+            received.heartbeat.owner_timeouts.get(owner, 0)
+            for received in self._from_reachable_peers()
         )
 
     def peer_contacted_by_workers_of(self, owner: str) -> str | None:
         """The reachable peer to which most of those workers came; None if none did."""
         counts = {
-            received.heartbeat.node: received.heartbeat.unanswered.get(owner, 0)
+            received.heartbeat.node: received.heartbeat.owner_timeouts.get(owner, 0)
             for received in self._from_reachable_peers()
         }
         peer = max(sorted(counts), key=counts.__getitem__, default=None)
--- a/appledock/core/messages.py
+++ b/appledock/core/messages.py
@@ -1,9 +1,12 @@
 """Messages between the controllers: one type for each kind.
 
-Kinds and field names are a contract between versions: names in Python may change, the
-words on the wire (`tag`, `name=`) never do. Kinds and fields that are not known are
-ignored, and fields that an earlier version does not send have defaults that mean its
-behaviour.
+Kinds and field names on the wire are a contract between versions. They are mapped to the names in
+the code here, and only here: `tag` is the kind, `name` that of a field. Kinds and fields that this
+version does not know are ignored; fields that an earlier version does not send have defaults that
+stand for its behaviour.
+
+Any message may be lost, delayed or repeated. Ages in place of moments are sent because the
+controllers' clocks differ.
 """
 
 from __future__ import annotations
@@ -18,46 +21,51 @@
 
 log = logging.getLogger(__name__)
 
+# --- workers --------------------------------------------------------------
 
-class WorkerReported(Struct, frozen=True, tag_field="kind", tag="worker"):
-    """A worker's report, and how long ago the worker was last well."""
 
-    report: wire.Report
-    well_s: float = 0.0
+class WorkerHeartbeat(Struct, frozen=True, tag_field="kind", tag="worker"):
+    """A worker's heartbeat with its status, sent on whole."""
 
+    report: wire.Report
+    healthy_age_s: float = field(name="well_s", default=0.0)
+    """since the worker was last healthy"""
 
-class AliveWorker(Struct, frozen=True, array_like=True):
-    """The number of a worker's last report, and two ages.
 
-    How long ago the report came, and how long ago the worker was last well.
-    """
+class UnchangedHeartbeat(Struct, frozen=True, array_like=True):
+    """Number and ages of a worker's last heartbeat that showed nothing new."""
 
     worker: str
-    session: int
-    seq: int
-    heard_s: float
-    well_s: float
+    agent_epoch: int
+    sequence_number: int
+    heartbeat_age_s: float
+    """since the heartbeat was received"""
+    healthy_age_s: float
+    """since the worker was last healthy"""
 
 
-class WorkersAlive(Struct, frozen=True, tag_field="kind", tag="alive"):
-    """Workers whose reports came and showed nothing new."""
+class UnchangedHeartbeats(Struct, frozen=True, tag_field="kind", tag="alive"):
+    """Heartbeats that showed nothing new, in short."""
 
-    workers: list[AliveWorker]
+    heartbeats: list[UnchangedHeartbeat] = field(name="workers")
 
 
-class SessionLapsed(Struct, frozen=True, tag_field="kind", tag="lapsed"):
-    """The worker's session, and all before it, are proven to be over."""
+class AgentEpochExpired(Struct, frozen=True, tag_field="kind", tag="lapsed"):
+    """The worker's agent epoch, and all before it, are proven to have ended."""
 
     worker: str
-    session: int
+    agent_epoch: int = field(name="session")
 
 
-class MachinesGone(Struct, frozen=True, tag_field="kind", tag="gone"):
+class MachinesDeleted(Struct, frozen=True, tag_field="kind", tag="gone"):
     """Machines that no longer exist."""
 
     machines: list[str]
 
 
+# --- jobs -----------------------------------------------------------------
+
+
 class StopTasks(Struct, frozen=True, tag_field="kind", tag="stop"):
     """To the owner of a job: stop these tasks of it on the machine."""
 
@@ -66,42 +74,54 @@
     tasks: list[int]
 
 
+class JobCancelled(Struct, frozen=True, tag_field="kind", tag="cancelled"):
+    """A cancellation that was committed."""
+
+    job: str
+    version: int
+    """of the job's record, as committed"""
+    record: Any = None
+    """the open job's record, encoded; None: the cancellation ended the job"""
+
+
+# --- fleet ----------------------------------------------------------------
+
+
 class MachinesRented(Struct, frozen=True, tag_field="kind", tag="rented"):
-    """Machines just rented; `machine_kind` is type, zone and whether spot."""
+    """Machines that were just rented."""
 
     machines: list[str]
     machine_kind: tuple[str, str, bool] = field(name="type")
+    """machine type, zone, and whether they are spot instances"""
 
 
 class MachineCordoned(Struct, frozen=True, tag_field="kind", tag="cordon"):
-    """No step may be placed on the machine, for this reason; without one, steps may."""
+    """No step may be placed on the machine, for this reason; without one, steps may again."""
 
     worker: str
-    why: str
-
+    reason: str = field(name="why")
 
-class JobCancelled(Struct, frozen=True, tag_field="kind", tag="cancelled"):
-    """A committed cancellation: the job's open record, or None if that was the job's end."""
 
-    job: str
-    version: int
-    record: Any = None
+# --- controllers ----------------------------------------------------------
 
 
-class Heartbeat(Struct, frozen=True, tag_field="kind", tag="pulse"):
-    """How a controller fares."""
+class ControllerHeartbeat(Struct, frozen=True, tag_field="kind", tag="pulse"):
+    """That a controller is up, and its status."""
 
     node: str
-    served_s: float
-    """since the state service last answered it"""
-    writes: float = 0.0
-    """writes/s that it sends to the state service"""
-    reporting: float = 1.0
-    """part of its workers that reported to it lately"""
-    unanswered: dict[str, int] = field(name="vain", default={})
-    """owner -> workers that came to it after waiting for that owner in vain"""
-    pressed: bool = False
-    """do services of its wait for writes?"""
+    store_answer_age_s: float = field(name="served_s")
+    """since the key-value store last answered it"""
+    write_rate: float = field(name="writes", default=0.0)
+    """writes/s that it sends to the store"""
+    reporting_fraction: float = field(name="reporting", default=1.0)
+    """part of its workers whose heartbeats reached it lately"""
+    owner_timeouts: dict[str, int] = field(name="vain", default={})
+    """owner -> workers that came to it after that owner had not answered them"""
+    is_service_rate_limited: bool = field(name="pressed", default=False)
+    """do steps of its services wait for the store's write rate?"""
+
+
+# --- moves of running tasks -----------------------------------------------
 
 
 class MoveOrder(Struct, frozen=True):
@@ -117,62 +137,68 @@
     source: str
     destination: str
     load: float
-    """what the planner takes the destination's load for"""
+    """load of the destination, as far as the planner knows"""
 
 
 class MoveRequested(Struct, frozen=True, tag_field="kind", tag="move"):
-    """To the destination's owner: keep room for the task, and tell the job's owner."""
+    """To the destination's owner: reserve capacity for the task, and tell the job's owner."""
 
     order: MoveOrder
 
 
-class MoveHeld(Struct, frozen=True, tag_field="kind", tag="move-held"):
-    """To the job's owner: room is kept at the destination, the task may be stopped."""
+class MoveReserved(Struct, frozen=True, tag_field="kind", tag="move-held"):
+    """To the job's owner: capacity is reserved at the destination, the task may be stopped."""
 
     order: MoveOrder
 
 
 class MoveEnded(Struct, frozen=True, tag_field="kind", tag="move-ended"):
-    """To the planner and the destination's owner: what came of the move."""
+    """To the planner and the destination's owner: how the move ended."""
 
     order: MoveOrder
     outcome: str
 
 
-WorkerMessage = WorkerReported | WorkersAlive | SessionLapsed | MachinesGone
+WorkerMessage = WorkerHeartbeat | UnchangedHeartbeats | AgentEpochExpired | MachinesDeleted
 FleetMessage = MachinesRented | MachineCordoned
-MoveMessage = MoveRequested | MoveHeld | MoveEnded
-Message = WorkerMessage | FleetMessage | MoveMessage | StopTasks | JobCancelled | Heartbeat
+MoveMessage = MoveRequested | MoveReserved | MoveEnded
+Message = (
+    WorkerMessage | FleetMessage | MoveMessage | StopTasks | JobCancelled | ControllerHeartbeat
+)
 
 KINDS: dict[str, type[Message]] = {
     str(message_type.__struct_config__.tag): message_type
     for message_type in (
-        WorkerReported,
-        WorkersAlive,
-        SessionLapsed,
-        MachinesGone,
+        WorkerHeartbeat,
+        UnchangedHeartbeats,
+        AgentEpochExpired,
+        MachinesDeleted,
         StopTasks,
         MachinesRented,
         MachineCordoned,
         JobCancelled,
-        Heartbeat,
+        ControllerHeartbeat,
         MoveRequested,
-        MoveHeld,
+        MoveReserved,
         MoveEnded,
     )
 }
-"""kind on the wire -> type. Converting to a type is ten times cheaper than converting to
-their union, which is analysed anew by each call."""
+"""kind on the wire -> type. Converting to one type is ten times cheaper than converting to
+their union, which msgspec analyses anew in each call."""
 
 
 def decode(body: Any) -> Message | None:
-    """The message in a decoded JSON value; None if it is of no use to this version."""
+    """The message in a decoded JSON value; None if this version has no use for it.
+
+    A malformed message of a known kind is logged and ignored: a peer must never be able to end
+    the process.
+    """
     kind = body.get("kind") if isinstance(body, dict) else None
     message_type = KINDS.get(kind) if isinstance(kind, str) else None
     if message_type is None:
-        return None  # of a later version
+        return None
     try:
         return msgspec.convert(body, message_type)
     except msgspec.ValidationError as error:
-        log.warning("malformed message from a peer, kind %s: %s", kind, error)
+        log.warning("malformed message from a peer: kind=%s error=%s", kind, error)
         return None
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -22,7 +22,7 @@
 from appledock.core.effects import PeerSend
 from appledock.core.machines.capacity_index import StepReservation
 from appledock.core.machines.machine_capacity import is_allowed_on
-from appledock.core.messages import MoveEnded, MoveHeld, MoveMessage, MoveOrder, MoveRequested
+from appledock.core.messages import MoveEnded, MoveMessage, MoveOrder, MoveRequested, MoveReserved
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
 from appledock.core.scheduling.placement import PlacedTasks, Sampling
@@ -152,7 +152,7 @@
         match message:
             case MoveRequested():
                 self._on_requested(message.order)
-            case MoveHeld():
+            case MoveReserved():
                 self._on_held(message.order)
             case MoveEnded():
                 self._on_ended(message.order, message.outcome)
@@ -173,7 +173,7 @@
         job = engine.replica.jobs[order.job]
         self.holds[order.job] = self._under_way(order)
         engine.capacity_index.reserve_for_move(order.destination, job.spec)
-        self._send(engine.replica.job_owner(job), MoveHeld(order))
+        self._send(engine.replica.job_owner(job), MoveReserved(order))
 
     def _refused_here(self, order: MoveOrder) -> Outcome | None:
         engine = self.engine
--- a/appledock/core/workers/dissemination.py
+++ b/appledock/core/workers/dissemination.py
@@ -13,11 +13,11 @@
 from appledock import constants, wire
 from appledock.core.effects import PeerSend
 from appledock.core.messages import (
-    AliveWorker,
-    MachinesGone,
-    SessionLapsed,
-    WorkerReported,
-    WorkersAlive,
+    AgentEpochExpired,
+    MachinesDeleted,
+    UnchangedHeartbeat,
+    UnchangedHeartbeats,
+    WorkerHeartbeat,
 )
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
@@ -77,7 +77,7 @@
 
     def announce_expired(self, machine: str, agent_epoch: int, to: str | None = None) -> None:
         """Send to one peer, or to all, that the agent epoch is proven to have ended."""
-        self.runtime.emit(PeerSend(SessionLapsed(machine, agent_epoch), to))
+        self.runtime.emit(PeerSend(AgentEpochExpired(machine, agent_epoch), to))
 
     def on_peer_connected(self, peer: str) -> None:
         """A link (re)opened: what the peer missed is sent again, part by part."""
@@ -93,7 +93,7 @@
         In messages of at most `ALIVE_PART` workers, so that each fits a frame.
         """
         rows = [
-            AliveWorker(
+            UnchangedHeartbeat(
                 machine,
                 *worker.status.newest,
                 self._age_s(worker.reachability.last_heartbeat_at),
@@ -104,7 +104,7 @@
         ]
         for first in range(0, len(rows), constants.ALIVE_PART):
             part = rows[first : first + constants.ALIVE_PART]
-            self.runtime.emit(PeerSend(WorkersAlive(part), to))
+            self.runtime.emit(PeerSend(UnchangedHeartbeats(part), to))
 
     def _send_backlogs(self) -> None:
         """Send one part more to each peer whose link has opened."""
@@ -126,11 +126,11 @@
         self.send_alive(machines, peer)
 
     def _send_heartbeat(self, worker: Worker, report: wire.Report, to: str | None = None) -> None:
-        message = WorkerReported(report, self._age_s(worker.reachability.last_healthy_at))
+        message = WorkerHeartbeat(report, self._age_s(worker.reachability.last_healthy_at))
         self.runtime.emit(PeerSend(message, to))
 
     def _send_deleted(self, machines: list[str], to: str | None = None) -> None:
-        self.runtime.emit(PeerSend(MachinesGone(machines), to))
+        self.runtime.emit(PeerSend(MachinesDeleted(machines), to))
 
     def _age_s(self, at: float) -> float:
         """How long ago that was: the controllers' clocks differ, ages do not."""
--- a/appledock/core/workers/peer_updates.py
+++ b/appledock/core/workers/peer_updates.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from appledock.core.messages import (
-    AliveWorker,
-    MachinesGone,
-    SessionLapsed,
+    AgentEpochExpired,
+    MachinesDeleted,
+    UnchangedHeartbeat,
+    UnchangedHeartbeats,
+    WorkerHeartbeat,
     WorkerMessage,
-    WorkerReported,
-    WorkersAlive,
 )
 from appledock.core.runtime import Runtime
 from appledock.core.workers.heartbeat_intake import HeartbeatIntake
@@ -35,29 +35,31 @@
     def apply(self, message: WorkerMessage) -> None:
         """Take a message in; copies and late ones change nothing."""
         match message:
-            case WorkerReported():
+            case WorkerHeartbeat():
                 if message.report.worker not in self.table.deleted_machines:
-                    self.intake.ingest(message.report, message.well_s)
-            case WorkersAlive():
-                for row in message.workers:
+                    self.intake.ingest(message.report, message.healthy_age_s)
+            case UnchangedHeartbeats():
+                for row in message.heartbeats:
                     if row.worker not in self.table.deleted_machines:
                         self._apply_alive(row)
-            case SessionLapsed():
-                self.table.mark_expired(message.worker, message.session)
-            case MachinesGone():
+            case AgentEpochExpired():
+                self.table.mark_expired(message.worker, message.agent_epoch)
+            case MachinesDeleted():
                 self.table.mark_deleted(message.machines)
 
-    def _apply_alive(self, row: AliveWorker) -> None:
+    def _apply_alive(self, row: UnchangedHeartbeat) -> None:
         """A peer received a heartbeat that showed nothing new."""
         now = self.runtime.now
         worker = self.table.get_or_create(row.worker)
-        number = HeartbeatNumber(row.session, row.seq)
+        number = HeartbeatNumber(row.agent_epoch, row.sequence_number)
         # Copies of older heartbeats are recognized as such from now on.
         worker.status.newest = max(worker.status.newest, number)
-        if worker.agent_epoch != row.session:
+        if worker.agent_epoch != row.agent_epoch:
             return
         reachability = worker.reachability
-        reachability.last_heartbeat_at = max(reachability.last_heartbeat_at, now - row.heard_s)
-        reachability.last_healthy_at = max(reachability.last_healthy_at, now - row.well_s)
+        reachability.last_heartbeat_at = max(
+            reachability.last_heartbeat_at, now - row.heartbeat_age_s
+        )
+        reachability.last_healthy_at = max(reachability.last_healthy_at, now - row.healthy_age_s)
         if not self.observers.has_capacity(worker.id):
             self.observers.on_capacity_changed(worker.id)
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -516,6 +516,16 @@
         last_heartbeats = controller.heartbeats.last_heartbeats
         return self._heartbeat_fields(controller, peer, last_heartbeats[peer])
 
+    def _heartbeat_fields(self, controller: Any, peer: str, heard: Any) -> dict[str, Any]:
+        return {
+            "node": peer,
+            "served_s": round(controller.now - heard.served_at, 3),
+            "writes": heard.heartbeat.write_rate,
+            "reporting": heard.heartbeat.reporting_fraction,
+            "vain": heard.heartbeat.owner_timeouts,
+            "pressed": heard.heartbeat.is_service_rate_limited,
+        }
+
     def store_request(self, call: Any) -> HttpCall:
         return HttpCall(*self.store.build_request(call.request))
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -15,7 +15,7 @@
 from appledock.core.fleet.model import BootingMachine
 from appledock.core.jobs.reconcile_queue import PendingReason
 from appledock.core.machines.machine_capacity import MachineCapacity
-from appledock.core.messages import Heartbeat
+from appledock.core.messages import ControllerHeartbeat
 from appledock.core.quota.admission import QueuedDemand, admit_queue
 from appledock.core.quota.resources import Resources
 from appledock.core.records.job import Attempt, HandoffTarget, Job, decode_job
@@ -514,11 +514,15 @@
     """The state service's writes are shared: while one controller's services waited for
     them after a wave of lost machines, arrays of the others took two thirds."""
     e = engine()
-    e.heartbeats.on_peer(Heartbeat("n1", 0.1, writes=9.0, pressed=True))
+    e.heartbeats.on_peer(
+        ControllerHeartbeat("n1", 0.1, write_rate=9.0, is_service_rate_limited=True)
+    )
     assert e.pacing.should_defer_batch_jobs()
     e.now += c.HEARTBEAT_LOST_S + 1
     assert not e.pacing.should_defer_batch_jobs()  # it may be over since: nobody is heard
-    e.heartbeats.on_peer(Heartbeat("n1", 0.1, writes=9.0, pressed=False))
+    e.heartbeats.on_peer(
+        ControllerHeartbeat("n1", 0.1, write_rate=9.0, is_service_rate_limited=False)
+    )
     assert not e.pacing.should_defer_batch_jobs()
 
 
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -18,7 +18,7 @@
 from appledock.core.effects import PeerSend, StoreCall
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import MembershipState
-from appledock.core.messages import Heartbeat
+from appledock.core.messages import ControllerHeartbeat
 from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling.lost_launches import LostLaunchDetector
@@ -273,7 +273,7 @@
         for name in names:
             e.workers.ingest_heartbeat(report(name, 1))
             e.workers.table[name].placement.idle_since = e.now - 50
-        e.heartbeats.on_peer(Heartbeat("n1", 0.1))  # n2 is not heard
+        e.heartbeats.on_peer(ControllerHeartbeat("n1", 0.1))  # n2 is not heard
         e.fleet._return(e.fleet._demand())
         return e, set(e.fleet.returns.returning)
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -28,18 +28,18 @@
 }
 SAID: list[tuple[messages.Message, dict[str, Any]]] = [
     (
-        messages.WorkerReported(report(3), 0.5),
+        messages.WorkerHeartbeat(report(3), 0.5),
         {"kind": "worker", "report": json.loads(wire.encode(report(3))), "well_s": 0.5},
     ),
     (
-        messages.WorkersAlive([messages.AliveWorker("vm-1", 1, 7, 0.1, 0.2)]),
+        messages.UnchangedHeartbeats([messages.UnchangedHeartbeat("vm-1", 1, 7, 0.1, 0.2)]),
         {"kind": "alive", "workers": [["vm-1", 1, 7, 0.1, 0.2]]},
     ),
     (
-        messages.SessionLapsed("vm-1", 2),
+        messages.AgentEpochExpired("vm-1", 2),
         {"kind": "lapsed", "worker": "vm-1", "session": 2},
     ),
-    (messages.MachinesGone(["vm-1"]), {"kind": "gone", "machines": ["vm-1"]}),
+    (messages.MachinesDeleted(["vm-1"]), {"kind": "gone", "machines": ["vm-1"]}),
     (
         messages.StopTasks("job-1", "vm-1", [0, 2]),
         {"kind": "stop", "job": "job-1", "machine": "vm-1", "tasks": [0, 2]},
@@ -57,7 +57,7 @@
         {"kind": "cancelled", "job": "job-1", "version": 4, "record": None},
     ),
     (
-        messages.Heartbeat("n1", 0.1, 2.5, 0.9, {"n2": 3}, True),
+        messages.ControllerHeartbeat("n1", 0.1, 2.5, 0.9, {"n2": 3}, True),
         {
             "kind": "pulse",
             "node": "n1",
@@ -69,7 +69,7 @@
         },
     ),
     (messages.MoveRequested(ORDER), {"kind": "move", "order": ORDERED}),
-    (messages.MoveHeld(ORDER), {"kind": "move-held", "order": ORDERED}),
+    (messages.MoveReserved(ORDER), {"kind": "move-held", "order": ORDERED}),
     (
         messages.MoveEnded(ORDER, "done"),
         {"kind": "move-ended", "order": ORDERED, "outcome": "done"},
@@ -87,9 +87,9 @@
 
 def test_what_an_earlier_version_does_not_say_means_its_behaviour() -> None:
     heartbeat = messages.decode({"kind": "pulse", "node": "n1", "served_s": 0})
-    assert heartbeat == messages.Heartbeat("n1", 0.0, 0.0, 1.0, {}, False)
+    assert heartbeat == messages.ControllerHeartbeat("n1", 0.0, 0.0, 1.0, {}, False)
     body = {"kind": "worker", "report": json.loads(wire.encode(report(3)))}
-    assert messages.decode(body) == messages.WorkerReported(report(3), 0.0)
+    assert messages.decode(body) == messages.WorkerHeartbeat(report(3), 0.0)
     body = {"kind": "cancelled", "job": "job-1", "version": 4}
     assert messages.decode(body) == messages.JobCancelled("job-1", 4, None)
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -14,7 +14,7 @@
 
 from appledock import constants as c
 from appledock.core.machines.capacity_index import CapacityIndex, StepReservation
-from appledock.core.messages import MoveHeld, MoveOrder, MoveRequested
+from appledock.core.messages import MoveOrder, MoveRequested, MoveReserved
 from appledock.core.scheduling.moves import Moves, Outcome
 from appledock.core.scheduling.placement import PlacedTasks
 from appledock.core.store.keys import JOBS
@@ -333,7 +333,7 @@
     assert all(node.engine.moves.active == {} for node in world.nodes.values())
     assert all(node.engine.capacity_index.move_reservations == {} for node in world.nodes.values())
     order = MoveOrder("n0", 1, engine.membership.term - 1, "job-000001", 0, 1, "a", "b", 0.0)
-    for message in (MoveRequested(order), MoveHeld(order)):
+    for message in (MoveRequested(order), MoveReserved(order)):
         engine.moves.on_peer(message)
         assert not engine.moves.active and not engine.moves.holds
 
@@ -393,7 +393,7 @@
     others = [StepReservation(destination, record.spec, 4)]
     engine.capacity_index.reserve_step("job-000099", others)
     assert engine.moves._refused_by_job(order) is Outcome.NO_ROOM
-    engine.moves.on_peer(MoveHeld(order))
+    engine.moves.on_peer(MoveReserved(order))
     assert not engine.moves.active and not engine.stop_requests.pending
 
 
--- a/tests/test_old_words.py
+++ b/tests/test_old_words.py
@@ -10,7 +10,7 @@
 from appledock.core.commands import HeartbeatReceived, PeerMessageReceived, Tick
 from appledock.core.effects import CloudCall
 from appledock.core.fleet import Returning
-from appledock.core.messages import AliveWorker, WorkersAlive
+from appledock.core.messages import UnchangedHeartbeat, UnchangedHeartbeats
 from appledock.core.records.job import HandoffTarget
 from tests.test_launches import NOW, leading, report, running
 
@@ -39,7 +39,7 @@
     task = wire.TaskReport("job-000001/0", 1, wire.RUNNING)
     over = wire.TaskReport("job-000001/0", 1, wire.EXITED, wire.DONE)
     e.workers.intake.ingest(report(5, tasks=[task]), 0.0)
-    e.workers.on_peer(WorkersAlive([AliveWorker("vm-1", 1, 7, 0.1, 0.1)]))
+    e.workers.on_peer(UnchangedHeartbeats([UnchangedHeartbeat("vm-1", 1, 7, 0.1, 0.1)]))
     assert not e.workers.intake.ingest(report(6, tasks=[task]), 0.0)
     assert e.workers.intake.ingest(report(7, tasks=[over]), 0.0)
     assert e.workers.table["vm-1"].tasks[("job-000001/0", 1)].state == wire.EXITED
--- a/tests/unit/membership/test_heartbeats.py
+++ b/tests/unit/membership/test_heartbeats.py
@@ -8,7 +8,7 @@
 from appledock.core.effects import PeerSend
 from appledock.core.membership.heartbeats import Heartbeats, LocalStatus
 from appledock.core.membership.membership import Membership
-from appledock.core.messages import Heartbeat
+from appledock.core.messages import ControllerHeartbeat
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.replica import Replica, View
@@ -32,7 +32,9 @@
     heartbeats.tick()
     heartbeats.tick()  # the next one is not due
     sent = [effect for effect in runtime.take_effects() if isinstance(effect, PeerSend)]
-    message = Heartbeat("n0", 1.5, reporting=0.75, unanswered={"n1": 3}, pressed=True)
+    message = ControllerHeartbeat(
+        "n0", 1.5, reporting_fraction=0.75, owner_timeouts={"n1": 3}, is_service_rate_limited=True
+    )
     assert [effect.message for effect in sent] == [message]
 
 
@@ -41,7 +43,7 @@
         heartbeats, runtime = parts()
         heartbeats.tick()
         runtime.now += 10.0
-        heartbeats.on_peer(Heartbeat("n1", peers_served_s))
+        heartbeats.on_peer(ControllerHeartbeat("n1", peers_served_s))
         heartbeats.tick()
         assert heartbeats.is_isolated() == isolated
 
@@ -49,9 +51,9 @@
 def test_the_leader_has_failed_if_it_alone_is_silent_or_not_served() -> None:
     heartbeats, _ = parts()
     assert not heartbeats.has_leader_failed()  # no peer is reachable: the network fails
-    heartbeats.on_peer(Heartbeat("n2", 0.1))
+    heartbeats.on_peer(ControllerHeartbeat("n2", 0.1))
     assert heartbeats.has_leader_failed()
-    heartbeats.on_peer(Heartbeat("n1", 0.1))
+    heartbeats.on_peer(ControllerHeartbeat("n1", 0.1))
     assert not heartbeats.has_leader_failed()
-    heartbeats.on_peer(Heartbeat("n1", constants.HEARTBEAT_SERVED_S))
+    heartbeats.on_peer(ControllerHeartbeat("n1", constants.HEARTBEAT_SERVED_S))
     assert heartbeats.has_leader_failed()
--- a/tests/unit/workers/test_heartbeat_intake.py
+++ b/tests/unit/workers/test_heartbeat_intake.py
@@ -4,7 +4,7 @@
 
 from appledock import wire
 from appledock.core.effects import PeerSend
-from appledock.core.messages import WorkerReported
+from appledock.core.messages import WorkerHeartbeat
 from tests.unit.workers.parts import MACHINE, Parts, heartbeat, task
 
 
@@ -12,7 +12,7 @@
     parts = Parts()
     assert parts.intake.ingest_and_broadcast(heartbeat(7))
     (sent,) = parts.runtime.take_effects()
-    assert isinstance(sent, PeerSend) and sent.message == WorkerReported(heartbeat(7), 0.0)
+    assert isinstance(sent, PeerSend) and sent.message == WorkerHeartbeat(heartbeat(7), 0.0)
     for seq in (7, 6):
         assert not parts.intake.ingest_and_broadcast(heartbeat(seq, [task(wire.RUNNING)]))
     assert parts.runtime.take_effects() == []
--- a/tests/unit/workers/test_lease_expiry.py
+++ b/tests/unit/workers/test_lease_expiry.py
@@ -4,7 +4,7 @@
 
 from appledock import constants
 from appledock.core.effects import PeerSend
-from appledock.core.messages import SessionLapsed
+from appledock.core.messages import AgentEpochExpired
 from appledock.core.records.membership_view import View
 from appledock.core.workers.lease_expiry import LeaseExpiry
 from tests.unit.workers.parts import MACHINE, TERM, Parts, heartbeat
@@ -36,7 +36,7 @@
     parts.runtime.now = ends_at
     expiry.check(worker)
     assert worker.lease.expired_epoch == 1
-    assert parts.runtime.take_effects() == [PeerSend(SessionLapsed(MACHINE, 1), None)]
+    assert parts.runtime.take_effects() == [PeerSend(AgentEpochExpired(MACHINE, 1), None)]
 
 
 def test_no_epoch_expires_under_a_view_that_is_not_confirmed_for_the_whole_lease() -> None:
