--- a/appledock/core/fleet/cordons.py
+++ b/appledock/core/fleet/cordons.py
@@ -7,7 +7,7 @@
 from collections.abc import Container
 
 from appledock import constants
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.fleet.model import ScaleInReason
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.stop_requests import StopRequests
--- a/appledock/core/fleet/inventory.py
+++ b/appledock/core/fleet/inventory.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from appledock import constants, wire
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.fleet.boot_time import boot_timeout_s
 from appledock.core.fleet.model import BootingMachine, MachineKind, RentedMachine
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.machines.capacity_index import CapacityIndex
-from appledock.core.messages import MachinesGone
+from appledock.core.messages import MachinesDeleted
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
 from appledock.core.workers import Workers
@@ -104,7 +104,7 @@
         self._workers.mark_deleted(machines)
         for name in machines:
             self.rented_at.pop(name, None)
-        self._runtime.emit(PeerSend(MachinesGone(machines)))
+        self._runtime.emit(PeerSend(MachinesDeleted(machines)))
         self._reconcile_queue.placement_due = True
 
     # --- questions --------------------------------------------------------
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -259,7 +259,7 @@
             case MachinesRented():
                 self.inventory.add_rented(message.machines, MachineKind(*message.machine_kind))
             case MachineCordoned():
-                self.cordons.set_locally(message.worker, message.why)
+                self.cordons.set_locally(message.worker, message.reason)
             case _:
                 assert_never(message)
 
--- a/appledock/core/fleet/scale_out.py
+++ b/appledock/core/fleet/scale_out.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 
 from appledock import constants, wire
-from appledock.core.events import CloudOutcome, PeerSend
+from appledock.core.cloud_calls import CloudOutcome
+from appledock.core.effects import PeerSend
 from appledock.core.fleet.cloud import CloudClient, CloudFailure
 from appledock.core.fleet.inventory import MachineInventory
 from appledock.core.fleet.model import MachineKind, ScaleOutRequest
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -9,8 +9,9 @@
 import pytest
 
 from appledock import wire
-from appledock.core import events as ev
 from appledock.core import messages
+from appledock.core.commands import Command, PeerMessageReceived
+from appledock.core.effects import Response
 from tests.test_launches import NOW, leading, report
 
 ORDER = messages.MoveOrder("n1", 3, 7, "job-1", 0, 2, "vm-1", "vm-2", 0.5)
@@ -27,18 +28,18 @@
 }
 SAID: list[tuple[messages.Message, dict[str, Any]]] = [
     (
-        messages.WorkerReported(report(3), 0.5),
+        messages.WorkerHeartbeat(report(3), 0.5),
         {"kind": "worker", "report": json.loads(wire.encode(report(3))), "well_s": 0.5},
     ),
     (
-        messages.WorkersAlive([messages.AliveWorker("vm-1", 1, 7, 0.1, 0.2)]),
+        messages.UnchangedHeartbeats([messages.UnchangedHeartbeat("vm-1", 1, 7, 0.1, 0.2)]),
         {"kind": "alive", "workers": [["vm-1", 1, 7, 0.1, 0.2]]},
     ),
     (
-        messages.SessionLapsed("vm-1", 2),
+        messages.AgentEpochExpired("vm-1", 2),
         {"kind": "lapsed", "worker": "vm-1", "session": 2},
     ),
-    (messages.MachinesGone(["vm-1"]), {"kind": "gone", "machines": ["vm-1"]}),
+    (messages.MachinesDeleted(["vm-1"]), {"kind": "gone", "machines": ["vm-1"]}),
     (
         messages.StopTasks("job-1", "vm-1", [0, 2]),
         {"kind": "stop", "job": "job-1", "machine": "vm-1", "tasks": [0, 2]},
@@ -56,7 +57,7 @@
         {"kind": "cancelled", "job": "job-1", "version": 4, "record": None},
     ),
     (
-        messages.Heartbeat("n1", 0.1, 2.5, 0.9, {"n2": 3}, True),
+        messages.ControllerHeartbeat("n1", 0.1, 2.5, 0.9, {"n2": 3}, True),
         {
             "kind": "pulse",
             "node": "n1",
@@ -68,7 +69,7 @@
         },
     ),
     (messages.MoveRequested(ORDER), {"kind": "move", "order": ORDERED}),
-    (messages.MoveHeld(ORDER), {"kind": "move-held", "order": ORDERED}),
+    (messages.MoveReserved(ORDER), {"kind": "move-held", "order": ORDERED}),
     (
         messages.MoveEnded(ORDER, "done"),
         {"kind": "move-ended", "order": ORDERED, "outcome": "done"},
@@ -86,9 +87,9 @@
 
 def test_what_an_earlier_version_does_not_say_means_its_behaviour() -> None:
     heartbeat = messages.decode({"kind": "pulse", "node": "n1", "served_s": 0})
-    assert heartbeat == messages.Heartbeat("n1", 0.0, 0.0, 1.0, {}, False)
+    assert heartbeat == messages.ControllerHeartbeat("n1", 0.0, 0.0, 1.0, {}, False)
     body = {"kind": "worker", "report": json.loads(wire.encode(report(3)))}
-    assert messages.decode(body) == messages.WorkerReported(report(3), 0.0)
+    assert messages.decode(body) == messages.WorkerHeartbeat(report(3), 0.0)
     body = {"kind": "cancelled", "job": "job-1", "version": 4}
     assert messages.decode(body) == messages.JobCancelled("job-1", 4, None)
 
@@ -113,10 +114,10 @@
                 e = leading()
                 caplog.clear()
                 good = {"kind": "gone", "machines": ["vm-9"]}
-                batch: list[ev.Command] = [ev.PeerMessage(message), ev.PeerMessage(good)]
+                batch: list[Command] = [PeerMessageReceived(message), PeerMessageReceived(good)]
                 effects = e.handle(batch, NOW, 0.0)
                 assert [x.levelno for x in caplog.records] == [logging.WARNING], message
                 assert "malformed message" in caplog.text and body["kind"] in caplog.text
                 assert set(e.workers.deleted_machines) == {"vm-9"} and not e.workers.table
                 assert not e.fleet.inventory.rentals and not e.heartbeats.last_heartbeats
-                assert not any(isinstance(x, ev.Reply) for x in effects)
+                assert not any(isinstance(x, Response) for x in effects)
--- a/tests/unit/fleet/test_deletions.py
+++ b/tests/unit/fleet/test_deletions.py
@@ -9,7 +9,7 @@
 import pytest
 
 from appledock import constants
-from appledock.core.events import CloudOutcome
+from appledock.core.cloud_calls import CloudOutcome
 from appledock.core.fleet.cloud import CloudFailure
 from appledock.core.fleet.cordons import NO_CORDON
 from appledock.core.fleet.deletions import MachineDeletions
