--- a/appledock/capacity/assignment.py
+++ b/appledock/capacity/assignment.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from appledock.capacity.holdings import Holding
+from appledock.capacity.ownership import Holding
 
 
 @dataclass(frozen=True, slots=True)
--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from appledock import constants as c
-from appledock.core.api.capacity_api import SharesApi
+from appledock.core.api.capacity_api import PartitionSharesApi
 from appledock.core.api.console_feed import ConsoleFeed
 from appledock.core.events import Admin, Reply, SetLogLevel
 from appledock.core.operator_settings import DECLARATIONS, InvalidSettingError, validate
@@ -32,7 +32,7 @@
     def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.feed = ConsoleFeed(engine)
-        self.shares = SharesApi(engine)
+        self.shares = PartitionSharesApi(engine)
         self._readers: dict[str, Callable[[], dict[str, Any]]] = {
             "status": self.status,
             "jobs": lambda: {"jobs": self.jobs()},
--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -38,7 +38,7 @@
     """A change that cannot be taken; the text names the field."""
 
 
-class SharesApi:
+class PartitionSharesApi:
     """One record of what is agreed, changed by conditional transactions only."""
 
     def __init__(self, engine: Controller) -> None:
@@ -72,7 +72,10 @@
             raise BadChange("shares: an object of objects is needed, partition to pool to share")
         settings = self.engine.partitions.settings
         assert settings is not None
-        shares = {name: dict(by_pool) for name, by_pool in self.engine.partitions.targets().items()}
+        shares = {
+            name: dict(by_pool)
+            for name, by_pool in self.engine.partitions.agreed_fractions().items()
+        }
         for name, by_pool in given.items():
             shares.setdefault(name, {}).update(by_pool)
         check_shares(settings, shares)
@@ -82,7 +85,7 @@
         """The shares of before the last change, as a change of its own."""
         if not isinstance(body, dict):
             raise BadChange("an object is needed")
-        agreed = self.engine.replica.capacity.agreed
+        agreed = self.engine.replica.capacity.agreed_fractions
         if agreed is None:
             raise BadChange("nothing was changed that could be withdrawn")
         return Change(*self._identity(body), agreed.before, None)
@@ -115,7 +118,7 @@
         assert settings is not None
         pools: dict[str, Any] = {}
         for pool in settings.pools:
-            uses = engine.partitions.uses(pool.name)
+            uses = engine.partitions.machine_uses(pool.name)
             by_partition = {name: shares[name].get(pool.name, 0.0) for name in shares}
             target = apportion(len(uses), by_partition)
             rows = {}
@@ -138,7 +141,7 @@
     # --- writing ----------------------------------------------------------
     def _apply(self, cmd: Admin, change: Change) -> None:
         engine = self.engine
-        agreed = engine.replica.capacity.agreed
+        agreed = engine.replica.capacity.agreed_fractions
         if agreed is not None and agreed.request == change.request:
             self._answer(cmd, engine.partitions.summary())  # said before: it has its effect already
             return
@@ -150,7 +153,7 @@
         record = {
             "request": change.request,
             "shares": change.shares,
-            "before": engine.partitions.targets(),
+            "before": engine.partitions.agreed_fractions(),
             "stop_at": stop_at,
         }
         plan = Transaction({AGREED: present}, [Put(AGREED, record)])
@@ -171,7 +174,7 @@
         """Somebody else's change came first, or it is not known whether ours did: read it."""
 
         def read() -> None:
-            agreed = self.engine.replica.capacity.agreed
+            agreed = self.engine.replica.capacity.agreed_fractions
             if agreed is not None and agreed.request == change.request:
                 self._answer(cmd, self.engine.partitions.summary())
             else:
@@ -184,8 +187,8 @@
 
     def _conflict(self, cmd: Admin, change: Change) -> None:
         """The present version, and where it differs from what was asked for."""
-        agreed = self.engine.replica.capacity.agreed
-        present = self.engine.partitions.targets()
+        agreed = self.engine.replica.capacity.agreed_fractions
+        present = self.engine.partitions.agreed_fractions()
         differs = {
             f"{name}.{pool}": {"present": present.get(name, {}).get(pool, 0.0), "asked": share}
             for name, by_pool in change.shares.items()
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -1,22 +1,22 @@
-"""Drains of machines that change hands: room for replicas, their moves, and stops of savers."""
+"""MachineDrainer of machines that change hands: room for replicas, their moves, and stops of savers."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from appledock import wire
-from appledock.capacity.holdings import Holding
+from appledock.capacity.ownership import Holding
 from appledock.rebalancing.planner import Proposal
 
 if TYPE_CHECKING:
-    from appledock.core.capacity.partitions import CapacityShares
+    from appledock.core.capacity.partitions import PartitionManager
     from appledock.core.controller import Controller
 
 
-class Drains:
+class MachineDrainer:
     """Empties machines: what ends by itself is waited for, and nothing is killed."""
 
-    def __init__(self, engine: Controller, shares: CapacityShares) -> None:
+    def __init__(self, engine: Controller, shares: PartitionManager) -> None:
         self.engine = engine
         self.shares = shares
         self.kept: dict[str, str] = {}
@@ -137,7 +137,7 @@
             job = engine.replica.jobs[job_id]
             if (
                 worker is None
-                or not self.shares.moves_off(job.spec, machine)
+                or not self.shares.must_move_off(job.spec, machine)
                 or engine.replica.is_cancelled(job_id)
                 or job.queued_task_count
                 or engine.moves.rests(job_id)
@@ -174,7 +174,7 @@
 
     def _stop_savers(self) -> None:
         """Past the deadline that a change names, tasks that save go on elsewhere."""
-        engine, agreed = self.engine, self.engine.replica.capacity.agreed
+        engine, agreed = self.engine, self.engine.replica.capacity.agreed_fractions
         if agreed is None or agreed.stop_at is None or engine.wall < agreed.stop_at:
             return
         for bucket in engine.replica.capacity.buckets.values():
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -10,8 +10,8 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.capacity.assignment import MachineUse, next_holdings
-from appledock.capacity.holdings import Bucket, Holding, bucket_of
 from appledock.capacity.lending import Lenders, lent
+from appledock.capacity.ownership import Bucket, Holding, bucket_of
 from appledock.capacity.settings import Pool
 from appledock.core.fleet.demand import queued_demand
 from appledock.core.records.capacity import HOLDINGS
@@ -28,16 +28,16 @@
 from appledock.rebalancing.picture import task_share
 
 if TYPE_CHECKING:
-    from appledock.core.capacity.partitions import CapacityShares
+    from appledock.core.capacity.partitions import PartitionManager
     from appledock.core.controller import Controller
 
 log = logging.getLogger(__name__)
 
 
-class Holders:
+class OwnershipAssigner:
     """Writes the next holders of machines, as the leader."""
 
-    def __init__(self, engine: Controller, shares: CapacityShares) -> None:
+    def __init__(self, engine: Controller, shares: PartitionManager) -> None:
         self.engine = engine
         self.shares = shares
         self.writing = False
@@ -56,7 +56,7 @@
     def _picture(self) -> tuple[int, ...]:
         """What decides who shall hold what, as far as it may have changed."""
         engine = self.engine
-        agreed, view = engine.replica.capacity.agreed, engine.replica.view
+        agreed, view = engine.replica.capacity.agreed_fractions, engine.replica.view
         buckets = engine.replica.capacity.buckets.values()
         return (
             len(engine.workers.table),
@@ -87,7 +87,7 @@
             return
         changes: dict[str, Holding | None] = {}
         for pool in self.shares.settings.pools:
-            uses = self.shares.uses(pool.name)
+            uses = self.shares.machine_uses(pool.name)
             own = self.shares.agreed_machines(pool.name, len(uses))
             wanted = self._with_loans(pool, uses, own)
             changes.update(next_holdings(uses, wanted, own))
@@ -128,7 +128,7 @@
         working = Counter(name for use in uses for name in use.tasks)
         return {
             name: working[name] + math.ceil(queued.get(name, 0.0) - c.EPSILON)
-            for name in self.shares.targets()
+            for name in self.shares.agreed_fractions()
         }
 
     def _vanished(self) -> list[str]:
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -24,10 +24,10 @@
 from appledock import wire
 from appledock.capacity.apportion import apportion
 from appledock.capacity.assignment import MachineUse
-from appledock.capacity.holdings import bucket_of
+from appledock.capacity.ownership import bucket_of
 from appledock.capacity.settings import Capacity, Shares
-from appledock.core.capacity.drains import Drains
-from appledock.core.capacity.ownership import Holders
+from appledock.core.capacity.drains import MachineDrainer
+from appledock.core.capacity.ownership import OwnershipAssigner
 from appledock.core.machines.capacity_index import StepReservation
 from appledock.core.records.capacity import HOLDINGS
 from appledock.core.records.job import Attempt, Job
@@ -43,7 +43,7 @@
 class Gate:
     """Whose jobs a machine takes."""
 
-    shares: CapacityShares
+    shares: PartitionManager
     partition: str | None
     """None: nobody's, at present"""
     replicas_only: bool = False
@@ -58,14 +58,14 @@
         )
 
 
-class CapacityShares:
+class PartitionManager:
     """Off without settings: then no machine has a gate, and nothing is written."""
 
     def __init__(self, engine: Controller, settings: Capacity | None) -> None:
         self.engine = engine
         self.settings = settings
-        self.holders = Holders(engine, self)
-        self.drains = Drains(engine, self)
+        self.holders = OwnershipAssigner(engine, self)
+        self.drains = MachineDrainer(engine, self)
         self.enabled = settings is not None
         self.next_pass = 0.0
         self.seen: dict[str, tuple[str, float]] = {}
@@ -85,7 +85,7 @@
             self._partitions[key] = self.settings.partition_of(spec)
         return self._partitions[key]
 
-    def in_force(self) -> bool:
+    def is_in_force(self) -> bool:
         """Do all controllers keep to the shares, and did nobody start anything else since?"""
         replica = self.engine.replica
         return (
@@ -102,9 +102,9 @@
             return None
         return self.settings.pool_of(report.type, report.zone, report.spot)
 
-    def gate(self, worker: Worker) -> Gate | None:
+    def admission_of(self, worker: Worker) -> Gate | None:
         """Whose jobs the machine takes; None: anybody's."""
-        if not self.in_force() or self.pool_of(worker) is None:
+        if not self.is_in_force() or self.pool_of(worker) is None:
             return None
         holding = self.engine.replica.capacity.holding(worker.id)
         partition = holding.partition if holding is not None and not holding.leaving else None
@@ -116,7 +116,7 @@
 
     def conditions(self, reserved: Iterable[StepReservation]) -> dict[str, int]:
         """What a step that uses these machines is conditional on: who holds them."""
-        if not self.in_force():
+        if not self.is_in_force():
             return {}
         result = {}
         for machine, _, _ in reserved:
@@ -126,16 +126,16 @@
                 result[f"{HOLDINGS}{number}"] = self.engine.replica.capacity.bucket(number).version
         return result
 
-    def targets(self) -> Shares:
+    def agreed_fractions(self) -> Shares:
         """The shares agreed at present."""
         assert self.settings is not None
-        agreed = self.engine.replica.capacity.agreed
+        agreed = self.engine.replica.capacity.agreed_fractions
         return agreed.shares if agreed is not None else self.settings.shares()
 
     # --- preferred controllers --------------------------------------------
-    def preferred(self, job: Job) -> str | None:
+    def preferred_owner(self, job: Job) -> str | None:
         """The controller that should own the job, if it is there and has been for a while."""
-        if self.settings is None or not self.in_force():
+        if self.settings is None or not self.is_in_force():
             return None
         name = self.partition_of(job.spec)
         node = self.settings.partition(name).controller if name is not None else None
@@ -162,7 +162,7 @@
             return
         self.handed = engine.now
         for job in engine.replica.jobs.values():
-            node = self.preferred(job)
+            node = self.preferred_owner(job)
             if (
                 node not in (None, engine.settings.name)
                 and engine.replica.owns_job(engine.settings.name, job)
@@ -179,7 +179,7 @@
 
         Then its partition's machines are filled by us alone, whoever owns their workers.
         """
-        return self.preferred(job) == self.engine.settings.name
+        return self.preferred_owner(job) == self.engine.settings.name
 
     # --- passes -----------------------------------------------------------
     def tick(self) -> None:
@@ -192,7 +192,7 @@
         if engine.now < self.next_pass:
             return
         self.next_pass = engine.now + settings.assign_every_s
-        if not self.in_force():
+        if not self.is_in_force():
             if (
                 engine.replica.record_format.value >= c.CAPACITY_FORMAT
                 and engine.membership.is_leader()
@@ -215,7 +215,7 @@
             del self.seen[node]
 
     # --- machines ---------------------------------------------------------
-    def uses(self, pool: str) -> list[MachineUse]:
+    def machine_uses(self, pool: str) -> list[MachineUse]:
         """The machines of a pool, as far as they are heard of."""
         engine = self.engine
         result = []
@@ -247,20 +247,20 @@
 
     def agreed_machines(self, pool: str, machines: int) -> dict[str, int]:
         """How many machines of a pool each partition shall have by what is agreed."""
-        shares = self.targets()
+        shares = self.agreed_fractions()
         return apportion(machines, {name: shares[name].get(pool, 0.0) for name in shares})
 
-    def leaving(self, machine: str) -> bool:
+    def is_being_handed_over(self, machine: str) -> bool:
         """Is the machine being emptied to be handed over?"""
         holding = self.engine.replica.capacity.holding(machine)
-        return self.in_force() and holding is not None and holding.leaving
+        return self.is_in_force() and holding is not None and holding.leaving
 
-    def moves_off(self, spec: wire.JobSpec, machine: str) -> bool:
+    def must_move_off(self, spec: wire.JobSpec, machine: str) -> bool:
         """Is a task of the job to be moved off the machine?
 
         Replicas only: what ends by itself is waited for.
         """
-        return spec.service and not spec.gang and self.leaving(machine)
+        return spec.service and not spec.gang and self.is_being_handed_over(machine)
 
     # --- operators --------------------------------------------------------
     def summary(self) -> dict[str, Any]:
@@ -268,19 +268,19 @@
         if self.settings is None:
             return {"enabled": False}
         replica = self.engine.replica
-        agreed = replica.capacity.agreed
+        agreed = replica.capacity.agreed_fractions
         return {
             "enabled": True,
-            "in_force": self.in_force(),
+            "in_force": self.is_in_force(),
             "version": agreed.version if agreed is not None else 0,
             "request": agreed.request if agreed is not None else None,
-            "shares": self.targets(),
+            "shares": self.agreed_fractions(),
             "pools": {pool.name: self._pool(pool.name) for pool in self.settings.pools},
         }
 
     def _pool(self, pool: str) -> dict[str, Any]:
-        uses = self.uses(pool)
-        shares = self.targets()
+        uses = self.machine_uses(pool)
+        shares = self.agreed_fractions()
         target = self.agreed_machines(pool, len(uses))
         rows = {}
         for name in shares:
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -20,7 +20,7 @@
 from appledock.core.api.submission import Submissions
 from appledock.core.api.submission_check import SubmissionCheck
 from appledock.core.api.user_requests import UserRequests
-from appledock.core.capacity.partitions import CapacityShares
+from appledock.core.capacity.partitions import PartitionManager
 from appledock.core.engine import Engine
 from appledock.core.fleet import Fleet
 from appledock.core.jobs.cancellation import CancellationEnforcer
@@ -137,11 +137,11 @@
             replica=self.replica,
             machine_types=self.machine_types,
             eligibility=self.eligibility,
-            admission_of=lambda worker: self.partitions.gate(worker),  # noqa: PLW0108 -- built later
+            admission_of=lambda worker: self.partitions.admission_of(worker),  # noqa: PLW0108 -- built later
             is_load_tracked=lambda: self.rebalancer.enabled or self.partitions.enabled,
         )
         self.rebalancer = Rebalancer(self, rebalancing)
-        self.partitions = CapacityShares(self, capacity)
+        self.partitions = PartitionManager(self, capacity)
         self.moves = Moves(self)
         self.quota_usage = QuotaUsage(self.runtime, self.replica)
         self.queue_order = QueueOrder(self.runtime, self.replica, self.quota_usage, self.objectives)
@@ -332,7 +332,7 @@
             polls=polls,
             check=SubmissionCheck(self.runtime, self.client, self.codec, self.machine_types),
             choose_first_owner=FirstOwner(
-                self.replica, self.membership, self.heartbeats, self.partitions.preferred
+                self.replica, self.membership, self.heartbeats, self.partitions.preferred_owner
             ).choose,
         )
         cancellations = JobCancellations(
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -10,7 +10,7 @@
 from appledock.core.api.admin import AdminApi
 from appledock.core.api.health import HealthCheck
 from appledock.core.api.user_requests import UserRequests
-from appledock.core.capacity.partitions import CapacityShares
+from appledock.core.capacity.partitions import PartitionManager
 from appledock.core.fleet import Fleet
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
@@ -51,7 +51,7 @@
         workers: Workers,
         capacity_index: CapacityIndex,
         rebalancer: Rebalancer,
-        partitions: CapacityShares,
+        partitions: PartitionManager,
         moves: Moves,
         quota_allocation: QuotaAllocation,
         queue_order: QueueOrder,
--- a/appledock/core/records/capacity.py
+++ b/appledock/core/records/capacity.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from appledock import constants as c
-from appledock.capacity.holdings import Bucket, Holding, bucket_of, decode
+from appledock.capacity.ownership import Bucket, Holding, bucket_of, decode
 from appledock.capacity.settings import Shares
 
 log = logging.getLogger(__name__)
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Agreed:
+class AgreedFractions:
     """The shares of machines that operators agreed on last."""
 
     version: int
@@ -34,7 +34,7 @@
     """The records under one prefix, as last read."""
 
     def __init__(self) -> None:
-        self.agreed: Agreed | None = None
+        self.agreed_fractions: AgreedFractions | None = None
         self.buckets: dict[int, Bucket] = {}
         """who holds which machine, by record"""
         self.changed: set[str] = set()
@@ -51,14 +51,14 @@
     def version(self, key: str) -> int:
         """The version of a record that is known."""
         if key == AGREED:
-            return self.agreed.version if self.agreed is not None else 0
+            return self.agreed_fractions.version if self.agreed_fractions is not None else 0
         return self.bucket(_number(key)).version
 
     def put(self, key: str, value: Any, version: int) -> None:
         """A record as it is now; one that cannot be read says nothing."""
         try:
             if key == AGREED:
-                self.agreed = Agreed(
+                self.agreed_fractions = AgreedFractions(
                     version,
                     value["request"],
                     value["shares"],
@@ -75,7 +75,7 @@
     def drop(self, key: str) -> None:
         """A record that is there no more."""
         if key == AGREED:
-            self.agreed = None
+            self.agreed_fractions = None
         else:
             self._set(_number(key), Bucket())
 
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -234,7 +234,7 @@
             return Outcome.NOT_OURS
         if not self.enabled:
             return Outcome.OFF
-        drains = engine.partitions.moves_off(job.spec, order.source)
+        drains = engine.partitions.must_move_off(job.spec, order.source)
         if not drains and not engine.rebalancer.movable(job.spec):
             return Outcome.NOT_ALLOWED
         if order.job in self.active or not engine.job_writer.can_write(job):
@@ -361,7 +361,7 @@
         """How long a job that was moved rests; hardly, if its machine is to be handed over."""
         return (
             c.DRAIN_REST_S
-            if self.engine.partitions.leaving(order.source)
+            if self.engine.partitions.is_being_handed_over(order.source)
             else self.rules.cooldown_s
         )
 
--- a/tests/loopback/shares.py
+++ b/tests/loopback/shares.py
@@ -17,7 +17,7 @@
 import click
 
 from appledock.capacity.history import HistoryWriter, read, rows
-from appledock.capacity.holdings import SECTIONS
+from appledock.capacity.ownership import SECTIONS
 from tests.loopback import interrupt
 from tests.loopback.__main__ import Run
 from tests.loopback.cluster import LoopbackCluster
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -482,7 +482,7 @@
         return int(controller.replica.record_format.value)
 
     def shares_in_force(self, controller: Any) -> bool:
-        return bool(controller.partitions.in_force())
+        return bool(controller.partitions.is_in_force())
 
     def job(self, spec: Any, completed: tuple[int, ...], **fields: Any) -> Any:
         names = {"handoff": "handoff_target", "failures": "consecutive_failures"}
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -23,8 +23,8 @@
 from appledock.capacity.apportion import apportion
 from appledock.capacity.assignment import MachineUse, next_holdings
 from appledock.capacity.history import HistoryError, HistoryRow, HistoryWriter, read, rows
-from appledock.capacity.holdings import Bucket, Holding, bucket_of, decode
 from appledock.capacity.lending import Lenders, lent
+from appledock.capacity.ownership import Bucket, Holding, bucket_of, decode
 from appledock.capacity.settings import Capacity, CapacityError, Partition, Pool, parse
 from appledock.cli import main
 from tests.standins.deployment import settings as deployed
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -15,8 +15,8 @@
 
 from appledock import constants as c
 from appledock.capacity.apportion import apportion
-from appledock.core.capacity.drains import Drains
-from appledock.core.capacity.partitions import CapacityShares
+from appledock.core.capacity.drains import MachineDrainer
+from appledock.core.capacity.partitions import PartitionManager
 from appledock.core.membership.format_upgrade import RecordFormatUpgrade
 from appledock.core.records.capacity import CAPACITY
 from tests.standins.sharing import (
@@ -208,7 +208,7 @@
     monkeypatch: Patch,
 ) -> None:
     assert crowded_change() == {"sealing": 3, "front": 9}
-    monkeypatch.setattr(Drains, "_keep_room", lambda self: None)
+    monkeypatch.setattr(MachineDrainer, "_keep_room", lambda self: None)
     assert crowded_change() != {"sealing": 3, "front": 9}
 
 
@@ -491,7 +491,7 @@
     world.shares = shares()
     world.clock.run(40.0)
     assert lacking.engine.partitions.enabled is False
-    assert not any(node.engine.partitions.in_force() for node in world.nodes.values())
+    assert not any(node.engine.partitions.is_in_force() for node in world.nodes.values())
     assert not any(key.startswith(CAPACITY) for key in world.state.rows)
     lacking.crash(0.5)
     world.clock.run(70.0)
@@ -556,17 +556,17 @@
     for seed in seeds:
         world = late_step(seed, monkeypatch)
         assert world.mixed == [] and world.judge.broken == [] and world.unfinished() == []
-    monkeypatch.setattr(CapacityShares, "conditions", lambda self, reserved: {})
+    monkeypatch.setattr(PartitionManager, "conditions", lambda self, reserved: {})
     assert any(late_step(seed, monkeypatch).mixed for seed in seeds)
 
 
 def test_a_machine_is_given_away_only_once_the_records_show_it_empty(monkeypatch: Patch) -> None:
-    uses = CapacityShares.uses
+    uses = PartitionManager.machine_uses
 
-    def look_empty(self: CapacityShares, pool: str) -> Any:
+    def look_empty(self: PartitionManager, pool: str) -> Any:
         return [type(use)(use.name, use.holding) for use in uses(self, pool)]
 
-    monkeypatch.setattr(CapacityShares, "uses", look_empty)
+    monkeypatch.setattr(PartitionManager, "machine_uses", look_empty)
     world = started(2)
     world.array(1, "red", run_s=60.0, tasks=6, memory_gb=8.1)
     world.clock.run(CHANGE_S)
@@ -605,10 +605,10 @@
     world = unaware(1, monkeypatch)
     assert world.mixed == [] and world.judge.broken == [] and world.unfinished() == []
 
-    def hasty(self: CapacityShares) -> bool:
+    def hasty(self: PartitionManager) -> bool:
         return self.enabled and self.engine.replica.record_format.value >= c.CAPACITY_FORMAT
 
-    monkeypatch.setattr(CapacityShares, "in_force", hasty)
+    monkeypatch.setattr(PartitionManager, "is_in_force", hasty)
     assert unaware(1, monkeypatch).mixed
 
 
