--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -1,4 +1,4 @@
-"""MachineDrainer of machines that change hands: room for replicas, their moves, and stops of savers."""
+"""Drains machines that change owner: moves their replicas and stops tasks with checkpoints."""
 
 from __future__ import annotations
 
