--- a/tests/equivalence/scenarios.py
+++ b/tests/equivalence/scenarios.py
@@ -13,6 +13,7 @@
 from appledock.rebalancing.settings import DataSet
 from tests.standins import (
     chains,
+    deployment,
     faults,
     meetings,
     meetings_common,
@@ -21,7 +22,7 @@
     short_arrays,
     spreading,
 )
-from tests.standins.versions import production, served
+from tests.standins.versions import MoveUnderWay, production, served
 from tests.standins.world import World
 
 
@@ -79,7 +80,7 @@
     return lambda seed: meetings.play(seed, *names, upgrade=upgrade, chains=pipelines)
 
 
-for _name in meetings.MEETINGS:
+for _name in (*meetings.MEETINGS, *meetings.GAPS):
     _add("meeting-" + _name.replace("_", "-"), _meeting(_name))
 _add("upgrade-meeting", _meeting("leader_ends_unreached", upgrade=True, pipelines=True))
 
@@ -207,6 +208,81 @@
     clock.run(90.0)
 
 
+OBJECTIVES = [
+    {"kind": "wait", "class": "arr", "within_s": 20.0, "share": 0.9},
+    {"kind": "deadline", "class": "arr", "times": 1.5, "share": 0.9},
+    {"kind": "deadline", "class": "svc", "times": 2.0},
+    {"kind": "finished", "within_s": 60.0, "share": 0.95},
+    {"kind": "guarantee", "share": 1.0},
+    {"kind": "of a later version", "within_s": 1.0},
+]
+
+
+def objectives(seed: int) -> None:
+    """The platform names objectives, and more is submitted than fits."""
+    with patch.object(deployment, "OBJECTIVES", OBJECTIVES):
+        world = World(seed, capacity=5)
+        rng = world.clock.rng
+        for place in range(24):
+            changes = {
+                "crates": rng.randint(1, 6),
+                "run_s": 3 + 9 * rng.random(),
+                "owner": rng.choice(["red", "blue"]),
+                "rank": rng.choice(["standard", "best_effort", "urgent"]),
+                "sail_s": rng.choice([15.0, 40.0, None]),
+            }
+            world.clock.at(2.0 + 1.5 * place, partial(_submit, world, None, changes))
+        world.clock.at(25.0, partial(_crash_leader, world))
+        world.clock.run(85.0)
+
+
+def large_records(seed: int) -> None:
+    """Descriptions and records come near the largest value, which becomes smaller."""
+    world = World(seed, capacity=12, announced=deployment.NEXT)
+    rng = world.clock.rng
+    for place in range(14):
+        changes = {
+            "hulls": ["h4", *(f"type-{number:04d}" for number in range(rng.choice([5, 60, 400])))],
+            "crates": rng.choice([2, 12, 24]),
+            "cores": 0.5,
+            "run_s": 6.0 + 10 * rng.random(),
+            "scatter": place % 3 == 0,
+        }
+        cancel = 12.0 if place % 4 == 1 else None
+        world.clock.at(3.0 + 3.0 * place, partial(_submit, world, cancel, changes))
+    wide = {"crates": 200, "cores": 0.25, "run_s": 4.0, "runs": {n: 1 + n % 9 for n in range(200)}}
+    world.clock.at(6.0, partial(_submit, world, None, wide))
+    world.clock.at(30.0, partial(world.state.lower, **deployment.NEXT))
+    world.clock.at(45.0, partial(_crash_leader, world))
+    for number, needs in enumerate((3, 40, 200)):
+        needing = {"tethers": [f"job-{place:06d}" for place in range(1, 1 + needs)], "run_s": 2.0}
+        world.clock.at(50.0 + number, partial(_submit, world, None, needing))
+    world.clock.run(100.0)
+
+
+def changing_catalogue(seed: int) -> None:
+    """The cloud's offer changes: prices, zones, sizes, and a type that comes and goes."""
+    with patch.object(deployment, "TYPES", [dict(kind) for kind in deployment.TYPES]):
+        world = World(seed, capacity=14)
+        kind = world.cloud.types[0]
+        big = {**kind, "name": "h8", "cores": 8, "memory_gb": 32, "hourly": 0.35, "quays": ["b"]}
+        meetings_common.work(world, 60.0)
+        changes: list[Callable[[], object]] = [
+            partial(kind.update, hourly=0.5, market_price=0.4),
+            partial(world.cloud.types.append, big),
+            partial(kind.update, quays=["a"]),
+            partial(world.cloud.types.remove, big),
+            partial(kind.update, quays=["a", "b"], memory_gb=24),
+        ]
+        for place, change in enumerate(changes):
+            world.clock.at(12.0 + 14.0 * place, change)
+        world.clock.at(31.0, partial(_crash_leader, world))
+        world.clock.run(95.0)
+
+
+_add("objectives", objectives)
+_add("large-records", large_records)
+_add("changing-catalogue", changing_catalogue)
 _add("kinds-of-work", kinds_of_work, quick=True)
 _add("preemption", preemption, quick=True)
 _add("spot-machines", spot_machines)
@@ -360,6 +436,61 @@
     world.clock.run(95.0)
 
 
+def share_requests(seed: int) -> None:
+    """Operators ask for changes of shares at all controllers: at once, again, with versions
+    and deadlines, wrong ones, and while the state service gives no answer."""
+    world = sharing.started(seed)
+    clock = world.clock
+    for number in range(6):
+        world.job(number, "red", tasks=1, memory_gb=9.0)
+    world.array(30, "red", run_s=60.0, tasks=6, saves=True)
+    wrong: list[dict[str, Any]] = [
+        {},
+        {"shares": {"sealing": 1}},
+        {"request": "", "shares": {"sealing": {"all": 0.5}}},
+        {"request": "r", "shares": {"sealing": {"all": 0.7}}},
+        {"request": "r", "shares": {"sealing": {"all": "x"}}},
+        {"request": "r", "shares": {"nobody": {"all": 0.5}}},
+        {"request": "r", "shares": {"sealing": {"b": 0.5}}},
+        {"request": "r", "shares": {}, "version": "x"},
+        {"request": "r", "shares": {}, "deadline_s": -1},
+        {"request": "r", "shares": {}, "deadline_s": "soon"},
+    ]
+    for place, body in enumerate(wrong):
+        clock.at(19.0 + 0.2 * place, partial(world.change, "n0", "apply", **body))
+    clock.at(22.0, partial(world.change, "n1", "withdraw", request="nothing"))
+    clock.at(22.5, partial(world.change, "n1", "propose", request="p", shares=_shares(0.25)))
+    clock.at(24.0, partial(world.apply, "n0", 0.25, "first", version=0, deadline_s=5.0))
+    clock.at(24.0, partial(world.apply, "n1", 0.75, "second", version=0))
+    for name in world.names:
+        clock.at(28.0, partial(world.apply, name, 0.25, "first"))
+    clock.at(36.0, lambda: setattr(world.state, "lost_answers", 1.0))
+    clock.at(36.5, partial(world.apply, "n2", 0.4, "third"))
+    clock.at(39.0, lambda: setattr(world.state, "lost_answers", 0.0))
+    clock.at(48.0, partial(world.change, "n0", "withdraw", request="fourth"))
+    clock.at(56.0, partial(world.state.outage, 4.0))
+    clock.at(57.0, partial(world.apply, "n1", 0.75, "fifth"))
+    clock.at(64.0, partial(world.apply, "n1", 0.25, "sixth", deadline_s=0))
+    clock.run(90.0)
+
+
+def replicas_change_machines(seed: int) -> None:
+    """Replicas have to leave machines that change hands, for others that are nearly full."""
+    world = sharing.started(seed)
+    for number in range(6):
+        world.job(number, "red", tasks=1, cores=2.0, memory_gb=8.5)
+    world.clock.run(22.0)
+    for number in range(10, 16):
+        world.job(number, "red", tasks=1, cores=2.0, memory_gb=7.0)
+    for number in range(4):
+        world.clock.at(28.0 + number, partial(world.cancel, f"job-{number:06d}"))
+    world.clock.at(32.0, partial(world.apply, "n0", 0.25, "r1"))
+    world.array(20, "red", run_s=15.0, tasks=6)
+    world.clock.run(90.0)
+
+
+_add("share-requests", share_requests, seed=8)
+_add("shares-replicas", replicas_change_machines, seed=18)
 _add("shares", partial(shares_change, controllers=False), quick=True)
 _add("shares-controllers", partial(shares_change, controllers=True), seed=2)
 _add("shares-crash", lambda seed: shares_change(seed, True, "crash", "cut"), seed=3)
@@ -399,3 +530,85 @@
     partial(rebalancing, locality=2.0, image=0.5, speed=0.5, packing=0.2, datasets=DATA),
     seed=4,
 )
+
+
+# --- moves with troubles in the very middle of one -------------------------------
+def troubled_moves(seed: int, *troubles: str) -> None:
+    """Each trouble strikes while the owner of a job carries a move out."""
+    world = spreading.crowded(seed, spreading.rules(moves={"cooldown_s": 5.0}), arrays=4)
+    left = list(troubles)
+
+    def look(not_before: float) -> None:
+        moves = [
+            node.runs.move(order)
+            for node in world.nodes.values()
+            if node.up
+            for order in node.runs.moves_under_way(node.engine)
+        ]
+        if moves and left and world.clock.now >= not_before:
+            _strike_move(world, left.pop(0), moves[0])
+            not_before = world.clock.now + 8.0
+        world.clock.after(0.05, partial(look, not_before))
+
+    world.clock.at(26.0, partial(look, 26.0))
+    for number in range(20, 32):
+        spec = spreading.saving_array(world, number, 2, run_s=12.0)
+        world.clock.at(30.0 + 3 * (number - 20), partial(world.submit, spec))
+        if number % 3 == 0:
+            service = spreading.service(world, number + 20, 3)
+            world.clock.at(31.0 + 3 * (number - 20), partial(world.submit, service, 20.0))
+    world.clock.run(105.0)
+
+
+def _play_moves(troubles: tuple[str, ...], seed: int) -> None:
+    troubled_moves(seed, *troubles)
+
+
+def _strike_move(world: World, trouble: str, move: MoveUnderWay) -> None:
+    clock, names = world.clock, set(world.names)
+    match trouble:
+        case "cut_source":
+            clock.cut({move.source}, names, 12.0, False)
+        case "hold_source":
+            clock.cut({move.source}, names, 8.0, True)
+        case "late_report":
+            for name in world.names:
+                world.late_copy(name, world.cloud.workers[move.source].body(), 2.0)
+        case "cancel":
+            world.cancel(move.job)
+        case "destination_dies":
+            world.cloud.kill(move.destination)
+        case "destination_cordoned":
+            for _ in range(3):
+                _operate(world, ("POST", f"machines/{move.destination}/cordon", None))
+        case "leader_ends":
+            _crash_leader(world)
+        case "all_end":
+            for node in world.nodes.values():
+                node.crash(1.5)
+        case "apart":
+            leader = world.leader()
+            clock.cut({leader}, names - {leader}, 7.0, False)
+        case "freeze":
+            world.nodes[world.leader()].freeze(6.0, mid_batch=True)
+        case "outage":
+            world.state.outage(6.0)
+        case "lost_answers":
+            world.state.lost_answers = 0.5
+            clock.after(5.0, lambda: setattr(world.state, "lost_answers", 0.0))
+        case "late_writes":
+            world.state.late_writes = 0.4
+            clock.after(5.0, lambda: setattr(world.state, "late_writes", 0.0))
+        case _:
+            raise ValueError(trouble)
+
+
+for _place, _troubles in enumerate(
+    [
+        ("cancel", "destination_dies", "late_report", "leader_ends", "hold_source"),
+        ("destination_cordoned", "outage", "cut_source", "all_end", "late_writes"),
+        ("lost_answers", "freeze", "apart", "cancel", "destination_dies"),
+    ],
+    1,
+):
+    _add(f"moves-{_troubles[0].replace('_', '-')}", partial(_play_moves, _troubles), seed=_place)
--- a/tests/standins/deployment.py
+++ b/tests/standins/deployment.py
@@ -26,6 +26,8 @@
         "quays": ["a", "b"],
     }
 ]
+OBJECTIVES: list[dict[str, Any]] = []
+"""what the platform is judged by, as its file says it"""
 
 NEXT = {"value_kb": 2.0, "txn_ops": 5, "write_rps": 15.0}
 """limits that the state service may have from some moment on"""
@@ -59,7 +61,7 @@
                     {"name": t, "cpus": g, "cpus_max": m, "gpus": 0, "gpus_max": 0}
                     for t, (g, m) in TEAMS.items()
                 ],
-                "objectives": [],
+                "objectives": OBJECTIVES,
                 "time_bound_ms": 100.0,
                 "workers": {
                     "report_s": machines.REPORT_S,
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -44,6 +44,15 @@
     LOG_LEVEL = "log_level"
 
 
+@dataclass(frozen=True)
+class MoveUnderWay:
+    """A move of a running task that the owner of its job carries out."""
+
+    job: str
+    source: str
+    destination: str
+
+
 @dataclass(frozen=True)
 class HttpCall:
     """A request to an outside system, as it goes onto the wire."""
@@ -153,6 +162,10 @@
         """The orders of the moves that it carries out as owner of their jobs."""
         return []
 
+    def move(self, order: Any) -> MoveUnderWay:
+        """Which task's job the order of a move is about, and from where to where."""
+        return MoveUnderWay(order.job, order.source, order.destination)
+
     # --- commands ---------------------------------------------------------
     def tick(self) -> Any:
         """The command to look at the timers."""
