--- a/appledock/capacity/assignment.py
+++ b/appledock/capacity/assignment.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from appledock.capacity.ownership import Holding
+from appledock.capacity.ownership import Ownership
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,11 +18,11 @@
     """A machine of a pool: who holds it, and whose unsettled tasks are on it."""
 
     name: str
-    holding: Holding | None
+    ownership: Ownership | None
     """None: nobody was given it yet"""
     tasks: dict[str, int] = field(default_factory=dict)
     """partition -> its unsettled tasks"""
-    cost: float = 0.0
+    drain_s: float = 0.0
     """how long it would take to empty, for the choice among several"""
 
     @property
@@ -31,9 +31,9 @@
         return not self.tasks
 
 
-def next_holdings(
+def next_owners(
     machines: list[MachineUse], target: dict[str, int], own: dict[str, int] | None = None
-) -> dict[str, Holding]:
+) -> dict[str, Ownership]:
     """The holdings that change now, by machine; all machines are of one pool.
 
     `target`: how many of them each partition shall hold; `own`: how many of those are its own,
@@ -51,16 +51,16 @@
         self.own = own
         self.machines = sorted(machines, key=lambda machine: machine.name)
         self.target = target
-        self.changes: dict[str, Holding] = {}
+        self.changes: dict[str, Ownership] = {}
         self.held = Counter(
-            machine.holding.partition
+            machine.ownership.partition
             for machine in machines
-            if machine.holding is not None and not machine.holding.leaving
+            if machine.ownership is not None and not machine.ownership.is_being_handed_over
         )
 
-    def run(self) -> dict[str, Holding]:
+    def run(self) -> dict[str, Ownership]:
         for machine in self.machines:
-            if machine.holding is not None and machine.holding.partition not in self.target:
+            if machine.ownership is not None and machine.ownership.partition not in self.target:
                 # Its partition is in the file no more.
                 self._leave(machine)
         self._take_back()
@@ -74,33 +74,39 @@
         return sorted((n for n in lacks if lacks[n] > 0), key=lambda n: (-lacks[n], n))
 
     def _hold(self, machine: MachineUse, partition: str) -> None:
-        lent = self.held[partition] >= self.own.get(partition, 0)
-        self.changes[machine.name] = Holding(partition, lent=lent)
+        is_lent = self.held[partition] >= self.own.get(partition, 0)
+        self.changes[machine.name] = Ownership(partition, is_lent=is_lent)
         self.held[partition] += 1
 
     def _leave(self, machine: MachineUse) -> None:
-        assert machine.holding is not None
-        if not machine.holding.leaving:
-            self.changes[machine.name] = machine.holding.left()
-            self.held[machine.holding.partition] -= 1
+        assert machine.ownership is not None
+        if not machine.ownership.is_being_handed_over:
+            self.changes[machine.name] = machine.ownership.handed_over()
+            self.held[machine.ownership.partition] -= 1
 
     def _take_back(self) -> None:
         """A change was withdrawn: machines that are being left stay with their holder."""
         for machine in self.machines:
-            holding = machine.holding
-            if holding is None or not holding.leaving or set(machine.tasks) - {holding.partition}:
+            ownership = machine.ownership
+            if (
+                ownership is None
+                or not ownership.is_being_handed_over
+                or set(machine.tasks) - {ownership.partition}
+            ):
                 continue
-            if self.held[holding.partition] < self.target.get(holding.partition, 0):
-                self._hold(machine, holding.partition)
+            if self.held[ownership.partition] < self.target.get(ownership.partition, 0):
+                self._hold(machine, ownership.partition)
 
     def _give_out(self) -> None:
         """Machines that are empty go to whoever lacks most; new ones at work to their users."""
         for machine in self.machines:
             if machine.name in self.changes or not self.target:
                 continue
-            if machine.holding is None and machine.tasks:
+            if machine.ownership is None and machine.tasks:
                 self._adopt(machine)
-            elif machine.empty and (machine.holding is None or machine.holding.leaving):
+            elif machine.empty and (
+                machine.ownership is None or machine.ownership.is_being_handed_over
+            ):
                 lacking = self._lacking()
                 if lacking:
                     self._hold(machine, lacking[0])
@@ -111,36 +117,36 @@
         if len(machine.tasks) == 1 and self.held[partition] < self.target.get(partition, 0):
             self._hold(machine, partition)
         else:
-            self.changes[machine.name] = Holding(partition, leaving=True)
+            self.changes[machine.name] = Ownership(partition, is_being_handed_over=True)
 
     def _make_leave(self) -> None:
         """Whoever has too many leaves as many as others lack, and that are not free anyway."""
         free = sum(
-            holding.leaving
+            ownership.is_being_handed_over
             for machine in self.machines
-            if (holding := self.changes.get(machine.name, machine.holding)) is not None
+            if (ownership := self.changes.get(machine.name, machine.ownership)) is not None
         )
         wanted = sum(self.target[name] - self.held[name] for name in self._lacking()) - free
         candidates = sorted(
             (
                 machine
                 for machine in self.machines
-                if machine.holding is not None
-                and not machine.holding.leaving
+                if machine.ownership is not None
+                and not machine.ownership.is_being_handed_over
                 and machine.name not in self.changes
             ),
             key=lambda machine: (
-                machine.holding is not None and not machine.holding.lent,
-                machine.cost,
+                machine.ownership is not None and not machine.ownership.is_lent,
+                machine.drain_s,
                 sum(machine.tasks.values()),
                 machine.name,
             ),
         )
         for machine in candidates:
-            assert machine.holding is not None
+            assert machine.ownership is not None
             if wanted <= 0:
                 return
-            partition = machine.holding.partition
+            partition = machine.ownership.partition
             if self.held[partition] > self.target[partition]:
                 self._leave(machine)
                 wanted -= 1
--- a/appledock/capacity/lending.py
+++ b/appledock/capacity/lending.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 
-def lent(target: dict[str, int], need: dict[str, int], lenders: set[str]) -> dict[str, int]:
+def lend_surplus(target: dict[str, int], need: dict[str, int], lenders: set[str]) -> dict[str, int]:
     """The numbers of machines with loans in them.
 
     `need`: machines that each partition could use now. Whoever needs its own machines has them:
--- a/appledock/capacity/ownership.py
+++ b/appledock/capacity/ownership.py
@@ -10,18 +10,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holding:
+class Ownership:
     """One machine's holder."""
 
     partition: str
-    leaving: bool = False
+    is_being_handed_over: bool = False
     """the holder starts nothing more there; when it is empty, another one gets it"""
-    lent: bool = False
+    is_lent: bool = False
     """it is one more than the holder's share: its lender has it back when in need"""
 
-    def left(self) -> Holding:
+    def handed_over(self) -> Ownership:
         """The same, being left."""
-        return Holding(self.partition, True, self.lent)
+        return Ownership(self.partition, True, self.is_lent)
 
 
 SECTIONS = {
@@ -34,32 +34,35 @@
 
 
 @dataclass(slots=True)
-class Bucket:
+class OwnershipBucket:
     """The machines of one record."""
 
     version: int = 0
-    holdings: dict[str, Holding] = field(default_factory=dict)
+    owners: dict[str, Ownership] = field(default_factory=dict)
 
     def encode(self) -> dict[str, Any]:
         """Names by section and partition; sections without any are left out."""
         sections = {name: self._names(*flags) for name, flags in SECTIONS.items()}
         return {name: names for name, names in sections.items() if names}
 
-    def _names(self, leaving: bool, lent: bool) -> dict[str, str]:
+    def _names(self, is_being_handed_over: bool, is_lent: bool) -> dict[str, str]:
         names: dict[str, list[str]] = {}
-        for machine, holding in sorted(self.holdings.items()):
-            if (holding.leaving, holding.lent) == (leaving, lent):
-                names.setdefault(holding.partition, []).append(machine)
+        for machine, ownership in sorted(self.owners.items()):
+            if (ownership.is_being_handed_over, ownership.is_lent) == (
+                is_being_handed_over,
+                is_lent,
+            ):
+                names.setdefault(ownership.partition, []).append(machine)
         return {partition: " ".join(machines) for partition, machines in sorted(names.items())}
 
 
-def decode(record: dict[str, Any], version: int) -> Bucket:
+def decode_bucket(record: dict[str, Any], version: int) -> OwnershipBucket:
     """The bucket of a record; raises TypeError or AttributeError if malformed."""
-    bucket = Bucket(version)
-    for section, (leaving, lent) in SECTIONS.items():
+    bucket = OwnershipBucket(version)
+    for section, (is_being_handed_over, is_lent) in SECTIONS.items():
         for partition, names in record.get(section, {}).items():
             for machine in names.split():
-                bucket.holdings[machine] = Holding(partition, leaving, lent)
+                bucket.owners[machine] = Ownership(partition, is_being_handed_over, is_lent)
     return bucket
 
 
--- a/appledock/capacity/settings.py
+++ b/appledock/capacity/settings.py
@@ -14,10 +14,10 @@
 from appledock import wire
 from appledock.settings import Settings
 
-Share = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(gt=0, le=86_400)]
 Name = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9_.-]+$")]
-Shares = dict[str, dict[str, float]]
+MachineFractions = dict[str, dict[str, float]]
 """partition -> pool -> its share"""
 
 REST = "rest"
@@ -53,9 +53,10 @@
     classes: list[str] = []
     controller: str | None = None
     """owns the partition's jobs while it is there"""
-    floor: Share = 0.0
+    floor: Fraction = 0.0
     """no change may leave it a smaller share of any pool"""
-    shares: dict[str, Share] = {}
+    fractions: dict[str, Fraction] = msgspec.field(name="shares", default_factory=dict)
+    """pool -> fraction of its machines"""
 
 
 class Capacity(Struct, frozen=True, forbid_unknown_fields=True):
@@ -95,9 +96,9 @@
         """The partition of this name."""
         return next(row for row in self.partitions if row.name == name)
 
-    def shares(self) -> Shares:
+    def configured_fractions(self) -> MachineFractions:
         """The shares that hold until they are changed."""
-        return {row.name: dict(row.shares) for row in self.partitions}
+        return {row.name: dict(row.fractions) for row in self.partitions}
 
 
 def schema() -> dict[str, Any]:
@@ -112,7 +113,7 @@
     except (tomllib.TOMLDecodeError, msgspec.ValidationError, UnicodeDecodeError) as error:
         raise CapacityError(" ".join(str(error).split())) from None
     _check_names(capacity, settings)
-    check_shares(capacity, capacity.shares())
+    check_fractions(capacity, capacity.configured_fractions())
     return capacity
 
 
@@ -162,7 +163,7 @@
             raise CapacityError(f"{kind} {name!r} is named {names.count(name)} times")
 
 
-def check_shares(capacity: Capacity, shares: Shares) -> None:
+def check_fractions(capacity: Capacity, shares: MachineFractions) -> None:
     """Check shares, of the file or of a change, or raise CapacityError with the field."""
     pools = {pool.name for pool in capacity.pools}
     partitions = {partition.name: partition for partition in capacity.partitions}
@@ -179,7 +180,7 @@
         _check_pool(pool, partitions, shares)
 
 
-def _check_pool(pool: str, partitions: dict[str, Partition], shares: Shares) -> None:
+def _check_pool(pool: str, partitions: dict[str, Partition], shares: MachineFractions) -> None:
     total = math.fsum(shares.get(name, {}).get(pool, 0.0) for name in partitions)
     if abs(total - 1) > 1e-6:
         raise CapacityError(f"the shares of pool {pool!r} add up to {total:g}, not to 1")
--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -10,7 +10,6 @@
 from typing import TYPE_CHECKING, Any
 
 from appledock import constants as c
-from appledock.core.api.capacity_api import PartitionSharesApi
 from appledock.core.api.console_feed import ConsoleFeed
 from appledock.core.commands import AdminRequest
 from appledock.core.effects import Response, SetLogLevel
@@ -33,7 +32,7 @@
     def __init__(self, engine: Controller) -> None:
         self.engine = engine
         self.feed = ConsoleFeed(engine)
-        self.shares = PartitionSharesApi(engine)
+        self.shares = engine.shares_api
         self._readers: dict[str, Callable[[], dict[str, Any]]] = {
             "status": self.status,
             "jobs": lambda: {"jobs": self.jobs()},
@@ -41,7 +40,7 @@
             "teams": lambda: {"teams": self.teams()},
             "settings": self.settings,
             "rebalancing": engine.rebalancer.summary,
-            "capacity": engine.partitions.summary,
+            "capacity": engine.partition_summary.as_json,
         }
         """path -> what `GET` answers there"""
 
--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -1,17 +1,31 @@
-"""Changes of capacity shares by operators: proposed, applied, withdrawn."""
+"""Operators' changes of the agreed fractions of machines: proposed, applied, withdrawn."""
 
 from __future__ import annotations
 
+import enum
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
-from appledock import constants as c
+from appledock import constants
 from appledock.capacity.apportion import apportion
-from appledock.capacity.settings import CapacityError, Shares, check_shares
+from appledock.capacity.assignment import MachineUse
+from appledock.capacity.settings import (
+    Capacity,
+    CapacityError,
+    MachineFractions,
+    check_fractions,
+)
+from appledock.core.capacity.machine_usage import MachineUsage
+from appledock.core.capacity.partition_map import PartitionMap
+from appledock.core.capacity.summary import PartitionSummary
 from appledock.core.commands import AdminRequest
 from appledock.core.effects import Response
-from appledock.core.records.capacity import AGREED
+from appledock.core.records.capacity import AGREED_FRACTIONS, AgreedFractions
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
 from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.reader import StateReader
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     Committed,
     Conflict,
@@ -21,184 +35,237 @@
     UnknownOutcome,
 )
 
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
+
+class CapacityAction(enum.StrEnum):
+    """What is asked for; the values are the last segments of the paths."""
+
+    PROPOSE = "propose"
+    """a dry run"""
+    APPLY = "apply"
+    WITHDRAW = "withdraw"
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """What an operator asks for."""
+class FractionChange:
+    """A checked request for new fractions."""
 
-    request: str
-    version: int | None
-    shares: Shares
+    request_id: str
+    expected_version: int | None
+    """version that the agreed fractions must have; None: any"""
+    fractions: MachineFractions
     deadline_s: float | None
+    """after so long, tasks with checkpoints are stopped for the change; None: never"""
 
 
-class BadChange(ValueError):
-    """A change that cannot be taken; the text names the field."""
+class InvalidChangeError(ValueError):
+    """A request that cannot be carried out; the text names the field."""
 
 
 class PartitionSharesApi:
-    """One record of what is agreed, changed by conditional transactions only."""
+    """Changes the one record of the agreed fractions, by conditional transactions only.
 
-    def __init__(self, engine: Controller) -> None:
-        self.engine = engine
+    Each request gets one response: 200, 400 (invalid), 404 (disabled), 409 (another version) or
+    503 (no answer of the store). A request id that is in the record already has no further effect.
+    """
 
-    def request(self, cmd: AdminRequest, action: str) -> None:
-        """Propose (a dry run), apply or withdraw."""
-        if not self.engine.partitions.enabled:
-            self._answer(cmd, {"error": "capacity shares are off"}, 404)
+    def __init__(
+        self,
+        *,
+        runtime: Runtime,
+        client: StoreClient,
+        replica: Replica,
+        reader: StateReader,
+        partitions: PartitionMap,
+        usage: MachineUsage,
+        summary: PartitionSummary,
+    ) -> None:
+        self._runtime = runtime
+        self._client = client
+        self._replica = replica
+        self._reader = reader
+        self._partitions = partitions
+        self._usage = usage
+        self._summary = summary
+
+    def request(self, request: AdminRequest, action: str) -> None:
+        """Carry out a request; `action` is a value of `CapacityAction`."""
+        settings = self._partitions.settings
+        if settings is None:
+            self._respond(request, {"error": "capacity shares are off"}, 404)
             return
         try:
-            change = self._withdrawal(cmd.body) if action == "withdraw" else self._change(cmd.body)
-        except (BadChange, CapacityError) as error:
-            self._answer(cmd, {"error": str(error)}, 400)
-            return
-        if action == "propose":
-            self._answer(cmd, self._forecast(change.shares))
-        else:
-            self._apply(cmd, change)
+            self._carry_out(request, CapacityAction(action), settings)
+        except (InvalidChangeError, CapacityError) as error:
+            self._respond(request, {"error": str(error)}, 400)
+
+    def _carry_out(self, request: AdminRequest, action: CapacityAction, settings: Capacity) -> None:
+        match action:
+            case CapacityAction.PROPOSE:
+                change = self._parse_change(request.body, settings)
+                self._respond(request, self._forecast(change.fractions, settings))
+            case CapacityAction.APPLY:
+                self._apply(request, self._parse_change(request.body, settings))
+            case CapacityAction.WITHDRAW:
+                self._apply(request, self._parse_withdrawal(request.body))
 
-    def _answer(self, cmd: AdminRequest, body: Any, status: int = 200) -> None:
-        headers = {"Retry-After": str(c.RETRY_AFTER_S)} if status == 503 else None
-        self.engine.emit(Response(cmd.request_id, status, body, headers))
+    def _respond(self, request: AdminRequest, body: dict[str, Any], status: int = 200) -> None:
+        headers = {"Retry-After": str(constants.RETRY_AFTER_S)} if status == 503 else None
+        self._runtime.emit(Response(request.request_id, status, body, headers))
 
-    # --- checking ---------------------------------------------------------
-    def _change(self, body: Any) -> Change:
+    def _respond_applied(self, request: AdminRequest) -> None:
+        self._respond(request, self._summary.as_json())
+
+    def _respond_unavailable(self, request: AdminRequest) -> None:
+        self._respond(request, {"error": "state service does not answer"}, 503)
+
+    # --- parsing ------------------------------------------------------------
+    def _parse_change(self, body: Any, settings: Capacity) -> FractionChange:
+        """The agreed fractions with those of the request in their place."""
         if not isinstance(body, dict):
-            raise BadChange("an object is needed")
+            raise InvalidChangeError("an object is needed")
         given = body.get("shares")
         if not isinstance(given, dict) or not all(isinstance(x, dict) for x in given.values()):
-            raise BadChange("shares: an object of objects is needed, partition to pool to share")
-        settings = self.engine.partitions.settings
-        assert settings is not None
-        shares = {
-            name: dict(by_pool)
-            for name, by_pool in self.engine.partitions.agreed_fractions().items()
-        }
+            raise InvalidChangeError(
+                "shares: an object of objects is needed, partition to pool to share"
+            )
+        agreed = self._partitions.agreed_fractions()
+        fractions = {name: dict(by_pool) for name, by_pool in agreed.items()}
         for name, by_pool in given.items():
-            shares.setdefault(name, {}).update(by_pool)
-        check_shares(settings, shares)
-        return Change(*self._identity(body), shares, self._deadline(body))
+            fractions.setdefault(name, {}).update(by_pool)
+        check_fractions(settings, fractions)
+        return FractionChange(*_parse_identity(body), fractions, _parse_deadline(body))
 
-    def _withdrawal(self, body: Any) -> Change:
-        """The shares of before the last change, as a change of its own."""
+    def _parse_withdrawal(self, body: Any) -> FractionChange:
+        """The fractions of before the last change, as a change of its own."""
         if not isinstance(body, dict):
-            raise BadChange("an object is needed")
-        agreed = self.engine.replica.capacity.agreed_fractions
+            raise InvalidChangeError("an object is needed")
+        agreed = self._replica.capacity.agreed_fractions
         if agreed is None:
-            raise BadChange("nothing was changed that could be withdrawn")
-        return Change(*self._identity(body), agreed.before, None)
-
-    @staticmethod
-    def _identity(body: dict[str, Any]) -> tuple[str, int | None]:
-        request, version = body.get("request"), body.get("version")
-        if not isinstance(request, str) or not 1 <= len(request) <= c.REQUEST_ID_MAX:
-            raise BadChange(f"request: a text of 1 to {c.REQUEST_ID_MAX} characters is needed")
-        if version is not None and (isinstance(version, bool) or not isinstance(version, int)):
-            raise BadChange("version: an integer is needed")
-        return request, version
-
-    @staticmethod
-    def _deadline(body: dict[str, Any]) -> float | None:
-        deadline = body.get("deadline_s")
-        if deadline is None:
-            return None
-        if isinstance(deadline, bool) or not isinstance(deadline, int | float):
-            raise BadChange("deadline_s: a number is needed")
-        if not 0 <= deadline <= c.DEADLINE_MAX_S:
-            raise BadChange(f"deadline_s: allowed are 0 to {c.DEADLINE_MAX_S:g}")
-        return float(deadline)
-
-    # --- a dry run --------------------------------------------------------
-    def _forecast(self, shares: Shares) -> dict[str, Any]:
+            raise InvalidChangeError("nothing was changed that could be withdrawn")
+        return FractionChange(*_parse_identity(body), agreed.previous_fractions, None)
+
+    # --- dry run ------------------------------------------------------------
+    def _forecast(self, fractions: MachineFractions, settings: Capacity) -> dict[str, Any]:
         """What a change would drain, and for how long by the estimates."""
-        engine = self.engine
-        settings = engine.partitions.settings
-        assert settings is not None
-        pools: dict[str, Any] = {}
-        for pool in settings.pools:
-            uses = engine.partitions.machine_uses(pool.name)
-            by_partition = {name: shares[name].get(pool.name, 0.0) for name in shares}
-            target = apportion(len(uses), by_partition)
-            rows = {}
-            for name in shares:
-                mine = sorted(
-                    (u for u in uses if u.holding is not None and u.holding.partition == name),
-                    key=lambda use: (use.cost, use.name),
-                )
-                drained = mine[: max(0, len(mine) - target[name])]
-                rows[name] = {
-                    "target": target[name],
-                    "holds": len(mine),
-                    "drains": [use.name for use in drained],
-                    "tasks": sum(sum(use.tasks.values()) for use in drained),
-                    "left_s": round(max((use.cost for use in drained), default=0.0), 1),
-                }
-            pools[pool.name] = rows
-        return {"shares": shares, "pools": pools}
-
-    # --- writing ----------------------------------------------------------
-    def _apply(self, cmd: AdminRequest, change: Change) -> None:
-        engine = self.engine
-        agreed = engine.replica.capacity.agreed_fractions
-        if agreed is not None and agreed.request == change.request:
-            self._answer(cmd, engine.partitions.summary())  # said before: it has its effect already
+        return {
+            "shares": fractions,
+            "pools": {
+                pool.name: self._forecast_pool(pool.name, fractions) for pool in settings.pools
+            },
+        }
+
+    def _forecast_pool(self, pool: str, fractions: MachineFractions) -> dict[str, Any]:
+        uses = self._usage.of_pool(pool)
+        target = apportion(
+            len(uses), {name: by_pool.get(pool, 0.0) for name, by_pool in fractions.items()}
+        )
+        return {name: _forecast_partition(name, target[name], uses) for name in fractions}
+
+    # --- writing ------------------------------------------------------------
+    def _apply(self, request: AdminRequest, change: FractionChange) -> None:
+        if self._is_applied(change):
+            self._respond_applied(request)
             return
-        present = agreed.version if agreed is not None else 0
-        if change.version is not None and change.version != present:
-            self._conflict(cmd, change)
+        version = self._agreed_version()
+        if change.expected_version not in (None, version):
+            self._respond_conflict(request, change)
             return
-        stop_at = None if change.deadline_s is None else engine.wall + change.deadline_s
-        record = {
-            "request": change.request,
-            "shares": change.shares,
-            "before": engine.partitions.agreed_fractions(),
-            "stop_at": stop_at,
-        }
-        plan = Transaction({AGREED: present}, [Put(AGREED, record)])
+        deadline_s = change.deadline_s
+        record = AgreedFractions(
+            version,
+            change.request_id,
+            change.fractions,
+            self._partitions.agreed_fractions(),
+            None if deadline_s is None else self._runtime.wall + deadline_s,
+        ).encode()
 
         def on_outcome(outcome: StoreOutcome) -> None:
             match outcome:
                 case Committed():
-                    engine.replica.put(AGREED, record, outcome.revision)
-                    self._answer(cmd, engine.partitions.summary())
+                    self._replica.put(AGREED_FRACTIONS, record, outcome.revision)
+                    self._respond_applied(request)
                 case Conflict() | UnknownOutcome():
-                    self._read_and_answer(cmd, change)
+                    self._read_and_respond(request, change)
                 case _:
-                    self._answer(cmd, {"error": "state service does not answer"}, 503)
+                    self._respond_unavailable(request)
+
+        self._client.submit(
+            Transaction({AGREED_FRACTIONS: version}, [Put(AGREED_FRACTIONS, record)]),
+            Priority.USER,
+            on_outcome,
+            constants.REQUEST_DEADLINE_S,
+        )
 
-        engine.client.submit(plan, Priority.USER, on_outcome, c.REQUEST_DEADLINE_S)
+    def _is_applied(self, change: FractionChange) -> bool:
+        agreed = self._replica.capacity.agreed_fractions
+        return agreed is not None and agreed.request_id == change.request_id
 
-    def _read_and_answer(self, cmd: AdminRequest, change: Change) -> None:
-        """Somebody else's change came first, or it is not known whether ours did: read it."""
+    def _agreed_version(self) -> int:
+        return self._replica.capacity.version(AGREED_FRACTIONS)
 
-        def read() -> None:
-            agreed = self.engine.replica.capacity.agreed_fractions
-            if agreed is not None and agreed.request == change.request:
-                self._answer(cmd, self.engine.partitions.summary())
+    def _read_and_respond(self, request: AdminRequest, change: FractionChange) -> None:
+        """Another change came first, or the outcome of this one is unknown: read the record."""
+
+        def on_read() -> None:
+            if self._is_applied(change):
+                self._respond_applied(request)
             else:
-                self._conflict(cmd, change)
-
-        def failed() -> None:
-            self._answer(cmd, {"error": "state service does not answer"}, 503)
-
-        self.engine.reader.read_keys([AGREED], read, failed)
-
-    def _conflict(self, cmd: AdminRequest, change: Change) -> None:
-        """The present version, and where it differs from what was asked for."""
-        agreed = self.engine.replica.capacity.agreed_fractions
-        present = self.engine.partitions.agreed_fractions()
-        differs = {
-            f"{name}.{pool}": {"present": present.get(name, {}).get(pool, 0.0), "asked": share}
-            for name, by_pool in change.shares.items()
-            for pool, share in by_pool.items()
-            if present.get(name, {}).get(pool, 0.0) != share
+                self._respond_conflict(request, change)
+
+        self._reader.read_keys(
+            [AGREED_FRACTIONS], on_read, lambda: self._respond_unavailable(request)
+        )
+
+    def _respond_conflict(self, request: AdminRequest, change: FractionChange) -> None:
+        """Give the present version, and where it differs from what was asked for."""
+        present = self._partitions.agreed_fractions()
+        differences = {
+            f"{name}.{pool}": {"present": present.get(name, {}).get(pool, 0.0), "asked": fraction}
+            for name, by_pool in change.fractions.items()
+            for pool, fraction in by_pool.items()
+            if present.get(name, {}).get(pool, 0.0) != fraction
         }
         body = {
             "error": "the shares were changed meanwhile",
-            "version": agreed.version if agreed is not None else 0,
-            "differs": differs,
+            "version": self._agreed_version(),
+            "differs": differences,
         }
-        self._answer(cmd, body, 409)
+        self._respond(request, body, 409)
+
+
+def _parse_identity(body: dict[str, Any]) -> tuple[str, int | None]:
+    """Request id and expected version."""
+    request_id, version = body.get("request"), body.get("version")
+    longest = constants.REQUEST_ID_MAX
+    if not isinstance(request_id, str) or not 1 <= len(request_id) <= longest:
+        raise InvalidChangeError(f"request: a text of 1 to {longest} characters is needed")
+    if version is not None and (isinstance(version, bool) or not isinstance(version, int)):
+        raise InvalidChangeError("version: an integer is needed")
+    return request_id, version
+
+
+def _parse_deadline(body: dict[str, Any]) -> float | None:
+    deadline_s = body.get("deadline_s")
+    if deadline_s is None:
+        return None
+    if isinstance(deadline_s, bool) or not isinstance(deadline_s, int | float):
+        raise InvalidChangeError("deadline_s: a number is needed")
+    if not 0 <= deadline_s <= constants.DEADLINE_MAX_S:
+        raise InvalidChangeError(f"deadline_s: allowed are 0 to {constants.DEADLINE_MAX_S:g}")
+    return float(deadline_s)
+
+
+def _forecast_partition(name: str, target: int, uses: list[MachineUse]) -> dict[str, Any]:
+    """What one partition would give up; the machines that drain fastest go first."""
+    owned = sorted(
+        (use for use in uses if use.ownership is not None and use.ownership.partition == name),
+        key=lambda use: (use.drain_s, use.name),
+    )
+    drained = owned[: max(0, len(owned) - target)]
+    return {
+        "target": target,
+        "holds": len(owned),
+        "drains": [use.name for use in drained],
+        "tasks": sum(sum(use.tasks.values()) for use in drained),
+        "left_s": round(max((use.drain_s for use in drained), default=0.0), 1),
+    }
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -102,7 +102,7 @@
         return rows
 
     def _partitions(self) -> dict[str, Row]:
-        summary = self.engine.partitions.summary()
+        summary = self.engine.partition_summary.as_json()
         return {
             f"partition/{name}.{pool}": PartitionRow(
                 row["target"],
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -1,186 +1,237 @@
-"""Drains machines that change owner: moves their replicas and stops tasks with checkpoints."""
+"""Drains machines that are being handed over: moves their replicas, stops tasks with checkpoints.
+
+Tasks that complete by themselves are waited for, and nothing is killed.
+"""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Iterator, Sized
+from typing import Protocol
 
 from appledock import wire
-from appledock.capacity.ownership import Holding
+from appledock.capacity.ownership import Ownership
+from appledock.core.capacity.partition_map import PartitionMap
+from appledock.core.jobs.stop_requests import StopRequests
+from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.machines.machine_capacity import MachineCapacity
+from appledock.core.runtime import Runtime
+from appledock.core.store.replica import Replica
+from appledock.core.workers import Workers
 from appledock.rebalancing.planner import Proposal
 
-if TYPE_CHECKING:
-    from appledock.core.capacity.partitions import PartitionManager
-    from appledock.core.controller import Controller
+
+class ReplicaMoves(Protocol):
+    """Moves of running replicas to other machines."""
+
+    @property
+    def planned(self) -> Sized:
+        """Moves that this controller has requested and that have not ended."""
+
+    def request(self, proposal: Proposal, /) -> None:
+        """Ask the destination's owner for a move."""
+
+    def rests(self, job_id: str, /) -> bool:
+        """Is the job moving, or in the cool-down after a move?"""
+
+    def hears(self, node: str, /) -> bool:
+        """Would this job owner receive a move, and this controller its outcome?"""
 
 
 class MachineDrainer:
-    """Empties machines: what ends by itself is waited for, and nothing is killed."""
-
-    def __init__(self, engine: Controller, shares: PartitionManager) -> None:
-        self.engine = engine
-        self.shares = shares
-        self.kept: dict[str, str] = {}
-        """partition whose machines change hands with replicas on them -> its machine on which
-        room is kept for those"""
-        self._returning: dict[str, float] = {}
-        """machine that is given back to its lender -> since when"""
-
-    def tick(self) -> None:
-        """What every controller does, for its own jobs and rooms."""
-        self._stop_savers()
-        self._keep_room()
-
-    def lead(self, moves_in_flight: int) -> None:
-        """What the leader asks for."""
-        self._stop_borrowers()
-        self._move_replicas(moves_in_flight)
-
-    def _stop_borrowers(self) -> None:
-        """Tasks that save go on elsewhere when their lender has waited for its machine."""
-        engine = self.engine
-        assert self.shares.settings is not None
-        buckets = engine.replica.capacity.buckets.values()
-        returning = {
+    """Drains machines, for the jobs of this controller and, as the leader, for all."""
+
+    def __init__(
+        self,
+        *,
+        runtime: Runtime,
+        replica: Replica,
+        workers: Workers,
+        capacity_index: CapacityIndex,
+        stop_requests: StopRequests,
+        moves: ReplicaMoves,
+        partitions: PartitionMap,
+    ) -> None:
+        self._runtime = runtime
+        self._replica = replica
+        self._workers = workers
+        self._capacity_index = capacity_index
+        self._stop_requests = stop_requests
+        self._moves = moves
+        self._partitions = partitions
+        self._returned_since: dict[str, float] = {}
+        """machine that is being returned to its lender -> since when"""
+
+    def drain_own_jobs(self) -> None:
+        """What each controller does for its own jobs and reservations."""
+        self._stop_checkpointing_after_deadline()
+        self._reserve_for_replicas()
+
+    def drain_as_leader(self, give_back_s: float, max_moves: int) -> None:
+        """What the leader requests: the return of lent machines, and moves of replicas.
+
+        `give_back_s`: how long a lender waits for its machine before tasks with checkpoints are
+        stopped; `max_moves`: most moves under way at a time.
+        """
+        self._stop_borrowers(give_back_s)
+        self._move_replicas(max_moves)
+
+    def _machines_being_handed_over(self) -> Iterator[tuple[str, Ownership]]:
+        for machine, ownership in self._replica.capacity.owned_machines():
+            if ownership.is_being_handed_over:
+                yield machine, ownership
+
+    # --- stops --------------------------------------------------------------
+    def _stop_borrowers(self, give_back_s: float) -> None:
+        """Stop tasks with checkpoints whose machine's lender has waited for long enough."""
+        now = self._runtime.now
+        returned = {
             machine
-            for bucket in buckets
-            for machine, holding in bucket.holdings.items()
-            if holding.leaving and holding.lent
+            for machine, ownership in self._machines_being_handed_over()
+            if ownership.is_lent
         }
-        self._returning = {
-            machine: self._returning.get(machine, engine.now) for machine in returning
+        self._returned_since = {
+            machine: self._returned_since.get(machine, now) for machine in returned
         }
-        for machine, since in self._returning.items():
-            if engine.now - since >= self.shares.settings.give_back_s:
-                for job_id, tasks in self._savers(machine).items():
-                    engine.stop_requests.send_to_owner(engine.replica.jobs[job_id], machine, tasks)
+        for machine, since in self._returned_since.items():
+            if now - since >= give_back_s:
+                for job_id, tasks in self._checkpointing_tasks(machine).items():
+                    job = self._replica.jobs[job_id]
+                    self._stop_requests.send_to_owner(job, machine, tasks)
+
+    def _stop_checkpointing_after_deadline(self) -> None:
+        """Stop own tasks with checkpoints once the deadline of the last change has passed."""
+        agreed = self._replica.capacity.agreed_fractions
+        if agreed is None or agreed.stop_at is None or self._runtime.wall < agreed.stop_at:
+            return
+        for machine, _ in self._machines_being_handed_over():
+            for job_id, tasks in self._checkpointing_tasks(machine).items():
+                if self._replica.owns_job(self._runtime.node, self._replica.jobs[job_id]):
+                    self._stop_requests.add(job_id, machine, tasks)
 
-    def _savers(self, machine: str) -> dict[str, set[int]]:
-        """Job -> its tasks on the machine that save, and that nobody has told to stop."""
+    def _checkpointing_tasks(self, machine: str) -> dict[str, set[int]]:
+        """Job -> its tasks on the machine that have checkpoints and are not being stopped."""
         result = {}
-        for job_id, attempts in self.engine.replica.attempts_by_machine.get(machine, {}).items():
-            spec = self.engine.replica.jobs[job_id].spec
-            tasks = {task for x in attempts if not x.stopping for task in x.tasks}
+        for job_id, attempts in self._replica.attempts_by_machine.get(machine, {}).items():
+            spec = self._replica.jobs[job_id].spec
+            tasks = {task for attempt in attempts if not attempt.stopping for task in attempt.tasks}
             if tasks and spec.checkpoint_s > 0 and not spec.gang:
                 result[job_id] = tasks
         return result
 
-    def _keep_room(self) -> None:
-        """Keep a machine of each partition whose replicas have to move for replicas alone.
+    # --- reservations ---------------------------------------------------------
+    def _reserve_for_replicas(self) -> None:
+        """Reserve one machine of each partition for replicas that have to move.
 
-        Guards against changes that are never over: the partition's arrays took whatever became
-        free on its other machines, and the replicas stayed where they were.
+        Otherwise batch tasks of the partition would take all capacity that becomes free on its
+        other machines, and the replicas would never leave the machines to be handed over.
         """
-        before = dict(self.kept)
-        holders = {
-            machine: holding
-            for bucket in self.engine.replica.capacity.buckets.values()
-            for machine, holding in bucket.holdings.items()
+        reserved = self._partitions.reserved_for_replicas
+        before = set(reserved.values())
+        owned = dict(self._replica.capacity.owned_machines())
+        to_move = {
+            ownership.partition
+            for machine, ownership in owned.items()
+            if ownership.is_being_handed_over and self._has_replicas(machine)
         }
-        moving = {x.partition for m, x in holders.items() if x.leaving and self._replicas_on(m)}
-        self.kept = {
+        after = {
             partition: machine
-            for partition in sorted(moving)
-            if (machine := self._kept_for(partition, holders)) is not None
+            for partition in sorted(to_move)
+            if (machine := self._machine_to_reserve(partition, owned)) is not None
         }
-        for machine in set(before.values()) ^ set(self.kept.values()):
-            self.engine.capacity_index.mark_changed(machine)
+        reserved.clear()
+        reserved.update(after)
+        for machine in before ^ set(after.values()):
+            self._capacity_index.mark_changed(machine)
 
-    def _replicas_on(self, machine: str) -> bool:
-        replica = self.engine.replica
+    def _has_replicas(self, machine: str) -> bool:
         return any(
-            replica.jobs[job].spec.service and not replica.is_cancelled(job)
-            for job in replica.attempts_by_machine.get(machine, {})
+            self._replica.jobs[job_id].spec.service and not self._replica.is_cancelled(job_id)
+            for job_id in self._replica.attempts_by_machine.get(machine, {})
         )
 
-    def _kept_for(self, partition: str, holders: dict[str, Holding]) -> str | None:
-        """The machine of before while replicas may find room there, else that with least to end."""
-        own = [
+    def _machine_to_reserve(self, partition: str, owned: dict[str, Ownership]) -> str | None:
+        """The machine reserved before while it may gain free capacity, else the least used one."""
+        candidates = [
             machine
-            for machine, holding in holders.items()
-            if holding.partition == partition
-            and not holding.leaving
-            and self._may_gain_room(machine)
+            for machine, ownership in owned.items()
+            if ownership.partition == partition
+            and not ownership.is_being_handed_over
+            and self._may_have_free_capacity(machine)
         ]
-        known = self.kept.get(partition)
-        if known in own:
-            return known
-        by_machine = self.engine.replica.attempts_by_machine
-        return min(own, key=lambda m: (len(by_machine.get(m, {})), m), default=None)
-
-    def _may_gain_room(self, machine: str) -> bool:
-        """Is anything free on it, or will be when arrays end?"""
-        replica = self.engine.replica
-        return machine in self.engine.capacity_index.with_free_capacity or any(
-            not replica.jobs[job].spec.service
-            for job in replica.attempts_by_machine.get(machine, {})
+        reserved = self._partitions.reserved_for_replicas.get(partition)
+        if reserved in candidates:
+            return reserved
+        jobs_by_machine = self._replica.attempts_by_machine
+        return min(
+            candidates,
+            key=lambda machine: (len(jobs_by_machine.get(machine, {})), machine),
+            default=None,
+        )
+
+    def _may_have_free_capacity(self, machine: str) -> bool:
+        """Has it free capacity, or will it when tasks that are no replicas complete?"""
+        return machine in self._capacity_index.with_free_capacity or any(
+            not self._replica.jobs[job_id].spec.service
+            for job_id in self._replica.attempts_by_machine.get(machine, {})
         )
 
-    def _move_replicas(self, most: int) -> None:
-        """Move replicas off machines that are being handed over, to the holder's other ones."""
-        engine = self.engine
-        engine.capacity_index.recompute()
-        for bucket in engine.replica.capacity.buckets.values():
-            for machine, holding in bucket.holdings.items():
-                if not holding.leaving:
-                    continue
-                for proposal in self._proposals(machine):
-                    if len(engine.moves.planned) >= most:
-                        return
-                    engine.moves.request(proposal)
+    # --- moves ----------------------------------------------------------------
+    def _move_replicas(self, max_moves: int) -> None:
+        """Move replicas to other machines of their partition."""
+        self._capacity_index.recompute()
+        for machine, _ in self._machines_being_handed_over():
+            for proposal in self._proposals(machine):
+                if len(self._moves.planned) >= max_moves:
+                    return
+                self._moves.request(proposal)
 
     def _proposals(self, machine: str) -> list[Proposal]:
         """At most one move for each job with a replica on the machine."""
-        engine = self.engine
-        worker = engine.workers.table.get(machine)
+        if machine not in self._workers.table:
+            return []
         result: list[Proposal] = []
-        for job_id, attempts in engine.replica.attempts_by_machine.get(machine, {}).items():
-            job = engine.replica.jobs[job_id]
-            if (
-                worker is None
-                or not self.shares.must_move_off(job.spec, machine)
-                or engine.replica.is_cancelled(job_id)
-                or job.queued_task_count
-                or engine.moves.rests(job_id)
-                or not engine.moves.hears(engine.replica.job_owner(job))
-            ):
+        for job_id, attempts in self._replica.attempts_by_machine.get(machine, {}).items():
+            if not self._can_move(job_id, machine):
+                continue
+            spec = self._replica.jobs[job_id].spec
+            attempt = next((row for row in attempts if not row.stopping and row.tasks), None)
+            destination = self._destination(spec)
+            if attempt is None or destination is None or destination.load is None:
                 continue
-            attempt = next((x for x in attempts if not x.stopping and x.tasks), None)
-            destination = self._destination(job.spec)
-            if attempt is not None and destination is not None:
-                name, load = destination
-                task = min(attempt.tasks)
-                result.append(
-                    Proposal(job_id, task, attempt.attempt_number, machine, name, 0.0, load)
+            result.append(
+                Proposal(
+                    job_id,
+                    min(attempt.tasks),
+                    attempt.attempt_number,
+                    machine,
+                    destination.name,
+                    0.0,
+                    destination.load.total,
                 )
+            )
         return result
 
-    def _destination(self, spec: wire.JobSpec) -> tuple[str, float] | None:
-        """The machine of the job's partition that has most room, and its load."""
-        best = max(
+    def _can_move(self, job_id: str, machine: str) -> bool:
+        job = self._replica.jobs[job_id]
+        return (
+            self._partitions.must_move_off(job.spec, machine)
+            and not self._replica.is_cancelled(job_id)
+            and not job.queued_task_count
+            and not self._moves.rests(job_id)
+            and self._moves.hears(self._replica.job_owner(job))
+        )
+
+    def _destination(self, spec: wire.JobSpec) -> MachineCapacity | None:
+        """The machine of the job's partition with most free CPUs."""
+        return max(
             (
-                room
-                for room in self.engine.capacity_index.with_free_capacity.values()
-                if room.admission is not None
-                and room.load is not None
-                and room.fits(spec)
-                and self.engine.capacity_index.can_reserve_for_move(room, spec)
+                machine
+                for machine in self._capacity_index.with_free_capacity.values()
+                if machine.admission is not None
+                and machine.load is not None
+                and machine.fits(spec)
+                and self._capacity_index.can_reserve_for_move(machine, spec)
             ),
-            key=lambda room: (room.cpus, room.name),
+            key=lambda machine: (machine.cpus, machine.name),
             default=None,
         )
-        if best is None or best.load is None:
-            return None
-        return best.name, best.load.total
-
-    def _stop_savers(self) -> None:
-        """Past the deadline that a change names, tasks that save go on elsewhere."""
-        engine, agreed = self.engine, self.engine.replica.capacity.agreed_fractions
-        if agreed is None or agreed.stop_at is None or engine.wall < agreed.stop_at:
-            return
-        for bucket in engine.replica.capacity.buckets.values():
-            for machine, holding in bucket.holdings.items():
-                if not holding.leaving:
-                    continue
-                for job_id, tasks in self._savers(machine).items():
-                    if engine.replica.owns_job(engine.settings.name, engine.replica.jobs[job_id]):
-                        engine.stop_requests.add(job_id, machine, tasks)
--- /dev/null
+++ b/appledock/core/capacity/machine_usage.py
@@ -0,0 +1,59 @@
+"""Use of a pool's machines: owner, unsettled tasks and the time that draining would take."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from appledock import constants, wire
+from appledock.capacity.assignment import MachineUse
+from appledock.core.capacity.partition_map import PartitionMap
+from appledock.core.records.job import Attempt
+from appledock.core.runtime import Runtime
+from appledock.core.store.replica import Replica
+from appledock.core.workers import Worker, Workers
+
+
+class MachineUsage:
+    """Reads the use of machines from records and heartbeats."""
+
+    def __init__(
+        self, runtime: Runtime, replica: Replica, workers: Workers, partitions: PartitionMap
+    ) -> None:
+        self._runtime = runtime
+        self._replica = replica
+        self._workers = workers
+        self._partitions = partitions
+
+    def of_pool(self, pool: str) -> list[MachineUse]:
+        """The machines of a pool whose heartbeats were received, by name."""
+        return [
+            self._use_of(name, worker)
+            for name, worker in sorted(self._workers.table.items())
+            if self._partitions.pool_of(worker) == pool
+            and name not in self._workers.deleted_machines
+        ]
+
+    def _use_of(self, name: str, worker: Worker) -> MachineUse:
+        tasks: Counter[str] = Counter()
+        drain_s = 0.0
+        for job_id, attempts in self._replica.attempts_by_machine.get(name, {}).items():
+            spec = self._replica.jobs[job_id].spec
+            partition = self._partitions.partition_of(spec) or ""
+            tasks[partition] += sum(len(attempt.tasks) for attempt in attempts)
+            drain_s = max(drain_s, self._estimate_drain_s(spec, worker, attempts))
+        return MachineUse(name, self._replica.capacity.ownership_of(name), dict(tasks), drain_s)
+
+    def _estimate_drain_s(
+        self, spec: wire.JobSpec, worker: Worker, attempts: list[Attempt]
+    ) -> float:
+        """How long the attempts may still take to leave the machine, by the estimates."""
+        if spec.service:
+            return constants.REPLICA_LEAVES_S
+        longest = 0.0
+        for attempt in attempts:
+            for task in attempt.tasks:
+                key = (f"{spec.id}/{task}", attempt.attempt_number)
+                now = self._runtime.now
+                ran_s = now - worker.status.running_since.get(key, now)
+                longest = max(longest, spec.estimate_s - ran_s, constants.TASK_LEAVES_S)
+        return longest
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -1,21 +1,28 @@
-"""Who holds which machine: the leader's writes, from what is held to what is agreed and lent."""
+"""Writes owners of machines, as the leader: from the recorded ones to those agreed and lent."""
 
 from __future__ import annotations
 
 import logging
 import math
 from collections import Counter
-from typing import TYPE_CHECKING
-
-from appledock import constants as c
-from appledock import wire
-from appledock.capacity.assignment import MachineUse, next_holdings
-from appledock.capacity.lending import Lenders, lent
-from appledock.capacity.ownership import Bucket, Holding, bucket_of
-from appledock.capacity.settings import Pool
-from appledock.core.fleet.demand import queued_demand
-from appledock.core.records.capacity import HOLDINGS
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
+
+from appledock import constants, wire
+from appledock.capacity.assignment import MachineUse, next_owners
+from appledock.capacity.lending import Lenders, lend_surplus
+from appledock.capacity.ownership import Ownership, OwnershipBucket, bucket_of
+from appledock.capacity.settings import Capacity, Pool
+from appledock.core.capacity.machine_usage import MachineUsage
+from appledock.core.capacity.partition_map import PartitionMap
+from appledock.core.fleet.model import Demand
+from appledock.core.membership.membership import Membership
+from appledock.core.records.capacity import OWNERSHIP_PREFIX
+from appledock.core.runtime import Runtime
+from appledock.core.store.client import StoreClient
 from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.reader import StateReader
+from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     Committed,
     Conflict,
@@ -25,182 +32,223 @@
     Transaction,
     UnknownOutcome,
 )
+from appledock.core.workers import Workers
 from appledock.rebalancing.picture import task_share
 
-if TYPE_CHECKING:
-    from appledock.core.capacity.partitions import PartitionManager
-    from appledock.core.controller import Controller
-
 log = logging.getLogger(__name__)
 
 
+@dataclass(frozen=True, slots=True)
+class AssignmentInputs:
+    """Counts and versions that change whenever a pass may come to another result."""
+
+    workers: int
+    deleted_machines: int
+    bucket_versions: int
+    """sum over the ownership records; each only grows"""
+    agreed_version: int
+    view_version: int
+    machine_types: int
+
+
 class OwnershipAssigner:
-    """Writes the next holders of machines, as the leader."""
-
-    def __init__(self, engine: Controller, shares: PartitionManager) -> None:
-        self.engine = engine
-        self.shares = shares
-        self.writing = False
-        self.most_writes = engine.settings.cluster.state.txn_ops
-        """records that one transaction changes; fewer where it was refused"""
-        self.at_rest: tuple[int, ...] = ()
-        """what the last pass was about, if it found nothing to change"""
+    """Writes the next owners of machines; only the leader calls it."""
+
+    def __init__(  # noqa: PLR0913 -- a pass reads all that decides an owner
+        self,
+        *,
+        runtime: Runtime,
+        client: StoreClient,
+        replica: Replica,
+        reader: StateReader,
+        membership: Membership,
+        workers: Workers,
+        machine_types: Mapping[str, wire.MachineType],
+        partitions: PartitionMap,
+        usage: MachineUsage,
+        queued_demand: Callable[[], Sequence[Demand]],
+    ) -> None:
+        self._runtime = runtime
+        self._client = client
+        self._replica = replica
+        self._reader = reader
+        self._membership = membership
+        self._workers = workers
+        self._machine_types = machine_types
+        self._partitions = partitions
+        self._usage = usage
+        self._queued_demand = queued_demand
+        self._is_writing = False
+        self._max_records = runtime.settings.cluster.state.txn_ops
+        """records that one transaction writes; fewer where it was not executed"""
+        self._settled_inputs: AssignmentInputs | None = None
+        """the inputs of the last pass, if it found nothing to change"""
         self._lenders: dict[str, Lenders] = {}
-        """pool -> who has spare machines there, and since when"""
+        """pool -> partitions with surplus machines there"""
 
     def tick(self) -> None:
         """One pass, unless the write of the last one is under way."""
-        if not self.writing:
-            self._assign()
-
-    def _picture(self) -> tuple[int, ...]:
-        """What decides who shall hold what, as far as it may have changed."""
-        engine = self.engine
-        agreed, view = engine.replica.capacity.agreed_fractions, engine.replica.view
-        buckets = engine.replica.capacity.buckets.values()
-        return (
-            len(engine.workers.table),
-            len(engine.workers.deleted_machines),
-            sum(bucket.version for bucket in buckets),
-            agreed.version if agreed is not None else 0,
-            view.version if view is not None else 0,
-            len(engine.machine_types),
-        )
-
-    def _any_leaving(self) -> bool:
-        return any(
-            holding.leaving
-            for bucket in self.engine.replica.capacity.buckets.values()
-            for holding in bucket.holdings.values()
-        )
+        settings = self._partitions.settings
+        if settings is not None and not self._is_writing:
+            self._assign(settings)
 
-    def _assign(self) -> None:
-        """Write the next holdings; only from a picture that shows all that was started."""
-        replica = self.engine.replica
-        assert self.shares.settings is not None
-        if any(bucket.version > replica.revision for bucket in replica.capacity.buckets.values()):
+    def _assign(self, settings: Capacity) -> None:
+        """Write the next owners, from a replica that shows all tasks that were started."""
+        records = self._replica.capacity
+        if any(bucket.version > self._replica.revision for bucket in records.buckets.values()):
             return
-        picture = self._picture()
-        unheard = any(worker.report is None for worker in self.engine.workers.table.values())
-        quiet = picture == self.at_rest and not unheard and not self.shares.settings.lend
-        if quiet and not self._any_leaving():
+        inputs = self._inputs()
+        if inputs == self._settled_inputs and not self._may_change_otherwise(settings):
             return
-        changes: dict[str, Holding | None] = {}
-        for pool in self.shares.settings.pools:
-            uses = self.shares.machine_uses(pool.name)
-            own = self.shares.agreed_machines(pool.name, len(uses))
-            wanted = self._with_loans(pool, uses, own)
-            changes.update(next_holdings(uses, wanted, own))
-        changes.update(dict.fromkeys(self._vanished()))
-        self.at_rest = () if changes else picture
+        changes: dict[str, Ownership | None] = {}
+        for pool in settings.pools:
+            uses = self._usage.of_pool(pool.name)
+            agreed = self._partitions.target_machines(pool.name, len(uses))
+            target = self._with_loans(settings, pool, uses, agreed)
+            changes.update(next_owners(uses, target, agreed))
+        changes.update(dict.fromkeys(self._vanished_machines()))
+        self._settled_inputs = None if changes else inputs
         if changes:
             self._write(changes)
 
+    def _inputs(self) -> AssignmentInputs:
+        records, view = self._replica.capacity, self._replica.view
+        agreed = records.agreed_fractions
+        return AssignmentInputs(
+            workers=len(self._workers.table),
+            deleted_machines=len(self._workers.deleted_machines),
+            bucket_versions=sum(bucket.version for bucket in records.buckets.values()),
+            agreed_version=agreed.version if agreed is not None else 0,
+            view_version=view.version if view is not None else 0,
+            machine_types=len(self._machine_types),
+        )
+
+    def _may_change_otherwise(self, settings: Capacity) -> bool:
+        """Is there anything that the inputs don't show: heartbeats, loans, drains?"""
+        return (
+            settings.lend
+            or any(worker.report is None for worker in self._workers.table.values())
+            or any(
+                ownership.is_being_handed_over
+                for _, ownership in self._replica.capacity.owned_machines()
+            )
+        )
+
+    def _vanished_machines(self) -> list[str]:
+        """Machines in the records that no longer exist."""
+        workers = self._workers
+        # A controller that has just begun to act has not received every heartbeat yet.
+        acting_s = self._runtime.now - self._membership.can_act_since
+        are_workers_known = acting_s > constants.UNHEARD_S
+        return [
+            machine
+            for machine, _ in self._replica.capacity.owned_machines()
+            if machine in workers.deleted_machines
+            or (
+                are_workers_known
+                and machine not in workers.table
+                and machine not in self._replica.attempts_by_machine
+            )
+        ]
+
     # --- loans ------------------------------------------------------------
     def _with_loans(
-        self, pool: Pool, uses: list[MachineUse], own: dict[str, int]
+        self, settings: Capacity, pool: Pool, uses: list[MachineUse], agreed: dict[str, int]
     ) -> dict[str, int]:
-        """The same with what is spare lent to those that need more, if the file allows it."""
-        assert self.shares.settings is not None
-        if not self.shares.settings.lend:
-            return own
-        need = self._need(pool, uses)
-        lenders = self._lenders.setdefault(pool.name, Lenders(self.shares.settings.lend_after_s))
-        return lent(own, need, lenders.ready(self.engine.now, own, need))
-
-    def _need(self, pool: Pool, uses: list[MachineUse]) -> dict[str, int]:
-        """Machines that each partition could use: those at work, and some for its queue."""
-        engine = self.engine
-        types = {
-            worker.report.type: engine.machine_types[worker.report.type]
-            for use in uses
-            if (worker := engine.workers.table[use.name]).report is not None
-            and worker.report.type in engine.machine_types
-        }
+        """The agreed numbers of machines, with surplus ones lent if the file allows it."""
+        if not settings.lend:
+            return agreed
+        needed = self._needed_machines(pool, uses)
+        lenders = self._lenders.setdefault(pool.name, Lenders(settings.lend_after_s))
+        return lend_surplus(agreed, needed, lenders.ready(self._runtime.now, agreed, needed))
+
+    def _needed_machines(self, pool: Pool, uses: list[MachineUse]) -> dict[str, int]:
+        """Partition -> machines that it could use: those in use, and some for its queue."""
+        machine_types = self._machine_types_of(uses)
         queued: dict[str, float] = {}
-        for demand in queued_demand(engine):
+        for demand in self._queued_demand():
             spec = demand.job.spec
-            name = self.shares.partition_of(spec)
+            name = self._partitions.partition_of(spec)
             if demand.ready and name is not None and _may_use(spec, pool):
-                most = max((_fits_on(spec, kind) for kind in types.values()), default=0)
-                if most:
-                    queued[name] = queued.get(name, 0.0) + demand.tasks / most
-        working = Counter(name for use in uses for name in use.tasks)
+                slots = max((_count_slots(spec, kind) for kind in machine_types), default=0)
+                if slots:
+                    queued[name] = queued.get(name, 0.0) + demand.tasks / slots
+        in_use = Counter(name for use in uses for name in use.tasks)
         return {
-            name: working[name] + math.ceil(queued.get(name, 0.0) - c.EPSILON)
-            for name in self.shares.agreed_fractions()
+            name: in_use[name] + math.ceil(queued.get(name, 0.0) - constants.EPSILON)
+            for name in self._partitions.agreed_fractions()
         }
 
-    def _vanished(self) -> list[str]:
-        """Machines in the records that no longer exist."""
-        engine = self.engine
-        settled = engine.now - engine.membership.can_act_since > c.UNHEARD_S
-        return [
-            machine
-            for bucket in engine.replica.capacity.buckets.values()
-            for machine in bucket.holdings
-            if machine in engine.workers.deleted_machines
-            or (
-                settled
-                and machine not in engine.workers.table
-                and machine not in engine.replica.attempts_by_machine
-            )
-        ]
+    def _machine_types_of(self, uses: list[MachineUse]) -> list[wire.MachineType]:
+        reports = [self._workers.table[use.name].report for use in uses]
+        names = {report.type for report in reports if report is not None}
+        return [self._machine_types[name] for name in names if name in self._machine_types]
 
-    def _write(self, changes: dict[str, Holding | None]) -> None:
-        """As many records as one transaction takes; the others at the next pass."""
-        engine = self.engine
-        plan = Transaction(engine.membership.fencing_conditions())
-        written: dict[int, Bucket] = {}
+    # --- writing ----------------------------------------------------------
+    def _write(self, changes: dict[str, Ownership | None]) -> None:
+        """Write as many records as one transaction takes; the others with the next pass."""
+        transaction = Transaction(self._membership.fencing_conditions())
+        max_records = min(self._runtime.settings.cluster.state.txn_ops, self._max_records)
         for number in sorted({bucket_of(machine) for machine in changes}):
-            if len(plan.writes) >= min(engine.settings.cluster.state.txn_ops, self.most_writes):
+            if len(transaction.writes) >= max_records:
                 break
-            bucket = engine.replica.capacity.bucket(number)
-            new = Bucket(bucket.version, dict(bucket.holdings))
-            for machine, holding in changes.items():
-                if bucket_of(machine) == number:
-                    _apply(new, machine, holding)
-            record = new.encode()
-            if len(wire.encode(record)) > engine.client.max_value_bytes:
-                log.warning("the record of who holds which machine is full: %d", number)
+            bucket = self._replica.capacity.bucket(number)
+            record = _changed_bucket(bucket, number, changes).encode()
+            if len(wire.encode(record)) > self._client.max_value_bytes:
+                log.warning("ownership record full: bucket=%d", number)
                 continue
-            key = f"{HOLDINGS}{number}"
-            plan.conditions[key] = bucket.version
-            plan.writes.append(Put(key, record))
-            written[number] = new
-        if plan.writes:
-            self._send(plan)
+            key = f"{OWNERSHIP_PREFIX}{number}"
+            transaction.conditions[key] = bucket.version
+            transaction.writes.append(Put(key, record))
+        if transaction.writes:
+            self._submit(transaction)
 
-    def _send(self, plan: Transaction) -> None:
-        self.writing = True
+    def _submit(self, transaction: Transaction) -> None:
+        self._is_writing = True
 
         def on_outcome(outcome: StoreOutcome) -> None:
-            self.writing = False
-            keys = [write.key for write in plan.writes]
-            # Guards against a transaction that can never be taken: one with more writes than
-            # the state service allows in a second, if it allows fewer than it announced.
-            match outcome:
-                case NotExecuted():
-                    self.most_writes = max(1, len(keys) // 2)
-                case Committed():
-                    self.most_writes += 1
-                    for write in plan.writes:
-                        assert isinstance(write, Put)
-                        self.engine.replica.put(write.key, write.value, outcome.revision)
-                case Conflict() | UnknownOutcome():
-                    # It may be carried out, now or later; what follows is conditional on what is
-                    # read.
-                    self.engine.reader.read_keys(keys)
-                case _:
-                    pass
-
-        self.engine.client.submit(plan, Priority.STEP, on_outcome, c.STEP_PATIENCE_S)
-
-
-def _fits_on(spec: wire.JobSpec, machine_type: wire.MachineType) -> int:
+            self._is_writing = False
+            self._on_outcome(transaction, outcome)
+
+        self._client.submit(transaction, Priority.STEP, on_outcome, constants.STEP_PATIENCE_S)
+
+    def _on_outcome(self, transaction: Transaction, outcome: StoreOutcome) -> None:
+        match outcome:
+            case NotExecuted():
+                # A transaction with more writes than the store admits in a second, if that is
+                # fewer than announced, would never be executed.
+                self._max_records = max(1, len(transaction.writes) // 2)
+            case Committed():
+                self._max_records += 1
+                for write in transaction.writes:
+                    assert isinstance(write, Put)
+                    self._replica.put(write.key, write.value, outcome.revision)
+            case Conflict() | UnknownOutcome():
+                # It may be executed now or later; the next write is conditional on what is read.
+                self._reader.read_keys([write.key for write in transaction.writes])
+            case _:
+                pass
+
+
+def _changed_bucket(
+    bucket: OwnershipBucket, number: int, changes: dict[str, Ownership | None]
+) -> OwnershipBucket:
+    """A copy of a bucket with the changes to its machines; None: the machine is removed."""
+    owners = dict(bucket.owners)
+    for machine, ownership in changes.items():
+        if bucket_of(machine) != number:
+            continue
+        if ownership is None:
+            owners.pop(machine, None)
+        else:
+            owners[machine] = ownership
+    return OwnershipBucket(bucket.version, owners)
+
+
+def _count_slots(spec: wire.JobSpec, machine_type: wire.MachineType) -> int:
     """How many tasks of the job an empty machine takes."""
     share = task_share(spec, machine_type)
-    return int((1 + c.EPSILON) / share) if share > 0 else 1
+    return int((1 + constants.EPSILON) / share) if share > 0 else 1
 
 
 def _may_use(spec: wire.JobSpec, pool: Pool) -> bool:
@@ -210,10 +258,3 @@
         and (spec.types is None or not pool.types or bool(set(spec.types) & set(pool.types)))
         and (spec.spot or pool.spot is not True)
     )
-
-
-def _apply(bucket: Bucket, machine: str, holding: Holding | None) -> None:
-    if holding is None:
-        bucket.holdings.pop(machine, None)
-    else:
-        bucket.holdings[machine] = holding
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -9,6 +9,7 @@
 from appledock import constants, wire
 from appledock.capacity.settings import Capacity
 from appledock.core.api.admin import AdminApi
+from appledock.core.api.capacity_api import PartitionSharesApi
 from appledock.core.api.first_owner import FirstOwner
 from appledock.core.api.health import HealthCheck
 from appledock.core.api.job_cancellation import JobCancellations
@@ -19,11 +20,18 @@
 from appledock.core.api.submission import Submissions
 from appledock.core.api.submission_check import SubmissionCheck
 from appledock.core.api.user_requests import UserRequests
+from appledock.core.capacity.drains import MachineDrainer
+from appledock.core.capacity.machine_usage import MachineUsage
+from appledock.core.capacity.ownership import OwnershipAssigner
+from appledock.core.capacity.partition_map import PartitionMap
 from appledock.core.capacity.partitions import PartitionManager
+from appledock.core.capacity.preferred_owners import PreferredOwnerHandOff, PreferredOwners
+from appledock.core.capacity.summary import PartitionSummary
 from appledock.core.commands import Command
 from appledock.core.effects import Effect
 from appledock.core.engine import Engine
 from appledock.core.fleet import Fleet
+from appledock.core.fleet.demand import queued_demand
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
 from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
@@ -142,7 +150,12 @@
             is_load_tracked=lambda: self.rebalancer.enabled or self.partitions.enabled,
         )
         self.rebalancer = Rebalancer(self, rebalancing)
-        self.partitions = PartitionManager(self, capacity)
+        self.partitions = PartitionMap(self.replica, self.capacity_index, capacity)
+        self.machine_usage = MachineUsage(self.runtime, self.replica, self.workers, self.partitions)
+        self.preferred_owners = PreferredOwners(
+            self.runtime, self.replica, self.heartbeats, self.partitions
+        )
+        self.partition_summary = PartitionSummary(self.replica, self.partitions, self.machine_usage)
         self.moves = Moves(self)
         self.quota_usage = QuotaUsage(self.runtime, self.replica)
         self.queue_order = QueueOrder(self.runtime, self.replica, self.quota_usage, self.objectives)
@@ -189,7 +202,7 @@
             operator_settings=self.operator_settings,
             reconcile_queue=self.reconcile_queue,
             stop_requests=self.stop_requests,
-            places_everywhere=self.partitions.places_everywhere,
+            places_everywhere=self.preferred_owners.places_everywhere,
         )
         self.handoff = HandOff(self.runtime, self.replica)
         self.pacing = Pacing(
@@ -222,7 +235,7 @@
             pacing=self.pacing,
             moves=self.moves,
             rebalancing=self.rebalancer,
-            partitions=self.partitions,
+            partitions=self.preferred_owners,
         )
         self.placement_pass = PlacementPass(
             runtime=self.runtime,
@@ -287,6 +300,15 @@
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
         self.job_states = JobStates(self.replica, self.workers)
         self.user_requests = self._build_user_requests()
+        self.shares_api = PartitionSharesApi(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            partitions=self.partitions,
+            usage=self.machine_usage,
+            summary=self.partition_summary,
+        )
         self.admin = AdminApi(self)
         self.engine = Engine(
             runtime=self.runtime,
@@ -298,7 +320,7 @@
             workers=self.workers,
             capacity_index=self.capacity_index,
             rebalancer=self.rebalancer,
-            partitions=self.partitions,
+            partitions=self._build_partition_manager(),
             moves=self.moves,
             quota_allocation=self.quota_allocation,
             queue_order=self.queue_order,
@@ -315,6 +337,46 @@
             operator_settings=self.operator_settings,
         )
 
+    def _build_partition_manager(self) -> PartitionManager:
+        """Passes over the partitions of the machines."""
+        return PartitionManager(
+            runtime=self.runtime,
+            membership=self.membership,
+            view_requests=self.view_requests,
+            partitions=self.partitions,
+            preferred_owners=self.preferred_owners,
+            handoff=PreferredOwnerHandOff(
+                runtime=self.runtime,
+                replica=self.replica,
+                preferred_owners=self.preferred_owners,
+                pacing=self.pacing,
+                moves=self.moves,
+                writer=self.job_writer,
+                step_writer=self.step_writer,
+            ),
+            assigner=OwnershipAssigner(
+                runtime=self.runtime,
+                client=self.client,
+                replica=self.replica,
+                reader=self.reader,
+                membership=self.membership,
+                workers=self.workers,
+                machine_types=self.machine_types,
+                partitions=self.partitions,
+                usage=self.machine_usage,
+                queued_demand=lambda: queued_demand(self),
+            ),
+            drainer=MachineDrainer(
+                runtime=self.runtime,
+                replica=self.replica,
+                workers=self.workers,
+                capacity_index=self.capacity_index,
+                stop_requests=self.stop_requests,
+                moves=self.moves,
+                partitions=self.partitions,
+            ),
+        )
+
     def _build_user_requests(self) -> UserRequests:
         """Requests of users, one part for each kind."""
         requests = OpenRequests(self.runtime, self.reader)
@@ -333,7 +395,10 @@
             polls=polls,
             check=SubmissionCheck(self.runtime, self.client, self.codec, self.machine_types),
             choose_first_owner=FirstOwner(
-                self.replica, self.membership, self.heartbeats, self.partitions.preferred_owner
+                self.replica,
+                self.membership,
+                self.heartbeats,
+                self.preferred_owners.preferred_owner,
             ).choose,
         )
         cancellations = JobCancellations(
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -21,10 +21,10 @@
 
 from appledock import constants as c
 from appledock.capacity.apportion import apportion
-from appledock.capacity.assignment import MachineUse, next_holdings
+from appledock.capacity.assignment import MachineUse, next_owners
 from appledock.capacity.history import HistoryError, HistoryRow, HistoryWriter, read, rows
-from appledock.capacity.lending import Lenders, lent
-from appledock.capacity.ownership import Bucket, Holding, bucket_of, decode
+from appledock.capacity.lending import Lenders, lend_surplus
+from appledock.capacity.ownership import Ownership, OwnershipBucket, bucket_of, decode_bucket
 from appledock.capacity.settings import Capacity, CapacityError, Partition, Pool, parse
 from appledock.cli import main
 from tests.standins.deployment import settings as deployed
@@ -155,12 +155,12 @@
 def test_pools_of_nobody_and_of_nothing() -> None:
     assert apportion(5, {"a": 0.0}) == {"a": 0}
     assert apportion(0, {"a": 1.0}) == {"a": 0}
-    assert next_holdings([], {"a": 0}) == {}
-    assert next_holdings([MachineUse("m", None)], {}) == {}
+    assert next_owners([], {"a": 0}) == {}
+    assert next_owners([MachineUse("m", None)], {}) == {}
 
 
-def by_shares(uses: list[MachineUse], shares: dict[str, float]) -> dict[str, Holding]:
-    return next_holdings(uses, apportion(len(uses), shares))
+def by_shares(uses: list[MachineUse], shares: dict[str, float]) -> dict[str, Ownership]:
+    return next_owners(uses, apportion(len(uses), shares))
 
 
 needs = st.dictionaries(st.sampled_from("abc"), st.integers(0, 12))
@@ -171,7 +171,7 @@
 def test_loans_are_made_of_what_is_spare_and_of_nothing_else(
     target: dict[str, int], need: dict[str, int]
 ) -> None:
-    result = lent(target, need, {"a", "b"})
+    result = lend_surplus(target, need, {"a", "b"})
     assert sum(result.values()) == sum(target.values())
     for name, machines in target.items():
         wanted = need.get(name, 0)
@@ -201,7 +201,7 @@
     def __init__(self, seed: int, names: list[str]) -> None:
         self.rng = random.Random(seed)
         self.names = names
-        self.machines: dict[str, Holding | None] = {}
+        self.machines: dict[str, Ownership | None] = {}
         self.version: dict[str, int] = {}
         self.tasks: dict[str, list[str]] = {}
         self.starts: list[tuple[str, str, int]] = []
@@ -214,9 +214,9 @@
 
     def turn(self, leads: bool = True) -> None:
         rng = self.rng
-        for machine, holding in self.machines.items():
-            if holding is not None and not holding.leaving and rng.random() < 0.4:
-                self.starts.append((machine, holding.partition, self.version[machine]))
+        for machine, ownership in self.machines.items():
+            if ownership is not None and not ownership.is_being_handed_over and rng.random() < 0.4:
+                self.starts.append((machine, ownership.partition, self.version[machine]))
         while self.starts and rng.random() < 0.7:
             machine, partition, version = self.starts.pop(0)
             if machine in self.machines and self.version[machine] == version:
@@ -230,19 +230,25 @@
 
     def lead(self) -> None:
         uses = [
-            MachineUse(name, holding, {p: self.tasks[name].count(p) for p in self.tasks[name]})
-            for name, holding in self.machines.items()
+            MachineUse(name, ownership, {p: self.tasks[name].count(p) for p in self.tasks[name]})
+            for name, ownership in self.machines.items()
         ]
         for name, new in by_shares(uses, self.shares).items():
             old = self.machines[name]
             if old is not None and old.partition != new.partition:
-                assert old.leaving and not self.tasks[name], "left and empty before it changes"
+                assert old.is_being_handed_over and not self.tasks[name], (
+                    "left and empty before it changes"
+                )
                 self.hands += 1
             self.machines[name] = new
             self.version[name] += 1
 
     def held(self) -> dict[str, int]:
-        held = [h.partition for h in self.machines.values() if h is not None and not h.leaving]
+        held = [
+            h.partition
+            for h in self.machines.values()
+            if h is not None and not h.is_being_handed_over
+        ]
         return {name: held.count(name) for name in self.names}
 
 
@@ -278,14 +284,14 @@
 
     def at_once(model: Model) -> None:
         target = apportion(len(model.machines), model.shares)
-        for name, holding in model.machines.items():
-            if holding is None or model.tasks[name]:
-                model.machines[name] = holding or Holding("a")
+        for name, ownership in model.machines.items():
+            if ownership is None or model.tasks[name]:
+                model.machines[name] = ownership or Ownership("a")
                 continue
             held = model.held()
             lacking = [n for n in model.names if held[n] < target[n]]
-            if lacking and held[holding.partition] > target[holding.partition]:
-                model.machines[name] = Holding(lacking[0])
+            if lacking and held[ownership.partition] > target[ownership.partition]:
+                model.machines[name] = Ownership(lacking[0])
 
     model = Model(1, ["a", "b"])
     for number in range(8):
@@ -302,47 +308,47 @@
     pure = MachineUse("m1", None, {"a": 3})
     strange = MachineUse("m2", None, {"": 3})
     found = by_shares([mixed, pure, strange], {"a": 0.5, "b": 0.5})
-    assert found["m1"] == Holding("a")
-    assert found["m0"].leaving and found["m2"].leaving
-    old = MachineUse("m3", Holding("dropped"))
-    assert by_shares([old], {"a": 1.0})["m3"].leaving
+    assert found["m1"] == Ownership("a")
+    assert found["m0"].is_being_handed_over and found["m2"].is_being_handed_over
+    old = MachineUse("m3", Ownership("dropped"))
+    assert by_shares([old], {"a": 1.0})["m3"].is_being_handed_over
 
 
 def test_idle_machines_change_hands_before_those_at_work() -> None:
     uses = [
-        MachineUse("m0", Holding("a"), {"a": 1}, cost=500.0),
-        MachineUse("m1", Holding("a"), {"a": 1}, cost=5.0),
-        MachineUse("m2", Holding("a")),
-        MachineUse("m3", Holding("a"), {"a": 4}, cost=90.0),
+        MachineUse("m0", Ownership("a"), {"a": 1}, drain_s=500.0),
+        MachineUse("m1", Ownership("a"), {"a": 1}, drain_s=5.0),
+        MachineUse("m2", Ownership("a")),
+        MachineUse("m3", Ownership("a"), {"a": 4}, drain_s=90.0),
     ]
     assert by_shares(uses, {"a": 0.5, "b": 0.5}) == {
-        "m2": Holding("a", leaving=True),
-        "m1": Holding("a", leaving=True),
+        "m2": Ownership("a", is_being_handed_over=True),
+        "m1": Ownership("a", is_being_handed_over=True),
     }
 
 
 # --- records -----------------------------------------------------------------
 def test_records_are_bounded_and_read_back() -> None:
     names = [f"vm-{number:06d}" for number in range(4000)]
-    buckets: dict[int, Bucket] = {}
+    buckets: dict[int, OwnershipBucket] = {}
     for place, name in enumerate(names):
-        bucket = buckets.setdefault(bucket_of(name), Bucket(7))
-        bucket.holdings[name] = Holding("ab"[place % 2], place % 5 == 0, place % 7 == 0)
+        bucket = buckets.setdefault(bucket_of(name), OwnershipBucket(7))
+        bucket.owners[name] = Ownership("ab"[place % 2], place % 5 == 0, place % 7 == 0)
     assert len(buckets) == c.CAPACITY_BUCKETS
     for bucket in buckets.values():
         record = bucket.encode()
         assert len(str(record)) < 4096
-        assert decode(record, 7).holdings == bucket.holdings
+        assert decode_bucket(record, 7).owners == bucket.owners
 
 
 def test_shares_must_be_numbers_that_make_a_whole() -> None:
     capacity = parse(GOOD.encode(), SETTINGS)
-    assert math.isclose(sum(row["all"] for row in capacity.shares().values()), 1.0)
+    assert math.isclose(sum(row["all"] for row in capacity.configured_fractions().values()), 1.0)
 
 
 def test_the_file_under_deploy_is_good_and_its_schema_is_published(tmp_path: Path) -> None:
     deploy = Path(__file__).parents[1] / "deploy" / "capacity.toml"
-    assert parse(deploy.read_bytes(), SETTINGS).shares() == {"rest": {"all": 1.0}}
+    assert parse(deploy.read_bytes(), SETTINGS).configured_fractions() == {"rest": {"all": 1.0}}
     result = CliRunner().invoke(main, ["capacity", "schema"])
     jsonschema.Draft202012Validator(json.loads(result.stdout)).validate(
         tomllib.loads(deploy.read_text())
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from appledock import constants as c
 from appledock.capacity.apportion import apportion
 from appledock.core.capacity.drains import MachineDrainer
-from appledock.core.capacity.partitions import PartitionManager
+from appledock.core.capacity.machine_usage import MachineUsage
+from appledock.core.capacity.partition_map import PartitionMap
 from appledock.core.membership.format_upgrade import RecordFormatUpgrade
 from appledock.core.records.capacity import CAPACITY
 from tests.standins.sharing import (
@@ -153,7 +153,9 @@
     assert answers[0][0] == 200 and len(world.used["sealing"]) == 6
     assert world.judge.starts == starts, "none was stopped and started again"
     assert world.holders() == {"sealing": 3, "front": 6}
-    state = world.nodes["n1"].engine.partitions.summary()["pools"]["all"]["partitions"]["sealing"]
+    state = world.nodes["n1"].engine.partition_summary.as_json()["pools"]["all"]["partitions"][
+        "sealing"
+    ]
     assert len(state["leaving"]) == 3 and state["target"] == 3
     assert all(0 < row["left_s"] <= 40.0 for row in state["leaving"])
     world.array(2, "red", run_s=5.0, tasks=20)
@@ -208,7 +210,7 @@
     monkeypatch: Patch,
 ) -> None:
     assert crowded_change() == {"sealing": 3, "front": 9}
-    monkeypatch.setattr(MachineDrainer, "_keep_room", lambda self: None)
+    monkeypatch.setattr(MachineDrainer, "_reserve_for_replicas", lambda self: None)
     assert crowded_change() != {"sealing": 3, "front": 9}
 
 
@@ -556,17 +558,17 @@
     for seed in seeds:
         world = late_step(seed, monkeypatch)
         assert world.mixed == [] and world.judge.broken == [] and world.unfinished() == []
-    monkeypatch.setattr(PartitionManager, "conditions", lambda self, reserved: {})
+    monkeypatch.setattr(PartitionMap, "conditions", lambda self, reserved: {})
     assert any(late_step(seed, monkeypatch).mixed for seed in seeds)
 
 
 def test_a_machine_is_given_away_only_once_the_records_show_it_empty(monkeypatch: Patch) -> None:
-    uses = PartitionManager.machine_uses
+    uses = MachineUsage.of_pool
 
-    def look_empty(self: PartitionManager, pool: str) -> Any:
-        return [type(use)(use.name, use.holding) for use in uses(self, pool)]
+    def look_empty(self: MachineUsage, pool: str) -> Any:
+        return [type(use)(use.name, use.ownership) for use in uses(self, pool)]
 
-    monkeypatch.setattr(PartitionManager, "machine_uses", look_empty)
+    monkeypatch.setattr(MachineUsage, "of_pool", look_empty)
     world = started(2)
     world.array(1, "red", run_s=60.0, tasks=6, memory_gb=8.1)
     world.clock.run(CHANGE_S)
@@ -605,10 +607,10 @@
     world = unaware(1, monkeypatch)
     assert world.mixed == [] and world.judge.broken == [] and world.unfinished() == []
 
-    def hasty(self: PartitionManager) -> bool:
-        return self.enabled and self.engine.replica.record_format.value >= c.CAPACITY_FORMAT
+    def hasty(self: PartitionMap) -> bool:
+        return self.enabled and self.is_format_raised()
 
-    monkeypatch.setattr(PartitionManager, "is_in_force", hasty)
+    monkeypatch.setattr(PartitionMap, "is_in_force", hasty)
     assert unaware(1, monkeypatch).mixed
 
 
