--- a/appledock/core/workers/command_pusher.py
+++ b/appledock/core/workers/command_pusher.py
@@ -12,7 +12,6 @@
 from appledock.core.runtime import Runtime
 from appledock.core.workers.command_reconciler import CommandReconciler
 from appledock.core.workers.heartbeat_intake import HeartbeatIntake
-from appledock.core.workers.protocol import CommandKind
 from appledock.core.workers.record import TaskKey, Worker
 from appledock.core.workers.table import WorkerTable
 
@@ -80,7 +79,7 @@
         if not commands:
             return
         term = self.membership.term
-        keys = [(x.task, x.attempt) for x in commands if x.op == CommandKind.LAUNCH]
+        keys = [(x.task, x.attempt) for x in commands if x.op == wire.LAUNCH]
         pushed = PushedLaunches(self.runtime.now, term, keys, launched_before, unconfirmed_before)
         worker.commanded.unconfirmed_launches.update((key, term) for key in keys)
         worker.reachability.calls_in_flight += 1
--- a/appledock/core/workers/command_reconciler.py
+++ b/appledock/core/workers/command_reconciler.py
@@ -10,7 +10,6 @@
 from appledock.core.records.job import Attempt, Job
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
-from appledock.core.workers.protocol import CommandKind, TaskState
 from appledock.core.workers.record import TaskKey, Worker
 
 
@@ -47,7 +46,7 @@
         retained = 0
         for key, entry in worker.tasks.items():
             known = recorded.get(key)
-            if entry.state != TaskState.EXITED:
+            if entry.state != wire.EXITED:
                 if known is None or known.job.cancelled or known.attempt.stopping:
                     commands += self._halt(worker, key, entry, known)
             elif known is None and not pushed and self._is_outcome_certain(worker, key):
@@ -59,7 +58,7 @@
                     retained += launch_term >= self.membership.term
                 else:
                     worker.commanded.repeatable_launches.pop(key, None)
-                    commands.append(wire.Command(CommandKind.FORGET.value, *key))
+                    commands.append(wire.Command(wire.FORGET, *key))
         if retained > constants.KEPT_MAX:
             self.view_requests.new_term = True
         return commands + self._launches(worker, recorded)
@@ -99,11 +98,11 @@
     ) -> list[wire.Command]:
         """The halt, if it is due, of a task that is there and should not be."""
         if known is None:
-            return [wire.Command(CommandKind.HALT.value, *key, grace_s=0.0)]
+            return [wire.Command(wire.HALT, *key, grace_s=0.0)]
         job = known.job
         grace_s = 0.0
         if not job.cancelled:
-            if entry.state == TaskState.SAVING:
+            if entry.state == wire.SAVING:
                 return []
             if job.spec.checkpoint_s > 0:
                 grace_s = job.spec.save_s + constants.SAVE_SLACK_S
@@ -111,7 +110,7 @@
         if now - halted_at.get(key, constants.LONG_AGO) < constants.HALT_AGAIN_S:
             return []
         halted_at[key] = now
-        return [wire.Command(CommandKind.HALT.value, *key, grace_s=grace_s)]
+        return [wire.Command(wire.HALT, *key, grace_s=grace_s)]
 
     def _launches(
         self, worker: Worker, recorded: dict[TaskKey, RecordedTask]
@@ -129,5 +128,5 @@
                 continue
             if now - launched_at.get(key, constants.LONG_AGO) >= constants.LAUNCH_AGAIN_S:
                 launched_at[key] = now
-                commands.append(wire.Command(CommandKind.LAUNCH.value, *key))
+                commands.append(wire.Command(wire.LAUNCH, *key))
         return commands
--- a/appledock/core/workers/heartbeat_intake.py
+++ b/appledock/core/workers/heartbeat_intake.py
@@ -11,7 +11,6 @@
 from appledock.core.store.replica import Replica
 from appledock.core.workers.dissemination import Dissemination
 from appledock.core.workers.observers import ReconcileTriggers, WorkerObservers
-from appledock.core.workers.protocol import ExitCause, TaskState
 from appledock.core.workers.record import HeartbeatNumber, TaskKey, Worker
 from appledock.core.workers.table import WorkerTable
 
@@ -122,8 +121,8 @@
         running_since: dict[TaskKey, float] = {}
         is_busy = False
         for key, entry in worker.tasks.items():
-            is_running = entry.state == TaskState.RUNNING
-            is_done = entry.why == ExitCause.DONE
+            is_running = entry.state == wire.RUNNING
+            is_done = entry.why == wire.DONE
             if is_running:
                 if key not in was_running:
                     self._log_start(worker, entry)
@@ -132,8 +131,8 @@
                 completed = jobs.get(split_task_name(entry.task)[0])
                 if completed is not None:
                     self.observers.on_task_completed(worker.id, completed, now - was_running[key])
-            is_busy = is_busy or entry.state != TaskState.EXITED
-            if is_running or is_done or entry.state == TaskState.SAVING:
+            is_busy = is_busy or entry.state != wire.EXITED
+            if is_running or is_done or entry.state == wire.SAVING:
                 job = jobs.get(split_task_name(entry.task)[0])
                 if job is not None:
                     worker.status.image_seen_at[job.spec.image] = now
--- a/appledock/core/workers/lease_expiry.py
+++ b/appledock/core/workers/lease_expiry.py
@@ -41,12 +41,14 @@
         self.dissemination = dissemination
         self.observers = observers
 
-    def check(self, worker: Worker) -> None:
-        """Mark the worker's agent epoch expired, and broadcast that, if it is proven."""
+    def check(self, worker: Worker, lease_bound_s: float) -> None:
+        """Mark the worker's agent epoch expired, and broadcast that, if it is proven.
+
+        `lease_bound_s`: as `lease_bound_s()` says, computed once for all workers.
+        """
         # An epoch that was received from lives on for a lease even if nobody answers it.
         ends_at = (
-            max(worker.lease.renewable_until, worker.reachability.last_heartbeat_at)
-            + self._lease_bound_s()
+            max(worker.lease.renewable_until, worker.reachability.last_heartbeat_at) + lease_bound_s
         )
         if self.runtime.now < ends_at or not self.table.owns(worker.id):
             return
@@ -82,7 +84,7 @@
                     continue
             worker.lease.renewable_until = max(worker.lease.renewable_until, renewable_until)
 
-    def _lease_bound_s(self) -> float:
+    def lease_bound_s(self) -> float:
         """A worker's lease by this controller's clock, at most, and the margin."""
         lease_s = self.runtime.settings.cluster.workers.lease_s
         return lease_s * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN_S
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -130,10 +130,11 @@
             self._check_workers_with_attempts()
 
     def _check_workers_with_attempts(self) -> None:
+        lease_bound_s = self.lease_expiry.lease_bound_s()
         for machine in list(self.replica.attempts_by_machine):
             worker = self.worker_table.get_or_create(machine)
             if machine not in self.worker_table.deleted_machines:
-                self.lease_expiry.check(worker)
+                self.lease_expiry.check(worker, lease_bound_s)
                 self.probes.probe_if_due(worker)
 
     def on_view(self, old: View | None) -> None:
--- a/appledock/core/workers/settlement_evidence.py
+++ b/appledock/core/workers/settlement_evidence.py
@@ -6,7 +6,6 @@
 from appledock.core.membership.membership import Membership
 from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job
-from appledock.core.workers.protocol import ExitCause, TaskState
 from appledock.core.workers.record import TaskKey, Worker
 from appledock.core.workers.table import WorkerTable
 
@@ -38,7 +37,7 @@
             return AttemptVerdict.SETTLED if epoch_is_over else None
         key = (f"{job.id}/{task}", attempt.attempt_number)
         entry = worker.tasks.get(key)
-        if entry is not None and entry.state == TaskState.EXITED:
+        if entry is not None and entry.state == wire.EXITED:
             return _verdict_of_exited(job, entry)
         if epoch_is_over or (entry is None and self._can_never_start(worker, job, attempt, key)):
             return AttemptVerdict.SETTLED
@@ -60,8 +59,8 @@
 
 
 def _verdict_of_exited(job: Job, entry: wire.TaskReport) -> AttemptVerdict:
-    if entry.why == ExitCause.DONE and not job.spec.service:
+    if entry.why == wire.DONE and not job.spec.service:
         return AttemptVerdict.DONE
-    if entry.why in (ExitCause.ERROR, ExitCause.UNKNOWN):
+    if entry.why in (wire.ERROR, wire.UNKNOWN):
         return AttemptVerdict.FAILED
     return AttemptVerdict.SETTLED
--- a/tests/unit/workers/test_lease_expiry.py
+++ b/tests/unit/workers/test_lease_expiry.py
@@ -31,10 +31,10 @@
     ends_at = 110.0 + lease_s * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN_S
     parts.membership.view_confirmed_at = ends_at
     parts.runtime.now = ends_at - 0.01
-    expiry.check(worker)
+    expiry.check(worker, expiry.lease_bound_s())
     assert worker.lease.expired_epoch == 0 and parts.runtime.take_effects() == []
     parts.runtime.now = ends_at
-    expiry.check(worker)
+    expiry.check(worker, expiry.lease_bound_s())
     assert worker.lease.expired_epoch == 1
     assert parts.runtime.take_effects() == [PeerSend(AgentEpochExpired(MACHINE, 1), None)]
 
@@ -45,7 +45,8 @@
     parts.intake.ingest(heartbeat(1))
     worker = parts.table.rows[MACHINE]
     parts.runtime.now = 1000.0
-    lease_expiry(parts).check(worker)  # the view was last confirmed at 100
+    expiry = lease_expiry(parts)
+    expiry.check(worker, expiry.lease_bound_s())  # the view was last confirmed at 100
     assert worker.lease.expired_epoch == 0 and parts.views_in_doubt == 1
 
 
