--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import logging
-from typing import Any
+from typing import Any, assert_never
 
 from appledock.core import messages
 from appledock.core.api.admin import AdminApi
@@ -23,6 +23,7 @@
     StoreReply,
     SubmitJob,
     Tick,
+    UserRequest,
     WorkerReply,
 )
 from appledock.core.effects import Effect, Response
@@ -52,7 +53,11 @@
 
 
 class Engine:
-    """Hands each command to its part, then lets follow what the batch has changed."""
+    """Dispatches each command to its part, then acts upon what the batch has changed.
+
+    The parts never call each other's timers nor clear the replica's changes: what happens in one
+    batch, and in which order, is written down here and nowhere else.
+    """
 
     def __init__(  # noqa: PLR0913 -- it dispatches to every part
         self,
@@ -82,94 +87,104 @@
         admin: AdminApi,
         operator_settings: OperatorSettings,
     ) -> None:
-        self.runtime = runtime
-        self.client = client
-        self.replica = replica
-        self.reader = reader
-        self.membership_protocol = membership_protocol
-        self.heartbeats = heartbeats
-        self.workers = workers
-        self.capacity_index = capacity_index
-        self.rebalancer = rebalancer
-        self.partitions = partitions
-        self.moves = moves
-        self.quota_allocation = quota_allocation
-        self.queue_order = queue_order
-        self.reconcile_queue = reconcile_queue
-        self.settlement = settlement
-        self.stop_requests = stop_requests
-        self.reconciler = reconciler
-        self.cancellation = cancellation
-        self.cancellation_dissemination = cancellation_dissemination
-        self.fleet = fleet
-        self.health = health
-        self.user_requests = user_requests
-        self.admin = admin
-        self.operator_settings = operator_settings
+        self._runtime = runtime
+        self._client = client
+        self._replica = replica
+        self._reader = reader
+        self._membership_protocol = membership_protocol
+        self._heartbeats = heartbeats
+        self._workers = workers
+        self._capacity_index = capacity_index
+        self._rebalancer = rebalancer
+        self._partitions = partitions
+        self._moves = moves
+        self._quota_allocation = quota_allocation
+        self._queue_order = queue_order
+        self._reconcile_queue = reconcile_queue
+        self._settlement = settlement
+        self._stop_requests = stop_requests
+        self._reconciler = reconciler
+        self._cancellation = cancellation
+        self._cancellation_dissemination = cancellation_dissemination
+        self._fleet = fleet
+        self._health = health
+        self._user_requests = user_requests
+        self._admin = admin
+        self._operator_settings = operator_settings
         self._applied_view: View | None = None
-        """the view that the other parts have been told of last"""
-        self._started = False
+        """the view that the other parts last acted upon"""
+        self._is_started = False
 
-    # --- commands in, effects out -----------------------------------------
+    # --- batches ----------------------------------------------------------
     def handle(self, batch: list[Command], now: float, wall: float) -> list[Effect]:
-        """Work through a batch; `now` is the steady clock, `wall` the time of day."""
-        self.runtime.now, self.runtime.wall = now, wall
-        if not self._started:
-            self.workers.on_start()
-            self._started = True
+        """Work through a batch; `now` is the steady clock, `wall` the time of day (s).
+
+        Never raises: bad input or a bug in one part is logged, and the rest of the batch and its
+        effects are kept.
+        """
+        self._runtime.now, self._runtime.wall = now, wall
+        if not self._is_started:
+            self._workers.on_start()
+            self._is_started = True
         for command in batch:
             try:
-                self._one(command)
+                self._dispatch(command)
             except Exception:
-                # Bad input or a bug must never end the process, nor take the rest
-                # of the batch and its effects along.
-                log.exception("command %s failed", type(command).__name__)
-                request_id = getattr(command, "request_id", None)
-                if request_id is not None:
-                    self.user_requests.open_requests.discard(request_id)
-                    self.runtime.emit(Response(request_id, 500, {"error": "internal error"}))
-        for follow in (self._after, self.client.flush):
-            # One after the other: whatever fails, leases are renewed and users answered.
+                log.exception("command failed: kind=%s", type(command).__name__)
+                self._answer_failed_request(command)
+        # Apart from each other, so that leases are renewed and users answered if the first fails.
+        for follow_up in (self._act_on_changes, self._client.flush):
             try:
-                follow()
+                follow_up()
             except Exception:
-                log.exception("follow-up of a batch failed")
-        return self.runtime.take_effects()
+                log.exception("follow-up of a batch failed: step=%s", follow_up.__qualname__)
+        return self._runtime.take_effects()
+
+    def _answer_failed_request(self, command: Command) -> None:
+        """Answer with status 500 if the command was a request; else its sender would wait."""
+        request_id = getattr(command, "request_id", None)
+        if request_id is not None:
+            self._user_requests.open_requests.discard(request_id)
+            self._runtime.emit(Response(request_id, 500, {"error": "internal error"}))
 
-    def _one(self, cmd: Command) -> None:
-        match cmd:
+    # --- commands ---------------------------------------------------------
+    def _dispatch(self, command: Command) -> None:
+        match command:
             case HeartbeatReceived():
-                self.workers.on_heartbeat(cmd.request_id, cmd.report)
+                self._workers.on_heartbeat(command.request_id, command.report)
             case StoreReply() | CloudReply() | WorkerReply():
-                self.runtime.resolve(cmd)
+                self._runtime.resolve(command)
             case PeerMessageReceived():
-                self._peer(cmd.message)
+                self._dispatch_message(command.message)
             case PeerConnected():
-                self.workers.on_peer_connected(cmd.name)
-                self.fleet.on_peer_connected(cmd.name)
-                self.cancellation_dissemination.on_peer_connected(cmd.name)
+                self._workers.on_peer_connected(command.name)
+                self._fleet.on_peer_connected(command.name)
+                self._cancellation_dissemination.on_peer_connected(command.name)
             case Tick():
                 self._tick()
-            case GetJobState() | SubmitJob() | CancelJob() | HealthRequest() | AdminRequest():
-                self._request(cmd)
+            case SubmitJob() | GetJobState() | CancelJob():
+                self._dispatch_user_request(command)
+            case HealthRequest():
+                is_healthy = self._health.is_healthy()
+                body = {"healthy": is_healthy}
+                self._runtime.emit(Response(command.request_id, 200 if is_healthy else 503, body))
+            case AdminRequest():
+                self._admin.request(command)
+            case _:
+                assert_never(command)
 
-    def _request(
-        self, cmd: GetJobState | SubmitJob | CancelJob | HealthRequest | AdminRequest
-    ) -> None:
-        match cmd:
-            case GetJobState():
-                self.user_requests.poll(cmd)
+    def _dispatch_user_request(self, request: UserRequest) -> None:
+        match request:
             case SubmitJob():
-                self.user_requests.submit(cmd)
+                self._user_requests.submit(request)
+            case GetJobState():
+                self._user_requests.poll(request)
             case CancelJob():
-                self.user_requests.cancel(cmd)
-            case HealthRequest():
-                good = self.health.is_healthy()
-                self.runtime.emit(Response(cmd.request_id, 200 if good else 503, {"healthy": good}))
-            case AdminRequest():
-                self.admin.request(cmd)
+                self._user_requests.cancel(request)
+            case _:
+                assert_never(request)
 
-    def _peer(self, body: Any) -> None:
+    def _dispatch_message(self, body: Any) -> None:
         message = messages.decode(body)
         match message:
             case (
@@ -178,82 +193,113 @@
                 | messages.AgentEpochExpired()
                 | messages.MachinesDeleted()
             ):
-                self.workers.on_peer(message)
+                self._workers.on_peer(message)
             case messages.MachinesRented() | messages.MachineCordoned():
-                self.fleet.on_peer(message)
+                self._fleet.on_peer(message)
             case messages.StopTasks():
-                self.stop_requests.add(message.job, message.machine, set(message.tasks))
+                self._stop_requests.add(message.job, message.machine, set(message.tasks))
             case messages.JobCancelled():
-                self.cancellation_dissemination.on_peer(message)
+                self._cancellation_dissemination.on_peer(message)
             case messages.MoveRequested() | messages.MoveReserved() | messages.MoveEnded():
-                self.moves.on_peer(message)
+                self._moves.on_peer(message)
             case messages.ControllerHeartbeat():
-                self.heartbeats.on_peer(message)
+                self._heartbeats.on_peer(message)
             case None:
                 pass
+            case _:
+                assert_never(message)
 
     def _tick(self) -> None:
-        self.reader.tick()
+        self._reader.tick()
         for tick in (
-            self.membership_protocol.tick,
-            self.heartbeats.tick,
-            self.workers.tick,
-            self.cancellation.tick,
-            self.user_requests.tick,
-            self.fleet.tick,
-            self.moves.tick,
-            self.rebalancer.tick,
-            self.partitions.tick,
+            self._membership_protocol.tick,
+            self._heartbeats.tick,
+            self._workers.tick,
+            self._cancellation.tick,
+            self._user_requests.tick,
+            self._fleet.tick,
+            self._moves.tick,
+            self._rebalancer.tick,
+            self._partitions.tick,
         ):
             try:
                 tick()
             except Exception:  # of one part: it must not stop the others
-                log.exception("%s failed", tick.__qualname__)
+                log.exception("tick failed: part=%s", tick.__qualname__)
+
+    # --- what follows from a batch ----------------------------------------
+    def _act_on_changes(self) -> None:
+        """Act upon what the batch has changed, then reconcile.
+
+        A failure leaves out the steps after it, whose changes are kept for the next batch.
+        """
+        changes = self._replica.changes
+        if changes.view:
+            self._act_on_view_change()
+        if self._replica.capacity.changed:
+            self._act_on_partition_changes()
+        if changes.settings:
+            self._act_on_settings_change()
+        if changes.jobs:
+            self._act_on_job_changes()
+        self._fleet.read_catalogue()
+        self._quota_allocation.clear_admissions()
+        self._capacity_index.check_eligibility()
+        self._reconciler.tick()
+        self._workers.push_commands()
+
+    def _act_on_view_change(self) -> None:
+        """Owners, members or the term are others: ownership is derived anew."""
+        self._replica.changes.view = False
+        view = self._replica.view
+        assert view is not None
+        self._workers.on_view(self._applied_view)
+        self._membership_protocol.on_view()
+        self._quota_allocation.on_view()
+        self._moves.on_view()
+        self._capacity_index.mark_all_changed()
+        self._applied_view = view
+        self._reconcile_queue.placement_due = True
+
+    def _act_on_partition_changes(self) -> None:
+        """Machines were assigned to other capacity partitions, or drained."""
+        changed_machines = self._replica.capacity.changed
+        self._capacity_index.mark_each_changed(changed_machines)
+        changed_machines.clear()
+        self._reconcile_queue.placement_due = True
+
+    def _act_on_settings_change(self) -> None:
+        """An operator has changed settings, here or at another controller."""
+        self._replica.changes.settings = False
+        self._operator_settings.apply(self._replica.stored_settings.value)
+        self._reconcile_queue.placement_due = True
+
+    def _act_on_job_changes(self) -> None:
+        """Records of jobs have changed, and with them those of teams and machines."""
+        changes = self._replica.changes
+        for team in changes.teams:
+            self._quota_allocation.clear_caches_of(team)
+        changes.teams.clear()
+        for job_id in sorted(changes.jobs):
+            self._act_on_job_change(job_id)
+        changes.jobs.clear()
+        self._act_on_machine_changes()
+        self._reconcile_queue.placement_due = True
+
+    def _act_on_job_change(self, job_id: str) -> None:
+        job = self._replica.jobs.get(job_id)
+        if job is not None:
+            self._fleet.note(job)
+            dependencies = self._replica.dependencies
+            if job_id in dependencies.prerequisites and job_id not in dependencies.waiting_jobs:
+                self._queue_order.on_dependencies_met(job_id)
+        self._reconcile_queue.jobs.add(job_id)
 
-    def _after(self) -> None:
-        """What follows from a batch: new view, changed records, due calls."""
-        replica = self.replica
-        if replica.changes.view:
-            replica.changes.view = False
-            view = replica.view
-            assert view is not None
-            self.workers.on_view(self._applied_view)
-            self.membership_protocol.on_view()
-            self.quota_allocation.on_view()
-            self.moves.on_view()
-            self.capacity_index.mark_all_changed()
-            self._applied_view = view
-            self.reconcile_queue.placement_due = True
-        if replica.capacity.changed:
-            self.capacity_index.mark_each_changed(replica.capacity.changed)
-            replica.capacity.changed.clear()
-            self.reconcile_queue.placement_due = True
-        if replica.changes.settings:
-            replica.changes.settings = False
-            self.operator_settings.apply(replica.stored_settings.value)
-            self.reconcile_queue.placement_due = True
-        if replica.changes.jobs:
-            for team in replica.changes.teams:
-                self.quota_allocation.clear_caches_of(team)
-            replica.changes.teams.clear()
-            for job_id in sorted(replica.changes.jobs):
-                if job_id in replica.jobs:
-                    self.fleet.note(replica.jobs[job_id])
-                    if (
-                        job_id in replica.dependencies.prerequisites
-                        and job_id not in replica.dependencies.waiting_jobs
-                    ):
-                        self.queue_order.ready_at.setdefault(job_id, self.runtime.wall)
-                self.reconcile_queue.jobs.add(job_id)
-            replica.changes.jobs.clear()
-            for machine in replica.changes.machines:
-                self.settlement.on_machine_changed(machine)
-            self.workers.request_commands(replica.changes.machines)
-            self.capacity_index.mark_each_changed(replica.changes.machines)
-            replica.changes.machines.clear()
-            self.reconcile_queue.placement_due = True
-        self.fleet.read_catalogue()
-        self.quota_allocation.clear_admissions()
-        self.capacity_index.check_eligibility()
-        self.reconciler.tick()
-        self.workers.push_commands()
+    def _act_on_machine_changes(self) -> None:
+        """Other attempts are recorded on machines: what may be settled, sent and placed changes."""
+        machines = self._replica.changes.machines
+        for machine in machines:
+            self._settlement.on_machine_changed(machine)
+        self._workers.request_commands(machines)
+        self._capacity_index.mark_each_changed(machines)
+        machines.clear()
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -58,16 +58,20 @@
         self._replica = replica
         self._quota = quota
         self._objectives = objectives
-        self.ready_at: dict[str, float] = {}
+        self._ready_at: dict[str, float] = {}
         """job with dependencies -> time of day when they were first seen to be met"""
 
+    def on_dependencies_met(self, job_id: str) -> None:
+        """All dependencies of the job are met; only the first call for a job counts."""
+        self._ready_at.setdefault(job_id, self._runtime.wall)
+
     def forget(self, job_id: str) -> None:
         """Drop what is kept of a job that is over."""
-        self.ready_at.pop(job_id, None)
+        self._ready_at.pop(job_id, None)
 
     def waiting_since(self, job: Job) -> float:
         """Time of day (s) from which the job waits for being served."""
-        return self.ready_at.get(job.id, job.submitted_at)
+        return self._ready_at.get(job.id, job.submitted_at)
 
     def sort_key(self, job: Job) -> QueueSortKey:
         """Sort key of the job: guarantee, rank, slack, then work left or age.
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -420,10 +420,10 @@
     effects = e.handle([StoreReply(read.call_id, wire.Missing(9))], 100.2, 0.0)
     read = next(x for x in calls(effects, GetKey) if x.request == GetKey(FINAL + "job-1"))
     e.handle(
-        [StoreReply(read.call_id, wire.Row(FINAL + "job-1", {"state": "done"}, 2))], 100.3, 0.0
+        [StoreReply(read.call_id, wire.Row(FINAL + "job-1", {"state": "done"}, 2))], 100.3, 7.0
     )
     assert "job-2" in e.replica.queued_jobs
-    assert e.queue_order.ready_at["job-2"] == e.wall
+    assert e.queue_order.waiting_since(e.replica.jobs["job-2"]) == 7.0  # not its submission
 
 
 def test_what_a_job_waits_for_is_shown() -> None:
--- /dev/null
+++ b/tests/unit/test_engine.py
@@ -0,0 +1,93 @@
+"""The engine, built from fakes of all parts."""
+
+from __future__ import annotations
+
+import inspect
+import random
+from collections.abc import Callable
+from typing import Any
+from unittest.mock import Mock
+
+import pytest
+
+from appledock.core.commands import GetJobState, HeartbeatReceived, Tick
+from appledock.core.effects import Response
+from appledock.core.engine import Engine
+from appledock.core.jobs.reconcile_queue import ReconcileQueue
+from appledock.core.records.job import Job
+from appledock.core.runtime import Runtime
+from appledock.core.store.keys import FINAL
+from appledock.core.store.replica import Replica
+from tests.standins.deployment import settings
+from tests.test_requests import spec
+
+
+class Parts:
+    """An engine whose parts record how they are called."""
+
+    def __init__(self) -> None:
+        names = inspect.signature(Engine).parameters
+        self.fakes: dict[str, Any] = {name: Mock() for name in names}
+        self.runtime = Runtime(settings("n0", ["n0"]), "x", random.Random(1))
+        self.replica = Replica()
+        self.reconcile_queue = ReconcileQueue(placement_due=False)
+        self.fakes |= {
+            "runtime": self.runtime,
+            "replica": self.replica,
+            "reconcile_queue": self.reconcile_queue,
+        }
+        for name, fake in self.fakes.items():
+            if isinstance(fake, Mock):
+                fake.tick.__qualname__ = f"{name}.tick"
+        self.engine = Engine(**self.fakes)
+
+
+def raising(*_: object) -> None:
+    raise RuntimeError
+
+
+def test_a_request_that_fails_is_answered_and_the_rest_of_the_batch_is_handled() -> None:
+    parts = Parts()
+    parts.fakes["user_requests"].poll.side_effect = raising
+    effects = parts.engine.handle([GetJobState(4, "job-1"), HeartbeatReceived(5, Mock())], 1.0, 2.0)
+    assert effects == [Response(4, 500, {"error": "internal error"})]
+    parts.fakes["user_requests"].open_requests.discard.assert_called_once_with(4)
+    parts.fakes["workers"].on_heartbeat.assert_called_once()
+    assert (parts.runtime.now, parts.runtime.wall) == (1.0, 2.0)
+
+
+def test_a_timer_that_fails_does_not_stop_the_others() -> None:
+    parts = Parts()
+    parts.fakes["membership_protocol"].tick.side_effect = raising
+    parts.engine.handle([Tick()], 1.0, 2.0)
+    parts.fakes["partitions"].tick.assert_called_once()
+
+
+@pytest.mark.parametrize(
+    "fail",
+    [
+        lambda fakes: setattr(fakes["fleet"].read_catalogue, "side_effect", raising),
+        lambda fakes: setattr(fakes["reconciler"].tick, "side_effect", raising),
+    ],
+)
+def test_store_calls_are_sent_whatever_fails_after_a_batch(
+    fail: Callable[[dict[str, Any]], None],
+) -> None:
+    parts = Parts()
+    parts.fakes["client"].flush.__qualname__ = "client.flush"
+    fail(parts.fakes)
+    parts.engine.handle([], 1.0, 2.0)
+    parts.fakes["client"].flush.assert_called_once()
+
+
+def test_a_changed_job_is_reconciled_and_met_dependencies_are_noted_once_they_are() -> None:
+    parts = Parts()
+    parts.replica.set_job(Job(spec(id="job-1"), 0.0, 2))
+    parts.replica.set_job(Job(spec(id="job-2", tethers=["job-1"]), 0.0, 3))
+    parts.engine.handle([], 1.0, 2.0)
+    assert parts.reconcile_queue.jobs == {"job-1", "job-2"}
+    assert parts.reconcile_queue.placement_due and not parts.replica.changes.jobs
+    parts.fakes["queue_order"].on_dependencies_met.assert_not_called()
+    parts.replica.put(FINAL + "job-1", {"state": "done"}, 4)
+    parts.engine.handle([], 1.5, 2.5)
+    parts.fakes["queue_order"].on_dependencies_met.assert_called_once_with("job-2")
