--- /dev/null
+++ b/tests/inventory.py
@@ -0,0 +1,87 @@
+"""Compares the tests of two commits: which are missing, and which assert less.
+
+    python -m tests.inventory 56285b0 HEAD
+
+Not run in CI. A renamed test shows as one that is missing and one that is new; `RENAMED`
+names such pairs. The exit status is 1 if a test is missing or has fewer assertions.
+"""
+
+from __future__ import annotations
+
+import ast
+import subprocess
+import sys
+from dataclasses import dataclass
+from pathlib import Path
+
+ROOT = Path(__file__).parents[1]
+
+RENAMED = {
+    "test_budget_serves_by_priority_and_lets_reads_pass": (
+        "test_rate_limiter_serves_by_priority_and_lets_reads_pass"
+    ),
+    "test_budget_tries_for_more_and_gives_way": "test_rate_limiter_tries_for_more_and_gives_way",
+    "test_budget_leaves_the_others_what_they_use_and_users_wait_for_nobody": (
+        "test_rate_limiter_leaves_the_others_what_they_use_and_users_wait_for_nobody"
+    ),
+}
+"""name of a test -> its later name"""
+
+
+@dataclass(frozen=True)
+class TestFunction:
+    """One test function of a commit."""
+
+    path: str
+    assertions: int
+    parameters: int
+    """decorators that parametrize it"""
+
+
+def tests_of(commit: str) -> dict[str, TestFunction]:
+    """The test functions of a commit by name."""
+    found: dict[str, TestFunction] = {}
+    for path in _git("ls-tree", "-r", "--name-only", commit, "tests").splitlines():
+        if not path.endswith(".py"):
+            continue
+        for node in ast.walk(ast.parse(_git("show", f"{commit}:{path}"))):
+            if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
+                if node.name.startswith("test_"):
+                    found[node.name] = _describe(path, node)
+    return found
+
+
+def _describe(path: str, node: ast.FunctionDef | ast.AsyncFunctionDef) -> TestFunction:
+    assertions = sum(isinstance(inner, ast.Assert) for inner in ast.walk(node))
+    parameters = sum("parametrize" in ast.unparse(mark) for mark in node.decorator_list)
+    return TestFunction(path, assertions, parameters)
+
+
+def _git(*arguments: str) -> str:
+    return subprocess.run(
+        ["git", *arguments], cwd=ROOT, check=True, capture_output=True, text=True
+    ).stdout
+
+
+def main(before_commit: str, after_commit: str) -> int:
+    """Print what differs; 1 if something is missing or weaker."""
+    before, after = tests_of(before_commit), tests_of(after_commit)
+    weaker = 0
+    for name, old in sorted(before.items()):
+        new = after.get(RENAMED.get(name, name))
+        if new is None:
+            weaker += 1
+            print(f"missing: {old.path}::{name}")
+        elif new.assertions < old.assertions or new.parameters < old.parameters:
+            weaker += 1
+            print(f"weaker: {new.path}::{name}: {old} -> {new}")
+    print(
+        f"{len(before)} tests with {sum(t.assertions for t in before.values())} assertions before,"
+        f" {len(after)} with {sum(t.assertions for t in after.values())} after,"
+        f" {weaker} missing or weaker"
+    )
+    return 1 if weaker else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main(*sys.argv[1:3]))
