--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -45,9 +45,9 @@
         if not path.endswith(".py"):
             continue
         for node in ast.walk(ast.parse(_git("show", f"{commit}:{path}"))):
-            if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
-                if node.name.startswith("test_"):
-                    found[node.name] = _describe(path, node)
+            is_function = isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
+            if is_function and node.name.startswith("test_"):
+                found[node.name] = _describe(path, node)
     return found
 
 
