--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -117,7 +117,7 @@
     for row in world.cloud.machines.values():
         row["status"] = "running"  # nobody reports: the list alone tells of them
     for node in world.nodes.values():
-        node.engine.settings = _with_cloud_rps(node.engine.settings, 2.0)
+        node.engine.runtime.settings = _with_cloud_rps(node.engine.settings, 2.0)
     world.clock.run(seconds)
     return max(len(node.engine.fleet.inventory.listed) for node in world.nodes.values())
 
