--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -1,9 +1,8 @@
-"""What a controller tells consoles: rows of its picture, and what changed in them."""
+"""Console feed: the rows that consoles show, and what has changed in them."""
 
 from __future__ import annotations
 
 from collections import Counter
-from typing import TYPE_CHECKING
 
 from appledock.console.changes import RowChanges
 from appledock.console.rows import (
@@ -16,138 +15,185 @@
     TeamRow,
     WorkerRow,
 )
+from appledock.core.capacity.partitions import CapacityShares
+from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.machines.machine_capacity import MachineCapacity
-
-if TYPE_CHECKING:
-    from appledock.core.controller import Controller
+from appledock.core.membership.heartbeats import Heartbeats
+from appledock.core.operator_settings import OperatorSettings
+from appledock.core.quota.usage import QuotaUsage
+from appledock.core.rebalancing.rebalancer import Rebalancer
+from appledock.core.records.membership_view import View
+from appledock.core.runtime import Runtime
+from appledock.core.scheduling.moves import Moves
+from appledock.core.store.replica import Replica
+from appledock.core.workers import Worker, Workers
 
 
 class ConsoleFeed:
-    """Rows are counted anew when a console asks, and not otherwise."""
-
-    def __init__(self, engine: Controller) -> None:
-        self.engine = engine
-        self.changes = RowChanges(engine.incarnation)
+    """Rows of the cluster's state, read when a console asks and not otherwise."""
+
+    def __init__(  # noqa: PLR0913 -- a console shows something of every part
+        self,
+        *,
+        runtime: Runtime,
+        replica: Replica,
+        workers: Workers,
+        heartbeats: Heartbeats,
+        capacity_index: CapacityIndex,
+        quota_usage: QuotaUsage,
+        operator_settings: OperatorSettings,
+        rebalancer: Rebalancer,
+        partitions: CapacityShares,
+        moves: Moves,
+    ) -> None:
+        self._runtime = runtime
+        self._replica = replica
+        self._workers = workers
+        self._heartbeats = heartbeats
+        self._capacity_index = capacity_index
+        self._quota_usage = quota_usage
+        self._operator_settings = operator_settings
+        self._rebalancer = rebalancer
+        self._partitions = partitions
+        self._moves = moves
+        self._changes = RowChanges(runtime.incarnation)
 
     def since(self, incarnation: str, version: int, limit: int) -> Changes:
-        """What has changed since a version that a console knows."""
-        self.changes.update(self._rows())
-        return self.changes.since(incarnation, version, limit)
-
-    def _rows(self) -> dict[str, Row]:
-        """All rows; what is asked for first comes first."""
-        if self.engine.replica.view is None:
-            return {"cluster/": self._cluster()}
-        self.engine.capacity_index.recompute()
+        """What has changed since a version that a console knows, at most `limit` rows of it."""
+        self._changes.update(self._read_rows())
+        return self._changes.since(incarnation, version, limit)
+
+    def _read_rows(self) -> dict[str, Row]:
+        """All rows by name; those that a console shows first come first."""
+        view = self._replica.view
+        if view is None:
+            return {"cluster/": self._read_cluster()}
+        self._capacity_index.recompute()
         return {
-            "cluster/": self._cluster(),
-            **self._controllers(),
-            **self._teams(),
-            **self._partitions(),
-            **self._moves(),
-            **self._workers(),
+            "cluster/": self._read_cluster(),
+            **self._read_controllers(view),
+            **self._read_teams(),
+            **self._read_partitions(),
+            **self._read_moves(),
+            **self._read_placeable_workers(),
+            **self._read_other_workers(),
         }
 
-    def _cluster(self) -> ClusterRow:
-        engine = self.engine
-        rebalancer = engine.rebalancer
-        moves = "on"
-        if rebalancer.settings is None or not rebalancer.settings.moves.enabled:
-            moves = "off"
-        elif engine.operator_settings["moves_paused"]:
-            moves = "paused"
-        elif engine.operator_settings["moves_dry_run"]:
-            moves = "dry run"
-        shares = [_load(room) for room in engine.capacity_index.machines.values()]
+    def _read_cluster(self) -> ClusterRow:
+        loads = [_load(capacity) for capacity in self._capacity_index.machines.values()]
+        jobs = self._replica.jobs
         return ClusterRow(
-            engine.settings.name,
-            len(engine.replica.jobs),
-            sum(job.queued_task_count for job in engine.replica.jobs.values()),
-            round(sum(shares) / len(shares), 2) if shares else 0.0,
-            moves,
-            engine.moves.outcomes["done"],
+            node=self._runtime.node,
+            jobs=len(jobs),
+            queued_tasks=sum(job.queued_task_count for job in jobs.values()),
+            mean_load=round(sum(loads) / len(loads), 2) if loads else 0.0,
+            moves=self._move_mode(),
+            moves_done=self._moves.outcomes["done"],
         )
 
-    def _controllers(self) -> dict[str, Row]:
-        engine = self.engine
-        view = engine.replica.view
-        assert view is not None
-        workers = Counter(engine.replica.owner_of(name) for name in engine.workers.table)
-        names = [engine.settings.name, *(peer.name for peer in engine.settings.peers)]
-        rows: dict[str, Row] = {}
-        for name in sorted(names):
-            role = "member" if name in view.members else "not in the view"
-            if name == view.leader:
-                role = "leader"
-            elif name in view.detached:
-                role = "detached"
-            reached = name == engine.settings.name or engine.heartbeats.is_reachable(name)
-            rows[f"controller/{name}"] = ControllerRow(role, reached, workers[name])
-        return rows
+    def _move_mode(self) -> str:
+        settings = self._rebalancer.settings
+        if settings is None or not settings.moves.enabled:
+            return "off"
+        if self._operator_settings["moves_paused"]:
+            return "paused"
+        if self._operator_settings["moves_dry_run"]:
+            return "dry run"
+        return "on"
+
+    def _read_controllers(self, view: View) -> dict[str, Row]:
+        settings = self._runtime.settings
+        owned = Counter(self._replica.owner_of(name) for name in self._workers.table)
+        names = [settings.name, *(peer.name for peer in settings.peers)]
+        return {
+            f"controller/{name}": ControllerRow(
+                role=_role(name, view),
+                reached=self._heartbeats.is_reachable(name),
+                workers=owned[name],
+            )
+            for name in sorted(names)
+        }
 
-    def _teams(self) -> dict[str, Row]:
-        engine = self.engine
-        bounds = {row["name"]: row for row in engine.rebalancer.teams()}
+    def _read_teams(self) -> dict[str, Row]:
+        bounds = {row["name"]: row for row in self._rebalancer.teams()}
         rows: dict[str, Row] = {}
-        for name, team in sorted(engine.teams.items()):
-            held = engine.quota_usage.held_by_team(name)
+        for name, team in sorted(self._runtime.teams.items()):
             bound = bounds.get(name)
             rows[f"team/{name}"] = TeamRow(
-                round(held.cpus, 2),
-                team.cpus_max,
-                round(bound["most"], 2) if bound else 0.0,
-                bound["machine"] if bound else "",
-                bound["within"] if bound else True,
+                cpus=round(self._quota_usage.held_by_team(name).cpus, 2),
+                cpus_max=team.cpus_max,
+                most=round(bound["most"], 2) if bound else 0.0,
+                machine=bound["machine"] if bound else "",
+                within=bound["within"] if bound else True,
             )
         return rows
 
-    def _partitions(self) -> dict[str, Row]:
-        summary = self.engine.partitions.summary()
+    def _read_partitions(self) -> dict[str, Row]:
+        summary = self._partitions.summary()
         return {
             f"partition/{name}.{pool}": PartitionRow(
-                row["target"],
-                row["held"],
-                len(row["leaving"]),
-                row["tasks"],
-                row["controller"] or "",
+                target=row["target"],
+                held=row["held"],
+                leaving=len(row["leaving"]),
+                tasks=row["tasks"],
+                controller=row["controller"] or "",
             )
             for pool, state in summary.get("pools", {}).items()
             for name, row in state["partitions"].items()
         }
 
-    def _moves(self) -> dict[str, Row]:
+    def _read_moves(self) -> dict[str, Row]:
+        orders = [under_way.order for under_way in self._moves.planned.values()]
         return {
-            f"move/{x.order.job}/{x.order.task}": MoveRow(
-                x.order.source, x.order.destination, "under way"
-            )
-            for x in self.engine.moves.planned.values()
+            f"move/{order.job}/{order.task}": MoveRow(order.source, order.destination, "under way")
+            for order in orders
         }
 
-    def _workers(self) -> dict[str, Row]:
-        """Workers, the fullest first; those that take no steps last."""
-        engine, table = self.engine, self.engine.capacity_index.machines
-        rows: dict[str, Row] = {}
-        for room in sorted(table.values(), key=lambda room: (-_load(room), room.name)):
-            teams = room.load.teams if room.load is not None else {}
-            parts = [f"{team} {share:.2f}" for team, share in sorted(teams.items())]
-            blocked = engine.rebalancer.blocked.get(room.name)
-            rows[f"worker/{room.name}"] = WorkerRow(
-                room.owner, round(_load(room), 2), ", ".join(parts), blocked[1] if blocked else ""
+    def _read_placeable_workers(self) -> dict[str, Row]:
+        """Workers that take steps, the fullest first."""
+        machines = self._capacity_index.machines.values()
+        by_load = sorted(machines, key=lambda capacity: (-_load(capacity), capacity.name))
+        return {f"worker/{capacity.name}": self._read_placeable(capacity) for capacity in by_load}
+
+    def _read_placeable(self, capacity: MachineCapacity) -> WorkerRow:
+        teams = capacity.load.teams if capacity.load is not None else {}
+        blocked = self._rebalancer.blocked.get(capacity.name)
+        return WorkerRow(
+            owner=capacity.owner,
+            load=round(_load(capacity), 2),
+            teams=", ".join(f"{team} {share:.2f}" for team, share in sorted(teams.items())),
+            note=blocked[1] if blocked else "",
+        )
+
+    def _read_other_workers(self) -> dict[str, Row]:
+        """Workers that have reported and take no steps."""
+        names = self._workers.table.keys() - self._capacity_index.machines.keys()
+        workers = [self._workers.table[name] for name in sorted(names)]
+        return {
+            f"worker/{worker.id}": WorkerRow(
+                owner=self._replica.owner_of(worker.id), load=0.0, teams="", note=_note(worker)
             )
-        for name in sorted(engine.workers.table.keys() - table.keys()):
-            worker = engine.workers.table[name]
-            if worker.report is not None:
-                note = (
-                    f"cordoned: {worker.placement.cordon_reason}"
-                    if worker.placement.cordon_reason
-                    else "takes no steps"
-                )
-                rows[f"worker/{name}"] = WorkerRow(engine.replica.owner_of(name), 0.0, "", note)
-        return rows
+            for worker in workers
+            if worker.report is not None
+        }
+
+
+def _role(controller: str, view: View) -> str:
+    if controller == view.leader:
+        return "leader"
+    if controller in view.detached:
+        return "detached"
+    return "member" if controller in view.members else "not in the view"
+
+
+def _note(worker: Worker) -> str:
+    reason = worker.placement.cordon_reason
+    return f"cordoned: {reason}" if reason else "takes no steps"
 
 
-def _load(room: MachineCapacity) -> float:
-    """Committed share; where load is not spread, that of the processors."""
-    if room.load is not None:
-        return room.load.total
-    return 1 - max(0.0, room.cpus) / room.type.cpus if room.type.cpus else 0.0
+def _load(capacity: MachineCapacity) -> float:
+    """Committed part of the machine; where load is not balanced, that of its CPUs."""
+    if capacity.load is not None:
+        return capacity.load.total
+    cpus = capacity.type.cpus
+    return 1 - max(0.0, capacity.cpus) / cpus if cpus else 0.0
--- /dev/null
+++ b/appledock/core/api/settings_api.py
@@ -0,0 +1,120 @@
+"""Operators' settings: read, and changed by conditional transactions.
+
+A change takes effect on the other controllers as soon as their watch shows it.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from appledock import constants
+from appledock.core.api.admin_responses import STORE_UNAVAILABLE, AdminResponder
+from appledock.core.commands import AdminRequest
+from appledock.core.jobs.reconcile_queue import ReconcileQueue
+from appledock.core.operator_settings import (
+    DECLARATIONS,
+    InvalidSettingError,
+    OperatorSettings,
+    validate,
+)
+from appledock.core.store.client import StoreClient
+from appledock.core.store.keys import SETTINGS
+from appledock.core.store.rate_limiter import Priority
+from appledock.core.store.reader import StateReader
+from appledock.core.store.replica import Replica
+from appledock.core.store_calls import Committed, Conflict, Put, StoreOutcome, Transaction
+
+
+class MalformedChangeError(ValueError):
+    """The request is no change of settings; the text names the field and what it needs."""
+
+
+class SettingsApi:
+    """Answers what the settings are, and changes them."""
+
+    def __init__(
+        self,
+        client: StoreClient,
+        replica: Replica,
+        reader: StateReader,
+        operator_settings: OperatorSettings,
+        reconcile_queue: ReconcileQueue,
+        responder: AdminResponder,
+    ) -> None:
+        self._client = client
+        self._replica = replica
+        self._reader = reader
+        self._operator_settings = operator_settings
+        self._reconcile_queue = reconcile_queue
+        self._responder = responder
+
+    def read(self) -> dict[str, object]:
+        """Values, defaults, ranges and reasons of the settings."""
+        return {
+            "version": self._replica.stored_settings.version,
+            "settings": {
+                name: {
+                    "value": self._operator_settings[name],
+                    "default": declaration.default,
+                    "least": declaration.minimum,
+                    "most": declaration.maximum,
+                    "unit": declaration.unit,
+                    "reason": declaration.description,
+                }
+                for name, declaration in sorted(DECLARATIONS.items())
+            },
+        }
+
+    def change(self, request: AdminRequest) -> None:
+        """Take `{"settings": {name: value or null}, "version": n}`; null: the default again.
+
+        With a version, a change that somebody else made meanwhile gives 409.
+        """
+        try:
+            changed, version = self._check(request.body)
+        except (MalformedChangeError, InvalidSettingError) as error:
+            self._responder.refuse(request, 400, str(error))
+            return
+
+        def on_outcome(outcome: StoreOutcome) -> None:
+            match outcome:
+                case Committed():
+                    self._on_committed(changed, outcome.revision)
+                    self._responder.answer(request, self.read())
+                case Conflict():
+                    self._reader.read_keys([SETTINGS])
+                    self._responder.refuse(request, 409, "the settings were changed meanwhile")
+                case _:
+                    self._responder.refuse(request, 503, STORE_UNAVAILABLE)
+
+        self._client.submit(
+            Transaction({SETTINGS: version}, [Put(SETTINGS, changed)]),
+            Priority.USER,
+            on_outcome,
+            constants.REQUEST_DEADLINE_S,
+        )
+
+    def _check(self, body: Any) -> tuple[dict[str, Any], int]:
+        """All settings as they will be stored, and the version that they replace.
+
+        Raises MalformedChangeError or InvalidSettingError.
+        """
+        if not isinstance(body, dict) or not isinstance(body.get("settings"), dict):
+            raise MalformedChangeError("settings: an object is needed")
+        stored = self._replica.stored_settings
+        version = body.get("version", stored.version)
+        if isinstance(version, bool) or not isinstance(version, int):
+            raise MalformedChangeError("version: an integer is needed")
+        changed = dict(stored.value)
+        for name, value in body["settings"].items():
+            if value is None and name in DECLARATIONS:
+                changed.pop(name, None)
+            else:
+                changed[name] = validate(name, value)
+        return changed, version
+
+    def _on_committed(self, changed: dict[str, Any], revision: int) -> None:
+        """The change takes effect here at once; the watch brings it a second time."""
+        self._replica.put(SETTINGS, changed, revision)
+        self._operator_settings.apply(self._replica.stored_settings.value)
+        self._reconcile_queue.placement_due = True
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -9,12 +9,18 @@
 from appledock import constants, wire
 from appledock.capacity.settings import Capacity
 from appledock.core.api.admin import AdminApi
+from appledock.core.api.admin_readers import JobReader, MachineReader, StatusReader, TeamReader
+from appledock.core.api.admin_responses import AdminResponder
+from appledock.core.api.capacity_api import SharesApi
+from appledock.core.api.console_feed import ConsoleFeed
 from appledock.core.api.first_owner import FirstOwner
 from appledock.core.api.health import HealthCheck
 from appledock.core.api.job_cancellation import JobCancellations
 from appledock.core.api.job_records import DependencyOutcomes, JobRecords
 from appledock.core.api.job_states import JobStates
+from appledock.core.api.machine_actions import MachineActions
 from appledock.core.api.open_requests import OpenRequests
+from appledock.core.api.settings_api import SettingsApi
 from appledock.core.api.status_polls import StatusPolls
 from appledock.core.api.submission import Submissions
 from appledock.core.api.submission_check import SubmissionCheck
@@ -287,7 +293,9 @@
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
         self.job_states = JobStates(self.replica, self.workers)
         self.user_requests = self._build_user_requests()
-        self.admin = AdminApi(self)
+        self.console_feed = self._build_console_feed()
+        self.job_reader = JobReader(self.replica, self.workers, self.reconcile_queue)
+        self.admin = self._build_admin_api()
         self.engine = Engine(
             runtime=self.runtime,
             client=self.client,
@@ -315,6 +323,62 @@
             operator_settings=self.operator_settings,
         )
 
+    def _build_console_feed(self) -> ConsoleFeed:
+        return ConsoleFeed(
+            runtime=self.runtime,
+            replica=self.replica,
+            workers=self.workers,
+            heartbeats=self.heartbeats,
+            capacity_index=self.capacity_index,
+            quota_usage=self.quota_usage,
+            operator_settings=self.operator_settings,
+            rebalancer=self.rebalancer,
+            partitions=self.partitions,
+            moves=self.moves,
+        )
+
+    def _build_admin_api(self) -> AdminApi:
+        """The administration API, with the readers of state by their paths."""
+        responder = AdminResponder(self.runtime.emit)
+        status = StatusReader(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            membership=self.membership,
+            workers=self.workers,
+            health=self.health,
+            open_requests=self.user_requests.open_requests,
+            machine_types=self.machine_types,
+            booting_machines=self.fleet.booting,
+        )
+        machines = MachineReader(self.runtime, self.replica, self.workers, self.capacity_index)
+        teams = TeamReader(self.runtime, self.replica, self.quota_usage)
+        return AdminApi(
+            runtime=self.runtime,
+            responder=responder,
+            readers={
+                "status": status.read,
+                "jobs": lambda: {"jobs": self.job_reader.read_all()},
+                "machines": lambda: {"machines": machines.read_all()},
+                "teams": lambda: {"teams": teams.read_all()},
+                "rebalancing": self.rebalancer.summary,
+                "capacity": self.partitions.summary,
+            },
+            console_feed=self.console_feed,
+            settings=SettingsApi(
+                self.client,
+                self.replica,
+                self.reader,
+                self.operator_settings,
+                self.reconcile_queue,
+                responder,
+            ),
+            machine_actions=MachineActions(
+                self.workers, self.membership, responder, self.fleet.operate
+            ),
+            capacity=SharesApi(self),
+        )
+
     def _build_user_requests(self) -> UserRequests:
         """Requests of users, one part for each kind."""
         requests = OpenRequests(self.runtime, self.reader)
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -169,7 +169,7 @@
                 body = {"healthy": is_healthy}
                 self._runtime.emit(Response(command.request_id, 200 if is_healthy else 503, body))
             case AdminRequest():
-                self._admin.request(command)
+                self._admin.handle(command)
             case _:
                 assert_never(command)
 
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -431,7 +431,7 @@
     replica: Replica = e.replica
     replica.set_job(Job(spec(id="job-1"), 0.0, 2))
     replica.set_job(Job(spec(id="job-2", tethers=["job-1"]), 0.0, 3))
-    first, second = e.admin.jobs()
+    first, second = e.job_reader.read_all()
     assert (first["needed_by"], second["needs_left"]) == (["job-2"], ["job-1"])
     assert second["waits_for"] == "jobs that it needs"
 
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -389,7 +389,7 @@
     world.clock.run(CHANGE_S)
     world.apply("n0", 0.25, "r1")
     world.clock.run(CHANGE_S + 5.0)
-    told = world.nodes["n2"].engine.admin.feed.since("-", 0, 500).rows
+    told = world.nodes["n2"].engine.console_feed.since("-", 0, 500).rows
     assert told["partition/sealing.all"] == [3, 3, 3, 24, ""]
     assert told["partition/front.all"] == [9, 6, 0, 0, ""]
 
@@ -440,7 +440,7 @@
     world.array(2, "blue", 5.0, 20)
     world.clock.run(CHANGE_S + 20.0)
     assert world.unfinished() == ["job-000001"] and world.used["sealing"] == set()
-    rows = world.nodes["n1"].engine.admin.jobs()
+    rows = world.nodes["n1"].engine.job_reader.read_all()
     assert [row["waits_for"] for row in rows if row["id"] == "job-000001"] != []
     world.apply("n0", 0.25, "some")
     world.clock.run(CHANGE_S + 50.0)
