--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -18,7 +18,7 @@
     RouteTable,
     route,
 )
-from appledock.core.api.capacity_api import SharesApi
+from appledock.core.api.capacity_api import PartitionSharesApi
 from appledock.core.api.console_feed import ConsoleFeed
 from appledock.core.api.machine_actions import MachineAction, MachineActions
 from appledock.core.api.settings_api import SettingsApi
@@ -45,7 +45,7 @@
         console_feed: ConsoleFeed,
         settings: SettingsApi,
         machine_actions: MachineActions,
-        capacity: SharesApi,
+        capacity: PartitionSharesApi,
     ) -> None:
         self._runtime = runtime
         self._responder = responder
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -15,7 +15,7 @@
     TeamRow,
     WorkerRow,
 )
-from appledock.core.capacity.partitions import CapacityShares
+from appledock.core.capacity.partitions import PartitionManager
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.membership.heartbeats import Heartbeats
@@ -43,7 +43,7 @@
         quota_usage: QuotaUsage,
         operator_settings: OperatorSettings,
         rebalancer: Rebalancer,
-        partitions: CapacityShares,
+        partitions: PartitionManager,
         moves: Moves,
     ) -> None:
         self._runtime = runtime
