--- a/appledock/adapters/users.py
+++ b/appledock/adapters/users.py
@@ -11,10 +11,10 @@
 from appledock.core.commands import (
     AdminRequest,
     CancelJob,
-    Command,
     GetJobState,
     HealthRequest,
     HeartbeatReceived,
+    Request,
     SubmitJob,
 )
 
@@ -35,7 +35,7 @@
         self.status, self.error, self.headers = status, error, headers
 
 
-def command(request_id: int, method: str, path: str, body: bytes) -> Command:
+def command(request_id: int, method: str, path: str, body: bytes) -> Request:
     """The command that a request stands for; raises Refused."""
     if path == wire.PATH_REPORT:
         _only(method, "POST")
@@ -68,6 +68,22 @@
     raise Refused(404, "no such path")
 
 
+METRIC_NAMES: dict[type[Request], str] = {
+    SubmitJob: "submit",
+    GetJobState: "poll",
+    CancelJob: "cancel",
+    HeartbeatReceived: "reported",
+    HealthRequest: "health",
+    AdminRequest: "admin",
+}
+"""request -> its name in the metrics, which operators read: it depends on no name of a class"""
+
+
+def metric_name(request: Request) -> str:
+    """The request's name in the metrics."""
+    return METRIC_NAMES[type(request)]
+
+
 def _submission(spec: wire.JobSpec) -> wire.JobSpec:
     """What a job needs, each named once; none at all is the same as no list."""
     if spec.needs is None:
--- a/appledock/app.py
+++ b/appledock/app.py
@@ -171,7 +171,7 @@
             answer(refused.status, wire.encode({"error": refused.error}), refused.headers)
             return
         self.answers[self.last_request_id] = answer
-        self.started[self.last_request_id] = (type(command).__name__.lower(), self.loop.time())
+        self.started[self.last_request_id] = (users.metric_name(command), self.loop.time())
         self.push(command)
 
     def _carry_out(self, effect: Effect) -> None:
--- a/appledock/core/commands.py
+++ b/appledock/core/commands.py
@@ -135,13 +135,5 @@
 
 
 UserRequest = SubmitJob | GetJobState | CancelJob
-Command = (
-    UserRequest
-    | HeartbeatReceived
-    | HealthRequest
-    | AdminRequest
-    | CallReply
-    | PeerMessageReceived
-    | PeerConnected
-    | Tick
-)
+Request = UserRequest | HeartbeatReceived | HealthRequest | AdminRequest
+Command = Request | CallReply | PeerMessageReceived | PeerConnected | Tick
