--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -18,7 +18,7 @@
     RouteTable,
     route,
 )
-from appledock.core.api.capacity_api import PartitionSharesApi
+from appledock.core.api.capacity_api import CapacityAction, PartitionSharesApi
 from appledock.core.api.console_feed import ConsoleFeed
 from appledock.core.api.machine_actions import MachineAction, MachineActions
 from appledock.core.api.settings_api import SettingsApi
@@ -27,7 +27,6 @@
 from appledock.core.runtime import Runtime
 
 LOG_LEVELS = ("error", "info", "debug")
-CAPACITY_ACTIONS = ("propose", "apply", "withdraw")
 
 StateReader = Callable[[], object]
 """reads the JSON body that a `GET` answers"""
@@ -49,7 +48,7 @@
     ) -> None:
         self._runtime = runtime
         self._responder = responder
-        self._console_feed = console_feed
+        self.console_feed = console_feed
         self._capacity = capacity
         self._routes = RouteTable(
             [
@@ -57,7 +56,7 @@
                 route("GET", "settings", self._reading(settings.read)),
                 route("PATCH", "settings", lambda request, _: settings.change(request)),
                 route("GET", "changes/{incarnation}/{version}/{limit}", self._read_changes),
-                *(self._capacity_route(action) for action in CAPACITY_ACTIONS),
+                *(self._capacity_route(action) for action in CapacityAction),
                 *(_machine_route(machine_actions, action) for action in MachineAction),
                 route("PUT", "log-level", self._set_log_level),
             ]
@@ -78,7 +77,7 @@
     def _reading(self, read: StateReader) -> Handler:
         return lambda request, _: self._responder.answer(request, read())
 
-    def _capacity_route(self, action: str) -> Route:
+    def _capacity_route(self, action: CapacityAction) -> Route:
         return route(
             "POST",
             f"capacity/{action}",
@@ -93,7 +92,7 @@
             error = f"changes/INCARNATION/VERSION/ROWS: integers, ROWS from 1 to {rows_max}"
             self._responder.refuse(request, 400, error)
             return
-        changes = self._console_feed.since(incarnation, int(version), int(limit))
+        changes = self.console_feed.since(incarnation, int(version), int(limit))
         self._responder.answer(request, changes)
 
     def _set_log_level(self, request: AdminRequest, _: Parameters) -> None:
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -15,7 +15,7 @@
     TeamRow,
     WorkerRow,
 )
-from appledock.core.capacity.partitions import PartitionManager
+from appledock.core.capacity.summary import PartitionSummary
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.membership.heartbeats import Heartbeats
@@ -43,7 +43,7 @@
         quota_usage: QuotaUsage,
         operator_settings: OperatorSettings,
         rebalancer: Rebalancer,
-        partitions: PartitionManager,
+        partition_summary: PartitionSummary,
         moves: Moves,
     ) -> None:
         self._runtime = runtime
@@ -54,7 +54,7 @@
         self._quota_usage = quota_usage
         self._operator_settings = operator_settings
         self._rebalancer = rebalancer
-        self._partitions = partitions
+        self._partition_summary = partition_summary
         self._moves = moves
         self._changes = RowChanges(runtime.incarnation)
 
@@ -129,7 +129,7 @@
         return rows
 
     def _read_partitions(self) -> dict[str, Row]:
-        summary = self._partitions.summary()
+        summary = self._partition_summary.as_json()
         return {
             f"partition/{name}.{pool}": PartitionRow(
                 target=row["target"],
