--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -15,7 +15,7 @@
 from appledock.capacity.settings import Capacity, Pool
 from appledock.core.capacity.machine_usage import MachineUsage
 from appledock.core.capacity.partition_map import PartitionMap
-from appledock.core.fleet.model import Demand
+from appledock.core.fleet.model import JobDemand
 from appledock.core.membership.membership import Membership
 from appledock.core.records.capacity import OWNERSHIP_PREFIX
 from appledock.core.runtime import Runtime
@@ -66,7 +66,7 @@
         machine_types: Mapping[str, wire.MachineType],
         partitions: PartitionMap,
         usage: MachineUsage,
-        queued_demand: Callable[[], Sequence[Demand]],
+        queued_demand: Callable[[], Sequence[JobDemand]],
     ) -> None:
         self._runtime = runtime
         self._client = client
@@ -169,7 +169,7 @@
         for demand in self._queued_demand():
             spec = demand.job.spec
             name = self._partitions.partition_of(spec)
-            if demand.ready and name is not None and _may_use(spec, pool):
+            if demand.is_ready and name is not None and _may_use(spec, pool):
                 slots = max((_count_slots(spec, kind) for kind in machine_types), default=0)
                 if slots:
                     queued[name] = queued.get(name, 0.0) + demand.tasks / slots
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -36,7 +36,6 @@
 from appledock.core.effects import Effect
 from appledock.core.engine import Engine
 from appledock.core.fleet import Fleet
-from appledock.core.fleet.demand import queued_demand
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
 from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
@@ -170,7 +169,7 @@
         self.settlement = Settlement(
             self.replica,
             self.workers.verdict,
-            lambda machine, job_id: self.fleet.task_failed(machine, job_id),  # noqa: PLW0108 -- built later
+            lambda machine, job_id: self.fleet.on_task_failed(machine, job_id),  # noqa: PLW0108 -- built later
         )
         self.team_record_writer = TeamRecordWriter(
             client=self.client,
@@ -298,10 +297,27 @@
             machines=CancelledTaskMachines(
                 self.runtime,
                 self.workers,
-                lambda names: self.fleet.deleted(names),  # noqa: PLW0108 -- built later
+                lambda names: self.fleet.on_machines_deleted(names),  # noqa: PLW0108 -- built later
             ),
         )
-        self.fleet = Fleet(self)
+        self.fleet = Fleet(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            reader=self.reader,
+            membership=self.membership,
+            heartbeats=self.heartbeats,
+            workers=self.workers,
+            capacity_index=self.capacity_index,
+            machine_types=self.machine_types,
+            machine_zones=self.machine_zones,
+            operator_settings=self.operator_settings,
+            quota_usage=self.quota_usage,
+            queue_order=self.queue_order,
+            objectives=self.objectives,
+            reconcile_queue=self.reconcile_queue,
+            stop_requests=self.stop_requests,
+        )
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
         self.job_states = JobStates(self.replica, self.workers)
         self.user_requests = self._build_user_requests()
@@ -425,7 +441,7 @@
                 machine_types=self.machine_types,
                 partitions=self.partitions,
                 usage=self.machine_usage,
-                queued_demand=lambda: queued_demand(self),
+                queued_demand=self.fleet.queued_demand,
             ),
             drainer=MachineDrainer(
                 runtime=self.runtime,
