--- a/appledock/capacity/__init__.py
+++ b/appledock/capacity/__init__.py
@@ -1,6 +1,6 @@
-"""Capacity shares: machines shared among partitions of teams in agreed portions.
+"""Policy of machine partitions: which partition owns which machine of a pool, by agreed fractions.
 
-A policy without I/O. Each machine of a pool is held by one partition at a time; the engine writes
-who holds it (`core/capacity`), and steps are conditional on that. docs/capacity-shares.md has the
+Without I/O. Each machine of a pool has one owner at a time; the core writes the owners
+(`appledock/core/capacity`), and steps are conditional on them. docs/capacity-shares.md has the
 options that were considered and the safety argument.
 """
--- a/appledock/capacity/apportion.py
+++ b/appledock/capacity/apportion.py
@@ -1,34 +1,37 @@
-"""Whole machines by shares: largest remainder, and one machine for everybody who has a share."""
+"""Apportionment of whole machines by fractions: largest remainder, at least one machine each."""
 
 from __future__ import annotations
 
 import math
 
 
-def apportion(machines: int, shares: dict[str, float]) -> dict[str, int]:
-    """How many of so many machines each partition gets; all of them are given out.
+def apportion(machines: int, fractions: dict[str, float]) -> dict[str, int]:
+    """Partition -> number of machines; all machines are given out.
 
-    Whoever has a share gets at least one machine if there are enough; with fewer machines than
-    partitions, the largest shares come first.
+    A partition with a fraction above zero gets at least one machine if there are enough; with
+    fewer machines than partitions, the largest fractions come first.
     """
-    counts = dict.fromkeys(shares, 0)
-    entitled = sorted((name for name in shares if shares[name] > 0), key=lambda n: (-shares[n], n))
+    counts = dict.fromkeys(fractions, 0)
+    entitled = sorted(
+        (name for name in fractions if fractions[name] > 0),
+        key=lambda name: (-fractions[name], name),
+    )
     if not entitled or machines <= 0:
         return counts
     if machines <= len(entitled):
         for name in entitled[:machines]:
             counts[name] = 1
         return counts
-    total = math.fsum(shares[name] for name in entitled)
-    exact = {name: machines * shares[name] / total for name in entitled}
+    total = math.fsum(fractions[name] for name in entitled)
+    exact = {name: machines * fractions[name] / total for name in entitled}
     for name in entitled:
         counts[name] = max(1, math.floor(exact[name] + 1e-9))
     while (left := machines - sum(counts.values())) != 0:
         step = 1 if left > 0 else -1
-        # Who is furthest below (or above) the exact number; never to nothing.
+        # The partition furthest below (or above) its exact number; never down to none.
         name = max(
-            (n for n in entitled if step > 0 or counts[n] > 1),
-            key=lambda n: (step * (exact[n] - counts[n]), -entitled.index(n)),
+            (name for name in entitled if step > 0 or counts[name] > 1),
+            key=lambda name: (step * (exact[name] - counts[name]), -entitled.index(name)),
         )
         counts[name] += step
     return counts
--- a/appledock/capacity/assignment.py
+++ b/appledock/capacity/assignment.py
@@ -1,8 +1,8 @@
-"""Who shall hold which machine: the next small steps from what is held to what is agreed.
+"""Next owners of machines: the small steps from the recorded owners to the agreed numbers.
 
-A machine changes hands in two writes, never in one: first its holder is told to leave, which
-makes every start there that is still under way fail; then, once the records show it empty, it is
-given to whoever lacks machines.
+A machine changes owner in two writes, never in one. First it is recorded as being handed over,
+which makes every step on it that is still being written fail. Then, once the records show no
+unsettled task on it, it goes to the partition that is furthest below its number.
 """
 
 from __future__ import annotations
@@ -15,138 +15,154 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineUse:
-    """A machine of a pool: who holds it, and whose unsettled tasks are on it."""
+    """A machine of a pool: its owner, and the unsettled tasks on it."""
 
     name: str
     ownership: Ownership | None
-    """None: nobody was given it yet"""
+    """None: never assigned"""
     tasks: dict[str, int] = field(default_factory=dict)
     """partition -> its unsettled tasks"""
     drain_s: float = 0.0
-    """how long it would take to empty, for the choice among several"""
+    """estimated time until it is drained"""
 
     @property
-    def empty(self) -> bool:
-        """Is no task on it, by the records?"""
+    def is_empty(self) -> bool:
+        """Is no unsettled task on it, by the records?"""
         return not self.tasks
 
 
 def next_owners(
-    machines: list[MachineUse], target: dict[str, int], own: dict[str, int] | None = None
+    machines: list[MachineUse], target: dict[str, int], agreed: dict[str, int] | None = None
 ) -> dict[str, Ownership]:
-    """The holdings that change now, by machine; all machines are of one pool.
+    """Machine -> its next ownership, for those that change now; all machines are of one pool.
 
-    `target`: how many of them each partition shall hold; `own`: how many of those are its own,
-    the others being lent to it.
+    `target`: how many of them each partition shall own; `agreed`: how many by the agreed fractions,
+    those beyond being lent to it (None: as many as `target`).
     """
-    return _Pass(machines, target, target if own is None else own).run()
+    return _AssignmentPass(machines, target, target if agreed is None else agreed).run()
 
 
-class _Pass:
-    """One look at a pool."""
+class _AssignmentPass:
+    """One pass over the machines of a pool."""
 
     def __init__(
-        self, machines: list[MachineUse], target: dict[str, int], own: dict[str, int]
+        self, machines: list[MachineUse], target: dict[str, int], agreed: dict[str, int]
     ) -> None:
-        self.own = own
-        self.machines = sorted(machines, key=lambda machine: machine.name)
-        self.target = target
-        self.changes: dict[str, Ownership] = {}
-        self.held = Counter(
+        self._machines = sorted(machines, key=lambda machine: machine.name)
+        self._target = target
+        self._agreed = agreed
+        self._changes: dict[str, Ownership] = {}
+        self._owned = Counter(
             machine.ownership.partition
             for machine in machines
             if machine.ownership is not None and not machine.ownership.is_being_handed_over
         )
 
     def run(self) -> dict[str, Ownership]:
-        for machine in self.machines:
-            if machine.ownership is not None and machine.ownership.partition not in self.target:
-                # Its partition is in the file no more.
-                self._leave(machine)
-        self._take_back()
-        self._give_out()
-        self._make_leave()
-        return self.changes
-
-    def _lacking(self) -> list[str]:
-        """Partitions below their number, the one furthest below first."""
-        lacks = {name: self.target[name] - self.held[name] for name in self.target}
-        return sorted((n for n in lacks if lacks[n] > 0), key=lambda n: (-lacks[n], n))
-
-    def _hold(self, machine: MachineUse, partition: str) -> None:
-        is_lent = self.held[partition] >= self.own.get(partition, 0)
-        self.changes[machine.name] = Ownership(partition, is_lent=is_lent)
-        self.held[partition] += 1
-
-    def _leave(self, machine: MachineUse) -> None:
-        assert machine.ownership is not None
-        if not machine.ownership.is_being_handed_over:
-            self.changes[machine.name] = machine.ownership.handed_over()
-            self.held[machine.ownership.partition] -= 1
-
-    def _take_back(self) -> None:
-        """A change was withdrawn: machines that are being left stay with their holder."""
-        for machine in self.machines:
+        self._hand_over_of_removed_partitions()
+        self._keep_withdrawn()
+        self._assign_empty_and_new()
+        self._hand_over_surplus()
+        return self._changes
+
+    # --- single machines ------------------------------------------------------
+    def _partitions_below_target(self) -> list[str]:
+        """The one furthest below its number first."""
+        missing = {name: self._target[name] - self._owned[name] for name in self._target}
+        return sorted(
+            (name for name in missing if missing[name] > 0),
+            key=lambda name: (-missing[name], name),
+        )
+
+    def _assign(self, machine: MachineUse, partition: str) -> None:
+        is_lent = self._owned[partition] >= self._agreed.get(partition, 0)
+        self._changes[machine.name] = Ownership(partition, is_lent=is_lent)
+        self._owned[partition] += 1
+
+    def _hand_over(self, machine: MachineUse, ownership: Ownership) -> None:
+        self._changes[machine.name] = ownership.handed_over()
+        self._owned[ownership.partition] -= 1
+
+    # --- steps ----------------------------------------------------------------
+    def _hand_over_of_removed_partitions(self) -> None:
+        """Hand over the machines of partitions that the file no longer has."""
+        for machine in self._machines:
             ownership = machine.ownership
             if (
-                ownership is None
-                or not ownership.is_being_handed_over
-                or set(machine.tasks) - {ownership.partition}
+                ownership is not None
+                and not ownership.is_being_handed_over
+                and ownership.partition not in self._target
             ):
-                continue
-            if self.held[ownership.partition] < self.target.get(ownership.partition, 0):
-                self._hold(machine, ownership.partition)
+                self._hand_over(machine, ownership)
+
+    def _keep_withdrawn(self) -> None:
+        """Leave machines with their owner that needs them again, as after a withdrawn change."""
+        for machine in self._machines:
+            ownership = machine.ownership
+            if (
+                ownership is not None
+                and ownership.is_being_handed_over
+                and not set(machine.tasks) - {ownership.partition}
+                and self._owned[ownership.partition] < self._target.get(ownership.partition, 0)
+            ):
+                self._assign(machine, ownership.partition)
 
-    def _give_out(self) -> None:
-        """Machines that are empty go to whoever lacks most; new ones at work to their users."""
-        for machine in self.machines:
-            if machine.name in self.changes or not self.target:
+    def _assign_empty_and_new(self) -> None:
+        """Assign empty machines to partitions below target, and new ones in use to their users."""
+        for machine in self._machines:
+            if machine.name in self._changes or not self._target:
                 continue
-            if machine.ownership is None and machine.tasks:
+            ownership = machine.ownership
+            if ownership is None and machine.tasks:
                 self._adopt(machine)
-            elif machine.empty and (
-                machine.ownership is None or machine.ownership.is_being_handed_over
-            ):
-                lacking = self._lacking()
-                if lacking:
-                    self._hold(machine, lacking[0])
+            elif machine.is_empty and (ownership is None or ownership.is_being_handed_over):
+                below_target = self._partitions_below_target()
+                if below_target:
+                    self._assign(machine, below_target[0])
 
     def _adopt(self, machine: MachineUse) -> None:
-        """A machine that worked before shares were in force."""
+        """Assign a machine that was in use before partitions were in force."""
         partition = max(sorted(machine.tasks), key=machine.tasks.__getitem__)
-        if len(machine.tasks) == 1 and self.held[partition] < self.target.get(partition, 0):
-            self._hold(machine, partition)
+        if len(machine.tasks) == 1 and self._owned[partition] < self._target.get(partition, 0):
+            self._assign(machine, partition)
         else:
-            self.changes[machine.name] = Ownership(partition, is_being_handed_over=True)
-
-    def _make_leave(self) -> None:
-        """Whoever has too many leaves as many as others lack, and that are not free anyway."""
-        free = sum(
-            ownership.is_being_handed_over
-            for machine in self.machines
-            if (ownership := self.changes.get(machine.name, machine.ownership)) is not None
+            self._changes[machine.name] = Ownership(partition, is_being_handed_over=True)
+
+    def _hand_over_surplus(self) -> None:
+        """Hand over as many machines as partitions lack beyond those being handed over already."""
+        missing = sum(
+            self._target[name] - self._owned[name] for name in self._partitions_below_target()
         )
-        wanted = sum(self.target[name] - self.held[name] for name in self._lacking()) - free
-        candidates = sorted(
+        missing -= self._count_being_handed_over()
+        for machine, ownership in self._by_cost_of_handing_over():
+            if missing <= 0:
+                return
+            if self._owned[ownership.partition] > self._target[ownership.partition]:
+                self._hand_over(machine, ownership)
+                missing -= 1
+
+    def _count_being_handed_over(self) -> int:
+        next_ownerships = (
+            self._changes.get(machine.name, machine.ownership) for machine in self._machines
+        )
+        return sum(
+            ownership.is_being_handed_over for ownership in next_ownerships if ownership is not None
+        )
+
+    def _by_cost_of_handing_over(self) -> list[tuple[MachineUse, Ownership]]:
+        """Lent machines first, then by the time and the tasks that draining them costs."""
+        return sorted(
             (
-                machine
-                for machine in self.machines
+                (machine, machine.ownership)
+                for machine in self._machines
                 if machine.ownership is not None
                 and not machine.ownership.is_being_handed_over
-                and machine.name not in self.changes
+                and machine.name not in self._changes
             ),
-            key=lambda machine: (
-                machine.ownership is not None and not machine.ownership.is_lent,
-                machine.drain_s,
-                sum(machine.tasks.values()),
-                machine.name,
+            key=lambda row: (
+                not row[1].is_lent,
+                row[0].drain_s,
+                sum(row[0].tasks.values()),
+                row[0].name,
             ),
         )
-        for machine in candidates:
-            assert machine.ownership is not None
-            if wanted <= 0:
-                return
-            partition = machine.ownership.partition
-            if self.held[partition] > self.target[partition]:
-                self._leave(machine)
-                wanted -= 1
--- a/appledock/capacity/history.py
+++ b/appledock/capacity/history.py
@@ -1,4 +1,4 @@
-"""Histories of shares in a compressed file: one JSON line a pool, partition and moment.
+"""Histories of machine partitions in a compressed file: one JSON line a pool, partition and moment.
 
 Controllers keep none; the operators' side collects them. Needs requirements-console.txt.
 """
@@ -23,12 +23,12 @@
 
 
 class HistoryRow(Struct, frozen=True):
-    """What a partition had of a pool at one moment."""
+    """What a partition owned of a pool at one moment; the fields' names are those of the file."""
 
     at: float
     """time of day, s"""
     version: int
-    """of the shares agreed"""
+    """of the agreed fractions"""
     pool: str
     partition: str
     target: int
--- a/appledock/capacity/lending.py
+++ b/appledock/capacity/lending.py
@@ -1,51 +1,57 @@
-"""Lending: machines that a partition does not need go to those that need more, for a while."""
+"""Loans: surplus machines of one partition are used by others that need more, for a while."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 
-def lend_surplus(target: dict[str, int], need: dict[str, int], lenders: set[str]) -> dict[str, int]:
-    """The numbers of machines with loans in them.
+def lend_surplus(
+    agreed: dict[str, int], needed: dict[str, int], lenders: set[str]
+) -> dict[str, int]:
+    """Partition -> machines that it shall own, loans included.
 
-    `need`: machines that each partition could use now. Whoever needs its own machines has them:
-    loans are made anew each time from what is spare, so a lender in need comes before any loan.
-    A lender keeps at least one machine, so that its next job starts at once.
+    `agreed`: machines by the agreed fractions; `needed`: machines that it could use now. Loans are
+    made anew each time from what is surplus, so a lender in need comes before any loan. A lender
+    keeps at least one machine, so that its next job starts at once.
     """
-    result = dict(target)
-    spare = {
-        name: max(0, target[name] - max(1, need.get(name, 0))) for name in target if name in lenders
+    result = dict(agreed)
+    surplus = {
+        name: max(0, agreed[name] - max(1, needed.get(name, 0)))
+        for name in agreed
+        if name in lenders
     }
-    lacks = {name: max(0, need.get(name, 0) - target[name]) for name in target}
-    while any(spare.values()) and any(lacks.values()):
-        borrower = max(sorted(lacks), key=lacks.__getitem__)
-        lender = max(sorted(spare), key=spare.__getitem__)
+    missing = {name: max(0, needed.get(name, 0) - agreed[name]) for name in agreed}
+    while any(surplus.values()) and any(missing.values()):
+        borrower = max(sorted(missing), key=missing.__getitem__)
+        lender = max(sorted(surplus), key=surplus.__getitem__)
         result[lender] -= 1
         result[borrower] += 1
-        spare[lender] -= 1
-        lacks[borrower] -= 1
+        surplus[lender] -= 1
+        missing[borrower] -= 1
     return result
 
 
 @dataclass
 class Lenders:
-    """Who may lend: only what was spare for a while.
+    """Which partitions may lend: those with surplus machines for long enough.
 
-    Guards against machines that change hands with every short pause of a busy partition.
+    Otherwise machines would change owner with every short pause of a busy partition.
     """
 
     after_s: float
-    spare_since: dict[str, float] = field(default_factory=dict)
-
-    def ready(self, now: float, target: dict[str, int], need: dict[str, int]) -> set[str]:
-        """Partitions whose spare machines have been spare for long enough."""
-        for name, machines in target.items():
-            if need.get(name, 0) >= machines:
-                self.spare_since.pop(name, None)
+    """how long machines must have been surplus"""
+    surplus_since: dict[str, float] = field(default_factory=dict)
+    """partition -> since when it has surplus machines"""
+
+    def update(self, now: float, agreed: dict[str, int], needed: dict[str, int]) -> set[str]:
+        """Take in the present numbers, and return the partitions that may lend."""
+        for name, machines in agreed.items():
+            if needed.get(name, 0) >= machines:
+                self.surplus_since.pop(name, None)
             else:
-                self.spare_since.setdefault(name, now)
+                self.surplus_since.setdefault(name, now)
         return {
             name
-            for name, since in self.spare_since.items()
-            if name in target and now - since >= self.after_s
+            for name, since in self.surplus_since.items()
+            if name in agreed and now - since >= self.after_s
         }
--- a/appledock/capacity/settings.py
+++ b/appledock/capacity/settings.py
@@ -1,4 +1,4 @@
-"""The file that enables capacity shares: read, checked, and published as a JSON schema."""
+"""The file that enables partitions of machines: read, checked, published as a JSON schema."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 Seconds = Annotated[float, Meta(gt=0, le=86_400)]
 Name = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9_.-]+$")]
 MachineFractions = dict[str, dict[str, float]]
-"""partition -> pool -> its share"""
+"""partition -> pool -> fraction of the pool's machines"""
 
 REST = "rest"
 """name of the partition of all that is in no other one"""
@@ -28,6 +28,9 @@
     """The file or a change cannot be used; the text says why in one line."""
 
 
+# The class docstrings below are descriptions in the published JSON schema: part of the file format.
+
+
 class Pool(Struct, frozen=True, forbid_unknown_fields=True):
     """Machines that are divided; a machine is in the first pool that it fits."""
 
@@ -36,8 +39,8 @@
     types: list[str] = []
     spot: bool | None = None
 
-    def has(self, machine_type: str, zone: str, spot: bool) -> bool:
-        """Is a machine of this kind in the pool?"""
+    def matches(self, machine_type: str, zone: str, spot: bool) -> bool:
+        """Does the pool take machines of this type, zone and price model?"""
         return (
             (not self.zones or zone in self.zones)
             and (not self.types or machine_type in self.types)
@@ -52,9 +55,9 @@
     teams: list[str] = []
     classes: list[str] = []
     controller: str | None = None
-    """owns the partition's jobs while it is there"""
+    """preferred owner of the partition's jobs"""
     floor: Fraction = 0.0
-    """no change may leave it a smaller share of any pool"""
+    """least fraction of any pool that a change may leave it"""
     fractions: dict[str, Fraction] = msgspec.field(name="shares", default_factory=dict)
     """pool -> fraction of its machines"""
 
@@ -65,15 +68,15 @@
     pools: Annotated[list[Pool], Meta(min_length=1, max_length=16)]
     partitions: Annotated[list[Partition], Meta(min_length=1, max_length=16)]
     assign_every_s: Seconds = 1.0
-    """pause between two passes over who holds which machine"""
+    """interval between two passes over the owners of machines"""
     lend: bool = False
-    """may machines that a partition does not need be used by others meanwhile?"""
+    """may surplus machines be lent to other partitions?"""
     lend_after_s: Seconds = 15.0
-    """time for which a machine must have been spare before it is lent"""
+    """time for which machines must have been surplus before they are lent"""
     give_back_s: Seconds = 30.0
-    """time after which tasks that save are stopped on machines that their lender needs"""
+    """time after which tasks with checkpoints are stopped on machines that their lender needs"""
     moves_in_flight: Annotated[int, Meta(ge=0, le=1000)] = 2
-    """replicas that are moved off machines to be handed over, at a time"""
+    """most moves of replicas off machines being handed over, at a time"""
 
     def partition_of(self, spec: wire.JobSpec) -> str | None:
         """The partition of a job: by its class, by its team, or `rest`; None without one."""
@@ -88,7 +91,7 @@
     def pool_of(self, machine_type: str, zone: str, spot: bool) -> str | None:
         """The pool of a machine of this kind."""
         for pool in self.pools:
-            if pool.has(machine_type, zone, spot):
+            if pool.matches(machine_type, zone, spot):
                 return pool.name
         return None
 
@@ -97,7 +100,7 @@
         return next(row for row in self.partitions if row.name == name)
 
     def configured_fractions(self) -> MachineFractions:
-        """The shares that hold until they are changed."""
+        """The fractions that are agreed until operators change them."""
         return {row.name: dict(row.fractions) for row in self.partitions}
 
 
@@ -163,29 +166,29 @@
             raise CapacityError(f"{kind} {name!r} is named {names.count(name)} times")
 
 
-def check_fractions(capacity: Capacity, shares: MachineFractions) -> None:
-    """Check shares, of the file or of a change, or raise CapacityError with the field."""
+def check_fractions(capacity: Capacity, fractions: MachineFractions) -> None:
+    """Check fractions, of the file or of a change; raises CapacityError, naming the field."""
     pools = {pool.name for pool in capacity.pools}
     partitions = {partition.name: partition for partition in capacity.partitions}
-    for name, by_pool in shares.items():
+    for name, by_pool in fractions.items():
         _known("$.shares", "partition", [name], partitions)
         _known(f"$.shares.{name}", "pool", by_pool, pools)
-        for pool, share in by_pool.items():
+        for pool, fraction in by_pool.items():
             where = f"$.shares.{name}.{pool}"
-            if isinstance(share, bool) or not isinstance(share, int | float):
+            if isinstance(fraction, bool) or not isinstance(fraction, int | float):
                 raise CapacityError(f"a number is needed - at `{where}`")
-            if not 0 <= share <= 1:
+            if not 0 <= fraction <= 1:
                 raise CapacityError(f"allowed are 0 to 1 - at `{where}`")
     for pool in sorted(pools):
-        _check_pool(pool, partitions, shares)
+        _check_pool(pool, partitions, fractions)
 
 
-def _check_pool(pool: str, partitions: dict[str, Partition], shares: MachineFractions) -> None:
-    total = math.fsum(shares.get(name, {}).get(pool, 0.0) for name in partitions)
+def _check_pool(pool: str, partitions: dict[str, Partition], fractions: MachineFractions) -> None:
+    total = math.fsum(fractions.get(name, {}).get(pool, 0.0) for name in partitions)
     if abs(total - 1) > 1e-6:
         raise CapacityError(f"the shares of pool {pool!r} add up to {total:g}, not to 1")
     for name, partition in partitions.items():
-        share = shares.get(name, {}).get(pool, 0.0)
-        if share < partition.floor - 1e-9:
-            text = f"{share:g} is below its floor of {partition.floor:g}"
+        fraction = fractions.get(name, {}).get(pool, 0.0)
+        if fraction < partition.floor - 1e-9:
+            text = f"{fraction:g} is below its floor of {partition.floor:g}"
             raise CapacityError(f"{text} - at `$.shares.{name}.{pool}`")
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -160,7 +160,7 @@
             return agreed
         needed = self._needed_machines(pool, uses)
         lenders = self._lenders.setdefault(pool.name, Lenders(settings.lend_after_s))
-        return lend_surplus(agreed, needed, lenders.ready(self._runtime.now, agreed, needed))
+        return lend_surplus(agreed, needed, lenders.update(self._runtime.now, agreed, needed))
 
     def _needed_machines(self, pool: Pool, uses: list[MachineUse]) -> dict[str, int]:
         """Partition -> machines that it could use: those in use, and some for its queue."""
@@ -247,8 +247,8 @@
 
 def _count_slots(spec: wire.JobSpec, machine_type: wire.MachineType) -> int:
     """How many tasks of the job an empty machine takes."""
-    share = task_share(spec, machine_type)
-    return int((1 + constants.EPSILON) / share) if share > 0 else 1
+    fraction = task_share(spec, machine_type)
+    return int((1 + constants.EPSILON) / fraction) if fraction > 0 else 1
 
 
 def _may_use(spec: wire.JobSpec, pool: Pool) -> bool:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -186,11 +186,11 @@
 def test_only_what_was_spare_for_a_while_is_lent() -> None:
     lenders = Lenders(15.0)
     target = {"a": 4, "b": 4}
-    assert lenders.ready(0.0, target, {"a": 1, "b": 9}) == set()
-    assert lenders.ready(10.0, target, {"a": 4, "b": 9}) == set()
-    assert lenders.ready(14.0, target, {"a": 1, "b": 9}) == set(), "busy again meanwhile"
-    assert lenders.ready(28.0, target, {"a": 1, "b": 9}) == set()
-    assert lenders.ready(30.0, target, {"a": 1, "b": 9}) == {"a"}
+    assert lenders.update(0.0, target, {"a": 1, "b": 9}) == set()
+    assert lenders.update(10.0, target, {"a": 4, "b": 9}) == set()
+    assert lenders.update(14.0, target, {"a": 1, "b": 9}) == set(), "busy again meanwhile"
+    assert lenders.update(28.0, target, {"a": 1, "b": 9}) == set()
+    assert lenders.update(30.0, target, {"a": 1, "b": 9}) == {"a"}
 
 
 # --- drawn histories ---------------------------------------------------------
