--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -352,7 +352,9 @@
     world = World(10)
     poll = UserRequests.poll
     monkeypatch.setattr(
-        UserRequests, "poll", lambda self, cmd: poll(self, cmd) if cmd.job != "job-000002" else None
+        UserRequests,
+        "poll",
+        lambda self, cmd: poll(self, cmd) if cmd.job_id != "job-000002" else None,
     )
     for number in (1, 2, 3):
         world.clock.at(1.0, lambda n=number: world.submit(small(world, n, True), None))
