--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -120,7 +120,7 @@
             f"move/{x.order.job}/{x.order.task}": MoveRow(
                 x.order.source, x.order.destination, "under way"
             )
-            for x in self.engine.moves.planned.values()
+            for x in self.engine.moves.requested.values()
         }
 
     def _workers(self) -> dict[str, Row]:
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -124,7 +124,7 @@
                 if not holding.leaving:
                     continue
                 for proposal in self._proposals(machine):
-                    if len(engine.moves.planned) >= most:
+                    if len(engine.moves.requested) >= most:
                         return
                     engine.moves.request(proposal)
 
@@ -140,8 +140,8 @@
                 or not self.shares.moves_off(job.spec, machine)
                 or engine.replica.is_cancelled(job_id)
                 or job.queued_task_count
-                or engine.moves.rests(job_id)
-                or not engine.moves.hears(engine.replica.job_owner(job))
+                or engine.moves.is_cooling_down(job_id)
+                or not engine.moves.is_reachable(engine.replica.job_owner(job))
             ):
                 continue
             attempt = next((x for x in attempts if not x.stopping and x.tasks), None)
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -25,7 +25,7 @@
     Transaction,
     UnknownOutcome,
 )
-from appledock.rebalancing.picture import task_share
+from appledock.rebalancing.snapshot import task_share
 
 if TYPE_CHECKING:
     from appledock.core.capacity.partitions import CapacityShares
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -167,7 +167,7 @@
                 node not in (None, engine.settings.name)
                 and engine.replica.owns_job(engine.settings.name, job)
                 and not engine.replica.is_cancelled(job.id)
-                and not engine.moves.rests(job.id)
+                and not engine.moves.is_cooling_down(job.id)
                 and engine.job_writer.can_write(job)
             ):
                 assert node is not None
--- a/appledock/core/machines/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -21,7 +21,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
 from appledock.core.workers import Worker, Workers
-from appledock.rebalancing.picture import Load, task_share
+from appledock.rebalancing.snapshot import Load, task_share
 
 
 class StepReservation(NamedTuple):
--- a/appledock/core/machines/machine_capacity.py
+++ b/appledock/core/machines/machine_capacity.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from appledock import constants, wire
-from appledock.rebalancing.picture import Load, task_share
+from appledock.rebalancing.snapshot import Load, task_share
 
 UNLIMITED_SLOTS = 100_000
 """slots counted where a task requests next to nothing"""
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -11,10 +11,10 @@
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.records.job import Job
 from appledock.rebalancing.locality import DataSets, Place, situation
-from appledock.rebalancing.picture import Load, MachineLoad, RunningTask, means
 from appledock.rebalancing.planner import Plan, Planner, Proposal
 from appledock.rebalancing.scoring import Scorer, Scoring
 from appledock.rebalancing.settings import DataSet, Rebalancing
+from appledock.rebalancing.snapshot import Load, MachineLoad, RunningTask, means
 from appledock.rebalancing.speeds import Speeds
 
 if TYPE_CHECKING:
@@ -52,9 +52,9 @@
         """What decides among the machines of a sample; None: as without rebalancing."""
         return self.scoring.scorer(spec) if self.enabled else None
 
-    def movable(self, spec: wire.JobSpec) -> bool:
+    def is_movable(self, spec: wire.JobSpec) -> bool:
         """May tasks of the job be stopped for balance?"""
-        return self.planner.movable(spec)
+        return self.planner.is_movable(spec)
 
     def completed(self, machine: str, job: Job, seconds: float) -> None:
         """A report shows that a task of the job completed after so long."""
@@ -218,7 +218,7 @@
     def _left(self) -> int:
         """How many more moves of ours may be under way."""
         assert self.settings is not None
-        return max(0, self.settings.moves.in_flight - len(self.engine.moves.planned))
+        return max(0, self.settings.moves.in_flight - len(self.engine.moves.requested))
 
     def _next_reviewed(self, machines: list[MachineLoad]) -> list[MachineLoad]:
         """A part of our machines, the next one each time, for tasks far from their data."""
@@ -238,11 +238,11 @@
         for job_id, attempts in engine.replica.attempts_by_machine.get(machine.name, {}).items():
             job = engine.replica.jobs[job_id]
             free = (
-                self.planner.movable(job.spec)
+                self.planner.is_movable(job.spec)
                 and job.queued_task_count == 0
                 and not engine.replica.is_cancelled(job_id)
-                and not engine.moves.rests(job_id)
-                and engine.moves.hears(engine.replica.job_owner(job))
+                and not engine.moves.is_cooling_down(job_id)
+                and engine.moves.is_reachable(engine.replica.job_owner(job))
             )
             for attempt in attempts:
                 if attempt.stopping or attempt.agent_epoch != worker.agent_epoch:
@@ -290,7 +290,7 @@
                     "to": x.order.destination,
                     "for_s": round(self.engine.now - x.since, 1),
                 }
-                for x in moves.planned.values()
+                for x in moves.requested.values()
             ],
             "ended": [
                 {
--- a/appledock/core/scheduling/moves.py
+++ b/appledock/core/scheduling/moves.py
@@ -84,7 +84,7 @@
 
     def __init__(self, engine: Controller) -> None:
         self.engine = engine
-        self.planned: dict[int, UnderWay] = {}
+        self.requested: dict[int, UnderWay] = {}
         """ours as planner"""
         self.holds: dict[str, UnderWay] = {}
         """job -> move to a machine of ours, which keeps room for it"""
@@ -111,7 +111,7 @@
         settings = self.engine.rebalancer.settings
         return settings.moves if settings is not None else DEFAULT_RULES
 
-    def hears(self, node: str) -> bool:
+    def is_reachable(self, node: str) -> bool:
         """Would the controller hear of a move, and would we hear what came of it?"""
         return node == self.engine.settings.name or self.engine.heartbeats.is_reachable(node)
 
@@ -131,7 +131,7 @@
             proposal.destination,
             round(proposal.destination_load, 6),
         )
-        self.planned[order.number] = self._under_way(order)
+        self.requested[order.number] = self._under_way(order)
         log.info(
             "move %s/%d from %s to %s: gain %.2f",
             order.job,
@@ -235,7 +235,7 @@
         if not self.enabled:
             return Outcome.OFF
         drains = engine.partitions.moves_off(job.spec, order.source)
-        if not drains and not engine.rebalancer.movable(job.spec):
+        if not drains and not engine.rebalancer.is_movable(job.spec):
             return Outcome.NOT_ALLOWED
         if order.job in self.active or not engine.job_writer.can_write(job):
             return Outcome.BUSY
@@ -295,13 +295,13 @@
         """Is room kept for a task of this job of ours?"""
         return job_id in self.active
 
-    def rests(self, job_id: str) -> bool:
+    def is_cooling_down(self, job_id: str) -> bool:
         """Is the job moving, or was it moved lately, as far as we know?"""
         return (
             job_id in self.active
             or job_id in self.holds
             or self.engine.now < self.cooling.get(job_id, c.LONG_AGO)
-            or any(under_way.order.job == job_id for under_way in self.planned.values())
+            or any(under_way.order.job == job_id for under_way in self.requested.values())
         )
 
     def place_held(self, job: Job, rest: Job, zones: dict[str, int] | None) -> list[PlacedTasks]:
@@ -351,9 +351,9 @@
             del self.holds[order.job]
             self._release(order)
         if order.planner == self.engine.settings.name:
-            planned = self.planned.get(order.number)
+            planned = self.requested.get(order.number)
             if planned is not None and planned.order == order:
-                del self.planned[order.number]
+                del self.requested[order.number]
                 self._rest(order, outcome)
                 self._note(order, outcome)
 
@@ -410,9 +410,9 @@
             if now >= under_way.until or self._arrived(under_way.order):
                 del self.holds[under_way.order.job]
                 self._release(under_way.order)
-        for under_way in list(self.planned.values()):
+        for under_way in list(self.requested.values()):
             if now >= under_way.until + c.MOVE_LOOK_EVERY_S:
-                del self.planned[under_way.order.number]
+                del self.requested[under_way.order.number]
                 self._rest(under_way.order, Outcome.NO_ANSWER)
                 self._note(under_way.order, Outcome.NO_ANSWER)
         self.cooling = {job: until for job, until in self.cooling.items() if until > now}
@@ -446,10 +446,10 @@
 
     def on_view(self) -> None:
         """A new view drops the plans of the old: owners may have changed."""
-        for under_way in list(self.planned.values()):
+        for under_way in list(self.requested.values()):
             self._note(under_way.order, Outcome.NEW_VIEW)
         orders = [x.order for part in (self.active, self.holds) for x in part.values()]
-        self.planned.clear()
+        self.requested.clear()
         self.active.clear()
         self.holds.clear()
         for order in orders:
--- a/appledock/rebalancing/planner.py
+++ b/appledock/rebalancing/planner.py
@@ -11,10 +11,10 @@
 from appledock import constants as c
 from appledock import wire
 from appledock.rebalancing.locality import DataSets
-from appledock.rebalancing.picture import MachineLoad, Means, RunningTask, task_share
 from appledock.rebalancing.potential import gain
 from appledock.rebalancing.scoring import over_bound
 from appledock.rebalancing.settings import ClassWeights, Rebalancing
+from appledock.rebalancing.snapshot import MachineLoad, Means, RunningTask, task_share
 
 
 class Obstacle(enum.Enum):
@@ -75,7 +75,7 @@
         self.rng = rng
         self.weights = {row.name: row for row in rebalancing.classes}
 
-    def movable(self, spec: wire.JobSpec) -> bool:
+    def is_movable(self, spec: wire.JobSpec) -> bool:
         """May tasks of the job be stopped for balance?
 
         Replicas, and tasks that save their progress; never what would lose its work, nor
--- a/appledock/rebalancing/potential.py
+++ b/appledock/rebalancing/potential.py
@@ -18,8 +18,8 @@
 
 from appledock import wire
 from appledock.rebalancing.locality import DataSets
-from appledock.rebalancing.picture import Load, MachineLoad, task_share
 from appledock.rebalancing.settings import ClassWeights
+from appledock.rebalancing.snapshot import Load, MachineLoad, task_share
 
 
 @dataclass(frozen=True, slots=True)
--- a/appledock/rebalancing/scoring.py
+++ b/appledock/rebalancing/scoring.py
@@ -10,8 +10,8 @@
 from appledock.core.machines.machine_capacity import MachineCapacity, fragmentation, image_fetch_s
 from appledock.core.scheduling.placement import spot_mismatch
 from appledock.rebalancing.locality import DataSets
-from appledock.rebalancing.picture import Means, task_share
 from appledock.rebalancing.settings import ClassWeights, Rebalancing
+from appledock.rebalancing.snapshot import Means, task_share
 
 
 def over_bound(load: float, share: float, mean: float, bound: float) -> bool:
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -323,7 +323,7 @@
     eager = {"in_flight": 12, "cooldown_s": 0.1, "every_s": 0.5}
     assert fewest_up(rules(moves=eager)) == 1
     monkeypatch.setattr(Moves, "_refused_by_replicas", lambda self, job: None)
-    monkeypatch.setattr(Moves, "rests", lambda self, job_id: False)
+    monkeypatch.setattr(Moves, "is_cooling_down", lambda self, job_id: False)
     assert fewest_up(rules(moves=eager)) == 0
 
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -21,7 +21,6 @@
 from appledock.core.machines.machine_capacity import MachineCapacity
 from appledock.core.scheduling.placement import Sampling, place
 from appledock.rebalancing.locality import DataSets
-from appledock.rebalancing.picture import Load, MachineLoad, Means, RunningTask, means
 from appledock.rebalancing.planner import Obstacle, Plan, Planner
 from appledock.rebalancing.potential import potential
 from appledock.rebalancing.scoring import Scoring
@@ -34,6 +33,7 @@
     parse,
     schema,
 )
+from appledock.rebalancing.snapshot import Load, MachineLoad, Means, RunningTask, means
 from appledock.rebalancing.speeds import Speeds
 from tests.standins.deployment import settings as deployed
 from tests.standins.deployment import settings_file
@@ -209,7 +209,7 @@
         )
         row.images = frozenset({"img-0"})
         row.tasks = [
-            RunningTask(one, n, 1, 0.0, self.planner.movable(one))
+            RunningTask(one, n, 1, 0.0, self.planner.is_movable(one))
             for n, (where, one) in enumerate(placed)
             if where == number
         ]
