--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -49,7 +49,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
 from appledock.core.scheduling.lost_launches import LostLaunchDetector
-from appledock.core.scheduling.moves import Moves
+from appledock.core.scheduling.moves import MovePolicy, Moves
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.pacing import Pacing
 from appledock.core.scheduling.placement_pass import PlacementPass
@@ -142,7 +142,6 @@
         )
         self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
-        self.moves = Moves(self)
         self.quota_usage = QuotaUsage(self.runtime, self.replica)
         self.queue_order = QueueOrder(self.runtime, self.replica, self.quota_usage, self.objectives)
         self.quota_allocation = QuotaAllocation(
@@ -174,7 +173,7 @@
             fencing_conditions=self.membership.fencing_conditions,
             partition_conditions=self.partitions.conditions,
             is_step_rate_limited=lambda: self.pacing.is_step_rate_limited(),  # noqa: PLW0108 -- built later
-            commit_listeners=(self._release_claims, self.moves.placed),
+            commit_listeners=(self._release_claims, self._on_step_committed),
         )
         self.stop_requests = StopRequests(
             self.runtime, self.replica, self.job_writer, self.reconcile_queue
@@ -199,6 +198,22 @@
             self.reconcile_queue,
             self.heartbeats.is_any_peer_under_pressure,
         )
+        self.moves = Moves(
+            runtime=self.runtime,
+            replica=self.replica,
+            membership=self.membership,
+            heartbeats=self.heartbeats,
+            workers=self.workers,
+            zones=self.machine_zones,
+            capacity_index=self.capacity_index,
+            reconcile_queue=self.reconcile_queue,
+            writer=self.job_writer,
+            stop_requests=self.stop_requests,
+            pacing=self.pacing,
+            preemption=self.preemption,
+            policy=self._build_move_policy(rebalancing),
+            count_running=lambda job: self.job_states.count_running(job),  # noqa: PLW0108 -- built later
+        )
         self.step_writer = StepWriter(
             self.replica,
             self.codec,
@@ -314,6 +329,16 @@
             operator_settings=self.operator_settings,
         )
 
+    def _build_move_policy(self, rebalancing: Rebalancing | None) -> MovePolicy:
+        """Moves spread load, and drain machines that change their capacity partition."""
+        return MovePolicy(
+            settings=(rebalancing or Rebalancing()).moves,
+            is_enabled=lambda: self.rebalancer.enabled or self.partitions.enabled,
+            is_movable=self.rebalancer.is_movable,
+            must_leave=self.partitions.moves_off,
+            is_draining=self.partitions.leaving,
+        )
+
     def _build_user_requests(self) -> UserRequests:
         """Requests of users, one part for each kind."""
         requests = OpenRequests(self.runtime, self.reader)
@@ -375,6 +400,9 @@
     def _release_claims(self, job_id: str, reservations: list[StepReservation]) -> None:
         self.preemption.release_claims(job_id, reservations)
 
+    def _on_step_committed(self, job_id: str, reservations: list[StepReservation]) -> None:
+        self.moves.on_step_committed(job_id, reservations)
+
     def _local_status(self) -> LocalStatus:
         return LocalStatus(
             reporting_fraction=self.workers.reporting_fraction(),
@@ -433,7 +461,3 @@
     def call(self, make: Callable[[int], ev.Effect], done: Callable[[Any], None]) -> None:
         """Emit a call whose answer goes to `done`."""
         self.runtime.call(make, done)
-
-    def running(self, job: Job) -> int:
-        """Tasks that reports show as running, for display."""
-        return self.job_states.count_running(job)
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -261,7 +261,7 @@
     def _carry_out(self, plan: Plan) -> None:
         for proposal in plan.proposals:
             if self.engine.operator_settings["moves_dry_run"]:
-                self.engine.moves.outcomes["dry run"] += 1
+                self.engine.moves.count_dry_run()
                 log.info("dry run: %s", proposal)
             else:
                 self.engine.moves.request(proposal)
@@ -288,7 +288,7 @@
                     "task": x.order.task,
                     "from": x.order.source,
                     "to": x.order.destination,
-                    "for_s": round(self.engine.now - x.since, 1),
+                    "for_s": round(self.engine.now - x.started_at, 1),
                 }
                 for x in moves.requested.values()
             ],
@@ -298,7 +298,7 @@
                     "task": x.order.task,
                     "from": x.order.source,
                     "to": x.order.destination,
-                    "at": round(x.at, 1),
+                    "at": round(x.ended_wall, 1),
                     "outcome": x.outcome,
                 }
                 for x in moves.ended
--- /dev/null
+++ b/appledock/core/scheduling/moves/destination_owner.py
@@ -0,0 +1,105 @@
+"""The destination's owner in a move: reserves the capacity, if it is there."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from appledock import constants
+from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.machines.machine_capacity import is_allowed_on
+from appledock.core.messages import MoveEnded, MoveHeld, MoveMessage, MoveOrder
+from appledock.core.runtime import Runtime
+from appledock.core.scheduling.moves.order_check import OrderCheck
+from appledock.core.scheduling.moves.outcome import MoveOutcome
+from appledock.core.scheduling.moves.policy import MovePolicy
+from appledock.core.scheduling.moves.reservations import MoveReservations
+from appledock.core.store.replica import Replica
+from appledock.core.workers import Workers
+
+
+class DestinationOwner:
+    """Answers requests for capacity on this controller's machines."""
+
+    def __init__(  # noqa: PLR0913 -- an order is checked against all that bears on the machine
+        self,
+        *,
+        runtime: Runtime,
+        replica: Replica,
+        workers: Workers,
+        capacity_index: CapacityIndex,
+        policy: MovePolicy,
+        order_check: OrderCheck,
+        reservations: MoveReservations,
+        send: Callable[[str, MoveMessage], None],
+    ) -> None:
+        self._runtime = runtime
+        self._replica = replica
+        self._workers = workers
+        self._capacity_index = capacity_index
+        self._policy = policy
+        self._order_check = order_check
+        self._reservations = reservations
+        self._send = send
+
+    def on_requested(self, order: MoveOrder) -> None:
+        """Reserve the capacity and tell the job's owner; or tell the requester why not."""
+        refusal = self.refusal(order)
+        if refusal is not None:
+            self._send(order.planner, MoveEnded(order, refusal))
+            return
+        job = self._replica.jobs[order.job]
+        self._reservations.hold(order, job.spec)
+        self._send(self._replica.job_owner(job), MoveHeld(order))
+
+    def refusal(self, order: MoveOrder) -> MoveOutcome | None:
+        """Return why the order is refused here; None if its capacity can be reserved."""
+        if not self._policy.is_enabled():
+            return MoveOutcome.OFF
+        refusal = self._order_check.refusal(order)
+        if refusal is not None:
+            return refusal
+        if not self._workers.owns(order.destination):
+            return MoveOutcome.NOT_OURS
+        if order.job in self._reservations.held or self._capacity_index.move_reservations.get(
+            order.destination
+        ):
+            # One move at a time: several planners may choose the same empty machine.
+            return MoveOutcome.BUSY
+        return self._refusal_by_capacity(order)
+
+    def _refusal_by_capacity(self, order: MoveOrder) -> MoveOutcome | None:
+        self._capacity_index.recompute()
+        machine = self._capacity_index.machines.get(order.destination)
+        if machine is None:
+            return MoveOutcome.LOST
+        spec = self._replica.jobs[order.job].spec
+        if not is_allowed_on(spec, machine):
+            return MoveOutcome.NOT_ALLOWED
+        if not machine.fits(spec):
+            return MoveOutcome.NO_ROOM
+        if machine.load is None or machine.load.total > order.load + constants.MOVE_LOAD_SLACK:
+            return MoveOutcome.FULLER
+        return None
+
+    def on_ended(self, order: MoveOrder) -> None:
+        """The job's owner says that the move is over."""
+        if self._reservations.is_held(order):
+            self._drop(order)
+
+    def tick(self) -> None:
+        """Release capacity whose move has expired, or has arrived by the job's record."""
+        for move in list(self._reservations.held.values()):
+            if self._runtime.now >= move.expires_at or self._has_arrived(move.order):
+                self._drop(move.order)
+
+    def _drop(self, order: MoveOrder) -> None:
+        del self._reservations.held[order.job]
+        self._reservations.release(order)
+
+    def _has_arrived(self, order: MoveOrder) -> bool:
+        """Do the records show a later attempt at the destination, or no job any more?"""
+        job = self._replica.jobs.get(order.job)
+        return job is None or any(
+            attempt.machine == order.destination and attempt.attempt_number > order.attempt
+            for attempt in job.attempts
+        )
--- /dev/null
+++ b/appledock/core/scheduling/moves/job_owner.py
@@ -0,0 +1,215 @@
+"""The job's owner in a move: stops the task, and places its next attempt."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from appledock import wire
+from appledock.core.jobs.stop_requests import StopRequests
+from appledock.core.jobs.writer import JobWriter
+from appledock.core.machines.capacity_index import CapacityIndex, StepReservation
+from appledock.core.machines.machine_capacity import is_allowed_on
+from appledock.core.machines.zones import MachineZones
+from appledock.core.messages import MoveEnded, MoveMessage, MoveOrder
+from appledock.core.records.job import Job
+from appledock.core.runtime import Runtime
+from appledock.core.scheduling import placement
+from appledock.core.scheduling.moves.cooldowns import Cooldowns
+from appledock.core.scheduling.moves.order_check import OrderCheck, find_open_attempt
+from appledock.core.scheduling.moves.outcome import MoveOutcome, OngoingMove
+from appledock.core.scheduling.moves.policy import MovePolicy
+from appledock.core.scheduling.moves.reservations import MoveReservations
+from appledock.core.scheduling.pacing import Pacing
+from appledock.core.scheduling.placement import PlacedTasks, Sampling
+from appledock.core.scheduling.preemption import Preemption
+from appledock.core.store.replica import Replica
+from appledock.core.workers import Workers
+
+
+class JobOwner:
+    """Carries out the moves of this controller's jobs."""
+
+    def __init__(  # noqa: PLR0913 -- an order is checked against all that bears on the job
+        self,
+        *,
+        runtime: Runtime,
+        replica: Replica,
+        workers: Workers,
+        zones: MachineZones,
+        capacity_index: CapacityIndex,
+        writer: JobWriter,
+        stop_requests: StopRequests,
+        pacing: Pacing,
+        preemption: Preemption,
+        policy: MovePolicy,
+        order_check: OrderCheck,
+        reservations: MoveReservations,
+        cooldowns: Cooldowns,
+        count_running: Callable[[Job], int],
+        send: Callable[[str, MoveMessage], None],
+    ) -> None:
+        self._runtime = runtime
+        self._replica = replica
+        self._workers = workers
+        self._zones = zones
+        self._capacity_index = capacity_index
+        self._writer = writer
+        self._stop_requests = stop_requests
+        self._pacing = pacing
+        self._preemption = preemption
+        self._policy = policy
+        self._order_check = order_check
+        self._reservations = reservations
+        self._cooldowns = cooldowns
+        self._count_running = count_running
+        self._send = send
+
+    # --- the stop -----------------------------------------------------------
+    def on_held(self, order: MoveOrder) -> None:
+        """The destination's owner has reserved the capacity: stop the task, or end the move."""
+        refusal = self.refusal(order)
+        if refusal is not None:
+            self._end(order, refusal)
+            return
+        self._reservations.activate(order, self._replica.jobs[order.job].spec)
+        self._stop_requests.add(order.job, order.source, {order.task})
+
+    def refusal(self, order: MoveOrder) -> MoveOutcome | None:
+        """Return why the order is refused by what is known now; None if the task may be stopped."""
+        refusal = self._order_check.refusal(order)
+        if refusal is not None:
+            return refusal
+        job = self._replica.jobs[order.job]
+        return (
+            self._refusal_by_policy(job, order)
+            or self._refusal_by_pace(job)
+            or self._refusal_by_task(job, order)
+            or self._refusal_by_replicas(job)
+            or self._refusal_by_capacity(job, order)
+        )
+
+    def _refusal_by_policy(self, job: Job, order: MoveOrder) -> MoveOutcome | None:
+        if not self._replica.owns_job(self._runtime.node, job):
+            return MoveOutcome.NOT_OURS
+        if not self._policy.is_enabled():
+            return MoveOutcome.OFF
+        must_leave = self._policy.must_leave(job.spec, order.source)
+        if not must_leave and not self._policy.is_movable(job.spec):
+            return MoveOutcome.NOT_ALLOWED
+        return None
+
+    def _refusal_by_pace(self, job: Job) -> MoveOutcome | None:
+        if job.id in self._reservations.active or not self._writer.can_write(job):
+            return MoveOutcome.BUSY
+        if self._cooldowns.is_cooling_down(job.id):
+            return MoveOutcome.COOLING
+        if self._pacing.is_step_rate_limited() or self._pacing.is_service_rate_limited():
+            return MoveOutcome.WRITES
+        return None
+
+    def _refusal_by_task(self, job: Job, order: MoveOrder) -> MoveOutcome | None:
+        attempt = find_open_attempt(job, order)
+        if attempt is None or attempt.stopping or job.queued_task_count > 0:
+            return MoveOutcome.CHANGED
+        worker = self._workers.table.get(order.source)
+        if worker is None:
+            return MoveOutcome.NOT_RUNNING
+        reported = worker.tasks.get((f"{job.id}/{order.task}", order.attempt))
+        if reported is None or reported.state != wire.RUNNING:
+            return MoveOutcome.NOT_RUNNING
+        zones = {self._zones.zone_of(name) for name in (order.source, order.destination)}
+        if (job.spec.one_zone or job.spec.spread) and len(zones) != 1:
+            return MoveOutcome.NOT_ALLOWED
+        return None
+
+    def _refusal_by_replicas(self, job: Job) -> MoveOutcome | None:
+        """A service keeps its replicas, less a configured number, running during moves."""
+        least = job.spec.tasks - self._policy.settings.replicas_down
+        if job.spec.service and self._count_running(job) - 1 < least:
+            return MoveOutcome.REPLICAS
+        return None
+
+    def _refusal_by_capacity(self, job: Job, order: MoveOrder) -> MoveOutcome | None:
+        """Does this controller see the capacity too, with its own steps under way?
+
+        Guards against a task that is stopped for capacity which a step of this controller
+        takes meanwhile, on a machine of another controller that it places on as well: its next
+        attempt then preempted others' work.
+        """
+        if self._reservations.is_held(order):
+            return None
+        self._capacity_index.recompute()
+        machine = self._capacity_index.machines.get(order.destination)
+        if machine is None:
+            return MoveOutcome.LOST
+        if not machine.fits(job.spec):
+            return MoveOutcome.NO_ROOM
+        return None if is_allowed_on(job.spec, machine) else MoveOutcome.NOT_ALLOWED
+
+    # --- the next attempt ---------------------------------------------------
+    def place_held(
+        self, job: Job, unsettled: Job, zones: dict[str, int] | None
+    ) -> list[PlacedTasks]:
+        """Place the next attempt of the stopped task on the capacity reserved for it.
+
+        `unsettled` is the job without its settled attempts, `zones` counts its tasks by zone.
+        Empty while the stopped attempt is not settled; also if the capacity is there no more:
+        the move has ended then, and the task is placed as any other.
+        """
+        move = self._reservations.active.get(job.id)
+        if move is None or find_open_attempt(unsettled, move.order) is not None:
+            return []
+        machine = self._capacity_index.machines.get(move.order.destination)
+        if machine is None or not self._preemption.is_available_to(machine.name, job):
+            self._end(move.order, MoveOutcome.LOST)
+            return []
+        machine.release(job.spec, 1)  # what is reserved for this task
+        sampling = Sampling(self._runtime.rng)
+        placed = placement.place(job.spec, 1, [machine], sampling, zones or {})
+        if not placed:
+            machine.reserve(job.spec, 1)
+            self._end(move.order, MoveOutcome.LOST)
+        return placed
+
+    def on_step_committed(self, job_id: str, reservations: list[StepReservation]) -> None:
+        """A step of the job is committed: its move is done if the step used the destination."""
+        move = self._reservations.active.get(job_id)
+        if move is not None and any(
+            reservation.machine == move.order.destination for reservation in reservations
+        ):
+            self._end(move.order, MoveOutcome.DONE)
+
+    # --- the end ------------------------------------------------------------
+    def _end(self, order: MoveOrder, outcome: MoveOutcome) -> None:
+        """End the move, and tell its requester and the destination's owner."""
+        if self._reservations.is_active(order):
+            del self._reservations.active[order.job]
+            self._cooldowns.start(order.job, self._cooldowns.duration_s(order))
+        self._reservations.release(order)
+        destination_owner = self._replica.owner_of(order.destination)
+        for node in {destination_owner, order.planner}:
+            self._send(node, MoveEnded(order, outcome))
+
+    def tick(self) -> None:
+        """End the moves that take too long, or are over by the records."""
+        for move in list(self._reservations.active.values()):
+            outcome = self._outcome_by_records(move)
+            if outcome is not None:
+                self._end(move.order, outcome)
+
+    def _outcome_by_records(self, move: OngoingMove) -> MoveOutcome | None:
+        order = move.order
+        if not self._order_check.is_job_open(order):
+            return MoveOutcome.JOB_OVER
+        job = self._replica.jobs[order.job]
+        if not self._replica.owns_job(self._runtime.node, job):
+            return MoveOutcome.NOT_OURS
+        if self._runtime.now >= move.expires_at:
+            return MoveOutcome.LATE
+        if (
+            find_open_attempt(job, order) is None
+            and job.queued_task_count == 0
+            and self._writer.can_write(job)
+        ):
+            return MoveOutcome.CHANGED  # it completed before the stop reached it
+        return None
--- /dev/null
+++ b/appledock/core/scheduling/moves/reservations.py
@@ -0,0 +1,76 @@
+"""Capacity that this controller has reserved for moves."""
+
+from __future__ import annotations
+
+from appledock import constants, wire
+from appledock.core.jobs.reconcile_queue import ReconcileQueue
+from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.core.messages import MoveOrder
+from appledock.core.runtime import Runtime
+from appledock.core.scheduling.moves.outcome import OngoingMove
+
+
+class MoveReservations:
+    """Moves that capacity is reserved for, by the role of this controller in them.
+
+    In one move this controller may be the destination's owner, the job's owner, or both: the
+    capacity is reserved once, and released when neither role needs it any more.
+    """
+
+    def __init__(
+        self, runtime: Runtime, capacity_index: CapacityIndex, reconcile_queue: ReconcileQueue
+    ) -> None:
+        self._runtime = runtime
+        self._capacity_index = capacity_index
+        self._reconcile_queue = reconcile_queue
+        self.held: dict[str, OngoingMove] = {}
+        """job -> its move to a machine of this controller"""
+        self.active: dict[str, OngoingMove] = {}
+        """job of this controller -> its move"""
+
+    def hold(self, order: MoveOrder, spec: wire.JobSpec) -> None:
+        """Reserve capacity as the destination's owner."""
+        self.held[order.job] = begin_move(order, self._runtime.now)
+        self._capacity_index.reserve_for_move(order.destination, spec)
+
+    def activate(self, order: MoveOrder, spec: wire.JobSpec) -> None:
+        """Reserve capacity as the job's owner."""
+        self.active[order.job] = begin_move(order, self._runtime.now)
+        self._capacity_index.reserve_for_move(order.destination, spec)
+
+    def is_held(self, order: MoveOrder) -> bool:
+        """Is the capacity for exactly this order held here, as the destination's owner?"""
+        held = self.held.get(order.job)
+        return held is not None and held.order == order
+
+    def is_active(self, order: MoveOrder) -> bool:
+        """Is exactly this order carried out here, as the job's owner?"""
+        active = self.active.get(order.job)
+        return active is not None and active.order == order
+
+    def has_any(self, job_id: str) -> bool:
+        """Is capacity reserved here for a move of the job, in either role?"""
+        return job_id in self.active or job_id in self.held
+
+    def release(self, order: MoveOrder) -> None:
+        """Release the capacity unless the other role of this controller still needs it."""
+        is_needed = any(
+            move is not None and move.order.destination == order.destination
+            for move in (self.held.get(order.job), self.active.get(order.job))
+        )
+        if not is_needed:
+            self._capacity_index.release_move(order.destination, order.job)
+            self._reconcile_queue.placement_due = True
+
+    def release_all(self) -> None:
+        """End all moves: the owners of machines and jobs may have changed."""
+        orders = [move.order for moves in (self.active, self.held) for move in moves.values()]
+        self.active.clear()
+        self.held.clear()
+        for order in orders:
+            self.release(order)
+
+
+def begin_move(order: MoveOrder, now: float) -> OngoingMove:
+    """Return a move that begins now, and expires unless it ends before."""
+    return OngoingMove(order, now, now + constants.MOVE_HOLD_S)
--- a/appledock/core/scheduling/placement_pass.py
+++ b/appledock/core/scheduling/placement_pass.py
@@ -22,7 +22,7 @@
 class Moves(Protocol):
     """Moves of running tasks to other machines."""
 
-    def moving(self, job_id: str, /) -> bool:
+    def is_moving(self, job_id: str, /) -> bool:
         """Is capacity kept for a task of this job?"""
 
 
@@ -121,7 +121,7 @@
                 continue
             size = TaskSize.of(job.spec)
             job_class = JobClass.of(job.spec, self._replica.dependencies.inherited_rank(job))
-            if unplaceable.covers(job_class, size) and not self._moves.moving(job.id):
+            if unplaceable.covers(job_class, size) and not self._moves.is_moving(job.id):
                 reasons[job.id] = PendingReason.NO_CAPACITY
                 continue
             decision = self._planner.decide(job, machines, own)
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -492,6 +492,9 @@
             job.completed_tasks.add(task)
         return job
 
+    def moves_under_way(self, controller: Any) -> list[Any]:
+        return [move.order for move in controller.moves.reservations.active.values()]
+
     def hears(self, controller: Any, peer: str) -> bool:
         return bool(controller.heartbeats.is_reachable(peer))
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -15,7 +15,8 @@
 from appledock import constants as c
 from appledock.core.machines.capacity_index import CapacityIndex, StepReservation
 from appledock.core.messages import MoveHeld, MoveOrder, MoveRequested
-from appledock.core.scheduling.moves import Moves, Outcome
+from appledock.core.scheduling.moves import MoveOutcome, Moves
+from appledock.core.scheduling.moves.job_owner import JobOwner
 from appledock.core.scheduling.placement import PlacedTasks
 from appledock.core.store.keys import JOBS
 from appledock.rebalancing.settings import Rebalancing
@@ -230,13 +231,13 @@
     world.nodes[old].code = production()
     world.clock.at(PEACE_S, world.peace)
     world.clock.run(END_S - c.MOVE_HOLD_S - 10.0)
-    unanswered = outcomes(world).get(Outcome.NO_ANSWER, 0)
+    unanswered = outcomes(world).get(MoveOutcome.NO_ANSWER, 0)
     assert unanswered <= 3 * 6, "each of six jobs is asked for at doubling pauses"
     set_options(world, moves_paused=1)
     world.clock.run(END_S)
     assert world.nodes[old].runs is production()
     assert world.judge.broken == [] and missing(world) == []
-    assert outcomes(world)[Outcome.DONE] > 0
+    assert outcomes(world)[MoveOutcome.DONE] > 0
     assert not any(
         node.engine.capacity_index.move_reservations
         for node in world.nodes.values()
@@ -248,7 +249,7 @@
     spread, _ = play(3)
     assert spread.judge.broken == [] and missing(spread) == []
     assert imbalance(spread) <= 1.5
-    done = outcomes(spread)[Outcome.DONE]
+    done = outcomes(spread)[MoveOutcome.DONE]
     assert 9 <= done <= 12, "one move for each machine that joined, hardly more"
     off = crowded(3, None)
     off.clock.run(END_S)
@@ -280,22 +281,22 @@
             if ended.order == struck[0]
         )
 
-    assert outcome() == Outcome.DONE
+    assert outcome() == MoveOutcome.DONE
     monkeypatch.setattr(CapacityIndex, "reserve_for_move", lambda self, machine, spec: None)
-    monkeypatch.setattr(Moves, "place_held", _place_without_hold)
-    assert outcome() != Outcome.DONE
+    monkeypatch.setattr(JobOwner, "place_held", _place_without_hold)
+    assert outcome() != MoveOutcome.DONE
 
 
-def _place_without_hold(self: Moves, job: Any, rest: Any, zones: Any) -> list[Any]:
+def _place_without_hold(self: JobOwner, job: Any, rest: Any, zones: Any) -> list[Any]:
     """As `place_held`, for a room that was not kept."""
-    under_way = self.active.get(job.id)
+    under_way = self._reservations.active.get(job.id)
     if under_way is None or any(
         attempt.attempt_number == under_way.order.attempt for attempt in rest.attempts
     ):
         return []
-    room = self.engine.capacity_index.machines.get(under_way.order.destination)
+    room = self._capacity_index.machines.get(under_way.order.destination)
     if room is None or not room.fits(job.spec):
-        self._end(under_way.order, Outcome.LOST)
+        self._end(under_way.order, MoveOutcome.LOST)
         return []
     room.reserve(job.spec)
     return [PlacedTasks(room, 1)]
@@ -315,14 +316,14 @@
 
     world.clock.at(MOVES_FROM_S, look)
     world.clock.run(90.0)
-    assert outcomes(world)[Outcome.DONE] >= 9
+    assert outcomes(world)[MoveOutcome.DONE] >= 9
     return fewest
 
 
 def test_a_service_keeps_its_replicas_up_less_a_stated_number(monkeypatch: Patch) -> None:
     eager = {"in_flight": 12, "cooldown_s": 0.1, "every_s": 0.5}
     assert fewest_up(rules(moves=eager)) == 1
-    monkeypatch.setattr(Moves, "_refused_by_replicas", lambda self, job: None)
+    monkeypatch.setattr(JobOwner, "_refusal_by_replicas", lambda self, job: None)
     monkeypatch.setattr(Moves, "is_cooling_down", lambda self, job_id: False)
     assert fewest_up(rules(moves=eager)) == 0
 
@@ -330,12 +331,12 @@
 def test_a_new_view_drops_the_plans_of_the_old() -> None:
     world, _ = play(6, job_owner_ends)
     engine = world.nodes["n0"].engine
-    assert all(node.engine.moves.active == {} for node in world.nodes.values())
+    assert all(node.engine.moves.reservations.active == {} for node in world.nodes.values())
     assert all(node.engine.capacity_index.move_reservations == {} for node in world.nodes.values())
     order = MoveOrder("n0", 1, engine.membership.term - 1, "job-000001", 0, 1, "a", "b", 0.0)
     for message in (MoveRequested(order), MoveHeld(order)):
         engine.moves.on_peer(message)
-        assert not engine.moves.active and not engine.moves.holds
+        assert not engine.moves.reservations.active and not engine.moves.reservations.held
 
 
 def test_two_controllers_choose_the_same_destination() -> None:
@@ -356,16 +357,16 @@
                 "n9", number, term, job, task, attempt.attempt_number, source, destination, 0.0
             )
         )
-    assert engine.moves._refused_here(orders[0]) is None
+    assert engine.moves.destination_owner.refusal(orders[0]) is None
     engine.moves.on_peer(MoveRequested(orders[0]))
-    assert engine.moves._refused_here(orders[1]) is Outcome.BUSY
-    engine.moves.holds.clear()
+    assert engine.moves.destination_owner.refusal(orders[1]) is MoveOutcome.BUSY
+    engine.moves.reservations.held.clear()
     engine.capacity_index.release_move(destination, orders[0].job)
-    engine.moves.active.clear()
+    engine.moves.reservations.active.clear()
     stale = MoveOrder(**{**_fields(orders[1]), "term": orders[1].term - 1})
-    assert engine.moves._refused_here(stale) is Outcome.STALE
+    assert engine.moves.destination_owner.refusal(stale) is MoveOutcome.STALE
     fuller = MoveOrder(**{**_fields(orders[1]), "load": -0.5})
-    assert engine.moves._refused_here(fuller) is Outcome.FULLER
+    assert engine.moves.destination_owner.refusal(fuller) is MoveOutcome.FULLER
 
 
 def test_room_that_a_step_of_the_job_s_owner_takes_is_not_moved_to() -> None:
@@ -389,12 +390,12 @@
         destination,
         0.0,
     )
-    assert engine.moves._refused_by_job(order) is None
+    assert engine.moves.job_owner.refusal(order) is None
     others = [StepReservation(destination, record.spec, 4)]
     engine.capacity_index.reserve_step("job-000099", others)
-    assert engine.moves._refused_by_job(order) is Outcome.NO_ROOM
+    assert engine.moves.job_owner.refusal(order) is MoveOutcome.NO_ROOM
     engine.moves.on_peer(MoveHeld(order))
-    assert not engine.moves.active and not engine.stop_requests.pending
+    assert not engine.moves.reservations.active and not engine.stop_requests.pending
 
 
 def _fields(order: MoveOrder) -> dict[str, Any]:
@@ -412,7 +413,7 @@
     assert outcomes(world).keys() == {"dry run"} and imbalance(world) == 4.0
     set_options(world, moves_dry_run=0)
     world.clock.run(110.0)
-    assert outcomes(world)[Outcome.DONE] > 0 and imbalance(world) <= 1.5
+    assert outcomes(world)[MoveOutcome.DONE] > 0 and imbalance(world) <= 1.5
 
 
 def test_nothing_is_stored_for_moves() -> None:
@@ -421,6 +422,6 @@
     kinds = {
         key.removeprefix("ad/").removeprefix("live/").partition("/")[0] for key in world.state.rows
     }
-    assert outcomes(world)[Outcome.DONE] > 0
+    assert outcomes(world)[MoveOutcome.DONE] > 0
     assert kinds <= {"jobs", "teams", "members", "view", "catalogue", "settings", "format", "final"}
     assert any(key.startswith(JOBS) for key in world.state.rows)
