--- a/appledock/core/scheduling/moves/coordinator.py
+++ b/appledock/core/scheduling/moves/coordinator.py
@@ -7,7 +7,7 @@
 from typing import assert_never
 
 from appledock import constants
-from appledock.core.events import PeerSend
+from appledock.core.effects import PeerSend
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.jobs.writer import JobWriter
