--- a/appledock/core/scheduling/moves/coordinator.py
+++ b/appledock/core/scheduling/moves/coordinator.py
@@ -15,7 +15,7 @@
 from appledock.core.machines.zones import MachineZones
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
-from appledock.core.messages import MoveEnded, MoveHeld, MoveMessage, MoveRequested
+from appledock.core.messages import MoveEnded, MoveMessage, MoveRequested, MoveReserved
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.moves.cooldowns import Cooldowns
@@ -153,8 +153,8 @@
         match message:
             case MoveRequested():
                 self.destination_owner.on_requested(message.order)
-            case MoveHeld():
-                self.job_owner.on_held(message.order)
+            case MoveReserved():
+                self.job_owner.on_reserved(message.order)
             case MoveEnded():
                 self.destination_owner.on_ended(message.order)
                 self.requester.on_ended(message.order, message.outcome)
--- a/appledock/core/scheduling/moves/destination_owner.py
+++ b/appledock/core/scheduling/moves/destination_owner.py
@@ -7,7 +7,7 @@
 from appledock import constants
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.machines.machine_capacity import is_allowed_on
-from appledock.core.messages import MoveEnded, MoveHeld, MoveMessage, MoveOrder
+from appledock.core.messages import MoveEnded, MoveMessage, MoveOrder, MoveReserved
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.moves.order_check import OrderCheck
 from appledock.core.scheduling.moves.outcome import MoveOutcome
@@ -49,7 +49,7 @@
             return
         job = self._replica.jobs[order.job]
         self._reservations.hold(order, job.spec)
-        self._send(self._replica.job_owner(job), MoveHeld(order))
+        self._send(self._replica.job_owner(job), MoveReserved(order))
 
     def refusal(self, order: MoveOrder) -> MoveOutcome | None:
         """Return why the order is refused here; None if its capacity can be reserved."""
--- a/appledock/core/scheduling/moves/job_owner.py
+++ b/appledock/core/scheduling/moves/job_owner.py
@@ -65,7 +65,7 @@
         self._send = send
 
     # --- the stop -----------------------------------------------------------
-    def on_held(self, order: MoveOrder) -> None:
+    def on_reserved(self, order: MoveOrder) -> None:
         """The destination's owner has reserved the capacity: stop the task, or end the move."""
         refusal = self.refusal(order)
         if refusal is not None:
--- a/tests/unit/scheduling/test_moves.py
+++ b/tests/unit/scheduling/test_moves.py
@@ -8,7 +8,7 @@
 
 from appledock import constants
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
-from appledock.core.messages import MoveEnded, MoveHeld, MoveMessage, MoveOrder, MoveRequested
+from appledock.core.messages import MoveEnded, MoveMessage, MoveOrder, MoveRequested, MoveReserved
 from appledock.core.records.job import Attempt, Job
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.moves import MoveOutcome, MovePolicy
@@ -218,7 +218,7 @@
     parts.running = 1
     assert owner.refusal(order()) is MoveOutcome.REPLICAS
     parts.running = 2
-    owner.on_held(order())
+    owner.on_reserved(order())
     assert parts.stopped == [("job-1", "vm-1", {0})] and parts.sent == []
     assert owner.refusal(order()) is MoveOutcome.BUSY
     assert owner.place_held(parts.job, parts.job, {}) == []  # the stopped attempt is unsettled
@@ -235,8 +235,8 @@
 def test_a_refused_order_ends_at_its_requester_and_the_destination_s_owner() -> None:
     parts = Parts()
     owner = parts.job_owner()
-    owner.on_held(order())
+    owner.on_reserved(order())
     assert sorted(node for node, _ in parts.sent) == ["n0", "n1"]
     assert all(message == MoveEnded(order(), MoveOutcome.OFF) for _, message in parts.sent)
-    assert MoveHeld(order()) not in [message for _, message in parts.sent]
+    assert MoveReserved(order()) not in [message for _, message in parts.sent]
     assert not parts.cooldowns.is_cooling_down("job-1")
