--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -141,7 +141,6 @@
             admission_of=lambda worker: self.partitions.gate(worker),  # noqa: PLW0108 -- built later
             is_load_tracked=lambda: self.rebalancer.enabled or self.partitions.enabled,
         )
-        self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = CapacityShares(self, capacity)
         self.quota_usage = QuotaUsage(self.runtime, self.replica)
         self.queue_order = QueueOrder(self.runtime, self.replica, self.quota_usage, self.objectives)
@@ -215,6 +214,17 @@
             policy=self._build_move_policy(rebalancing),
             count_running=lambda job: self.job_states.count_running(job),  # noqa: PLW0108 -- built later
         )
+        self.rebalancer = Rebalancer(
+            rebalancing,
+            runtime=self.runtime,
+            replica=self.replica,
+            membership=self.membership,
+            workers=self.workers,
+            capacity_index=self.capacity_index,
+            machine_types=self.machine_types,
+            operator_settings=self.operator_settings,
+            moves=self.moves,
+        )
         self.step_writer = StepWriter(
             self.replica,
             self.codec,
@@ -335,7 +345,7 @@
         return MovePolicy(
             settings=(rebalancing or Rebalancing()).moves,
             is_enabled=lambda: self.rebalancer.enabled or self.partitions.enabled,
-            is_movable=self.rebalancer.is_movable,
+            is_movable=lambda spec: self.rebalancer.is_movable(spec),  # noqa: PLW0108 -- built later
             must_leave=self.partitions.moves_off,
             is_draining=self.partitions.leaving,
         )
--- /dev/null
+++ b/appledock/core/rebalancing/data_availability.py
@@ -0,0 +1,63 @@
+"""Availability of the machines that hold data sets, for the log and the API."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Mapping
+
+from appledock import wire
+from appledock.core.machines.capacity_index import CapacityIndex
+from appledock.rebalancing.locality import Place, situation
+from appledock.rebalancing.settings import DataSet
+
+log = logging.getLogger(__name__)
+
+
+class DataAvailability:
+    """Tells which grade of locality can be had for each data set."""
+
+    def __init__(
+        self,
+        datasets: list[DataSet],
+        capacity_index: CapacityIndex,
+        machine_types: Mapping[str, wire.MachineType],
+    ) -> None:
+        self._datasets = datasets
+        self._capacity_index = capacity_index
+        self._machine_types = machine_types
+        self.by_dataset: dict[str, str] = {}
+        """data set -> its availability in words"""
+        self._unknown_types: set[str] = set()
+
+    def check(self) -> None:
+        """Log where the machines that hold data vanished, filled up or came back."""
+        if not self._datasets:
+            return
+        places = [
+            Place(
+                machine.name,
+                machine.type.name,
+                machine.zone,
+                name not in self._capacity_index.with_free_capacity,
+            )
+            for name, machine in self._capacity_index.machines.items()
+        ]
+        for data in self._datasets:
+            availability = situation(data, places)
+            if self.by_dataset.get(data.name) != availability:
+                self.by_dataset[data.name] = availability
+                log.info(
+                    "data availability changed: dataset=%s availability=%s", data.name, availability
+                )
+            self._check_types(data)
+
+    def _check_types(self, data: DataSet) -> None:
+        """Log once a machine type of the settings file that the cloud does not offer.
+
+        Only the cloud knows its types, so the file cannot be refused for them at the start.
+        """
+        for name in data.types:
+            is_unknown = bool(self._machine_types) and name not in self._machine_types
+            if is_unknown and name not in self._unknown_types:
+                self._unknown_types.add(name)
+                log.error("machine type not offered: dataset=%s type=%s", data.name, name)
