--- a/appledock/core/rebalancing/data_availability.py
+++ b/appledock/core/rebalancing/data_availability.py
@@ -7,7 +7,7 @@
 
 from appledock import wire
 from appledock.core.machines.capacity_index import CapacityIndex
-from appledock.rebalancing.locality import Place, situation
+from appledock.rebalancing.locality import MachineSite, describe_availability
 from appledock.rebalancing.settings import DataSet
 
 log = logging.getLogger(__name__)
@@ -33,8 +33,8 @@
         """Log where the machines that hold data vanished, filled up or came back."""
         if not self._datasets:
             return
-        places = [
-            Place(
+        sites = [
+            MachineSite(
                 machine.name,
                 machine.type.name,
                 machine.zone,
@@ -43,7 +43,7 @@
             for name, machine in self._capacity_index.machines.items()
         ]
         for data in self._datasets:
-            availability = situation(data, places)
+            availability = describe_availability(data, sites)
             if self.by_dataset.get(data.name) != availability:
                 self.by_dataset[data.name] = availability
                 log.info(
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -11,6 +11,7 @@
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.rebalancing.data_availability import DataAvailability
 from appledock.core.rebalancing.move_planning import BlockedMachine, MovePlanning
+from appledock.core.rebalancing.scoring import Scorer, Scoring
 from appledock.core.rebalancing.snapshots import FleetSnapshots
 from appledock.core.rebalancing.summary import move_summary, team_summaries, worker_summaries
 from appledock.core.records.job import Job
@@ -20,7 +21,6 @@
 from appledock.core.workers import Workers
 from appledock.rebalancing.locality import DataSets
 from appledock.rebalancing.planner import Planner
-from appledock.rebalancing.scoring import Scorer, Scoring
 from appledock.rebalancing.settings import Rebalancing
 from appledock.rebalancing.snapshot import means
 from appledock.rebalancing.speeds import Speeds
--- a/appledock/rebalancing/scoring.py
+++ b/appledock/core/rebalancing/scoring.py
@@ -5,21 +5,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from appledock import constants as c
-from appledock import wire
+from appledock import constants, wire
 from appledock.core.machines.machine_capacity import MachineCapacity, fragmentation, image_fetch_s
 from appledock.core.scheduling.placement import spot_mismatch
 from appledock.rebalancing.locality import DataSets
 from appledock.rebalancing.settings import ClassWeights, Rebalancing
-from appledock.rebalancing.snapshot import Means, task_share
-
-
-def over_bound(load: float, share: float, mean: float, bound: float) -> bool:
-    """Would one task more be beyond the team's bound on a machine?
-
-    A machine may always hold one task of a team: a smaller part of it cannot be moved.
-    """
-    return load > c.EPSILON and load + share > bound * mean + c.EPSILON
+from appledock.rebalancing.snapshot import Means, exceeds_bound, task_share
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +39,7 @@
             share = task_share(spec, machine.type)
             result += weights.spread * (machine.load.total + machine.load.of(spec.team) + share)
         if weights.image:
-            result += weights.image * image_fetch_s(spec, machine) / c.FETCH_SCALE_S
+            result += weights.image * image_fetch_s(spec, machine) / constants.FETCH_SCALE_S
         if weights.packing:
             result += weights.packing * fragmentation(spec, machine)
         if weights.speed:
@@ -61,7 +52,7 @@
         if far < 1.0 and machine.load is not None:
             share = task_share(self.spec, machine.type)
             mean = self.means.team(self.spec.team)
-            if over_bound(machine.load.of(self.spec.team), share, mean, self.bound):
+            if exceeds_bound(machine.load.of(self.spec.team), share, mean, self.bound):
                 return 1.0
         return far
 
--- a/appledock/core/rebalancing/snapshots.py
+++ b/appledock/core/rebalancing/snapshots.py
@@ -51,12 +51,12 @@
         self._smoothed_at = now
         highest = Load()
         for load in self.smoothed.values():
-            highest = highest.raised(load)
+            highest = highest.at_least(load)
         smoothed: dict[str, Load] = {}
         for name, machine in self._capacity_index.machines.items():
             if machine.load is not None:
-                known = self.smoothed.get(name) or machine.load.raised(highest)
-                smoothed[name] = known.followed(machine.load, weight)
+                known = self.smoothed.get(name) or machine.load.at_least(highest)
+                smoothed[name] = known.moved_towards(machine.load, weight)
         self.smoothed = smoothed
 
     def machines(self) -> list[MachineLoad]:
@@ -84,8 +84,8 @@
             machine.gpus,
             machine.memory_gb,
             frozenset(machine.images),
-            failing=machine.failure_count > 0,
-            gate=machine.admission,
+            is_failing=machine.failure_count > 0,
+            admission=machine.admission,
         )
 
     # --- tasks --------------------------------------------------------------
--- a/appledock/rebalancing/locality.py
+++ b/appledock/rebalancing/locality.py
@@ -59,26 +59,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class MachineSite:
     """A machine that takes steps, and whether it has any room left."""
 
     machine: str
     machine_type: str
     zone: str
-    full: bool
+    is_full: bool
 
 
-def situation(data: DataSet, places: list[Place]) -> str:
+def describe_availability(data: DataSet, sites: list[MachineSite]) -> str:
     """Say in words which grade of closeness can still be had, and why not a better one."""
     present = dict.fromkeys(Distance, 0)
-    open_ = dict.fromkeys(Distance, 0)
-    for place in places:
-        grade = distance(data, place.machine, place.machine_type, place.zone)
+    with_capacity = dict.fromkeys(Distance, 0)
+    for site in sites:
+        grade = distance(data, site.machine, site.machine_type, site.zone)
         present[grade] += 1
-        open_[grade] += not place.full
-    if open_[Distance.MACHINE]:
+        with_capacity[grade] += not site.is_full
+    if with_capacity[Distance.MACHINE]:
         return "room at the data"
     reason = "full" if present[Distance.MACHINE] else "gone"
-    if open_[Distance.ZONE]:
+    if with_capacity[Distance.ZONE]:
         return f"machines that hold it are {reason}: type or zone is used"
     return f"what holds it is {reason}: any machine is used"
--- a/appledock/rebalancing/planner.py
+++ b/appledock/rebalancing/planner.py
@@ -8,13 +8,17 @@
 from collections.abc import Callable, Container, Sequence
 from dataclasses import dataclass, field
 
-from appledock import constants as c
-from appledock import wire
+from appledock import constants, wire
 from appledock.rebalancing.locality import DataSets
 from appledock.rebalancing.potential import gain
-from appledock.rebalancing.scoring import over_bound
 from appledock.rebalancing.settings import ClassWeights, Rebalancing
-from appledock.rebalancing.snapshot import MachineLoad, Means, RunningTask, task_share
+from appledock.rebalancing.snapshot import (
+    MachineLoad,
+    Means,
+    RunningTask,
+    exceeds_bound,
+    task_share,
+)
 
 
 class Obstacle(enum.Enum):
@@ -47,18 +51,18 @@
     proposals: list[Proposal] = field(default_factory=list)
     obstacles: dict[str, Obstacle] = field(default_factory=dict)
     """overloaded machine -> why nothing moves off it"""
-    looks: int = 0
+    comparisons: int = 0
     """pairs of a task and a destination that were compared: the work of the pass"""
 
 
 ReadTasks = Callable[[MachineLoad], list[RunningTask]]
 """gives the tasks on a machine; asked only for machines that tasks may move from"""
-Pair = Callable[[MachineLoad, MachineLoad], bool]
+OwnerFilter = Callable[[MachineLoad, MachineLoad], bool]
 """may tasks move from the first to the second machine, as far as owners go?"""
 
 
 @dataclass(slots=True)
-class _Best:
+class _Candidate:
     proposal: Proposal
     task: RunningTask
     destination: MachineLoad
@@ -66,7 +70,7 @@
 
 
 class Planner:
-    """Plans moves over the machines of one picture."""
+    """Plans moves over the machines of one snapshot."""
 
     def __init__(self, rebalancing: Rebalancing, datasets: DataSets, rng: random.Random) -> None:
         self.settings = rebalancing.moves
@@ -95,7 +99,7 @@
         means: Means,
         read_tasks: ReadTasks,
         most: int,
-        pair: Pair | None = None,
+        pair: OwnerFilter | None = None,
         review: Sequence[MachineLoad] = (),
         skip: Container[str] = (),
     ) -> Plan:
@@ -121,8 +125,8 @@
                     plan.obstacles[source.name] = obstacle
                 continue
             moved.add(best.proposal.job)
-            source.take(best.task.spec, -1)
-            best.destination.take(best.task.spec, 1)
+            source.count(best.task.spec, -1)
+            best.destination.count(best.task.spec, 1)
             plan.proposals.append(best.proposal)
         return plan
 
@@ -136,7 +140,7 @@
             for machine in machines
             if machine.name not in skip and (excess := self.excess(machine, means)) > 1.0
         ]
-        return [machine for _, _, machine in heapq.nlargest(c.MOVE_SOURCES, beyond)]
+        return [machine for _, _, machine in heapq.nlargest(constants.MOVE_SOURCES, beyond)]
 
     def excess(self, machine: MachineLoad, means: Means) -> float:
         """Its load, or that of a team, against the most that the dead band allows.
@@ -145,11 +149,11 @@
         """
         trigger = self.settings.trigger
         excess = 0.0
-        if means.total > c.EPSILON and machine.load.tasks > 1:
+        if means.total > constants.EPSILON and machine.load.tasks > 1:
             excess = min(machine.load.total, machine.smoothed.total) / (trigger * means.total)
         for team, share in machine.load.teams.items():
             mean = means.team(team)
-            if mean > c.EPSILON and machine.load.counts[team] > 1:
+            if mean > constants.EPSILON and machine.load.counts[team] > 1:
                 lasting = min(share, machine.smoothed.of(team))
                 excess = max(excess, lasting / (trigger * mean))
         return excess
@@ -160,39 +164,39 @@
         source: MachineLoad,
         machines: list[MachineLoad],
         means: Means,
-        pair: Pair | None,
+        pair: OwnerFilter | None,
         moved: set[str],
         plan: Plan,
-    ) -> tuple[_Best | None, Obstacle]:
+    ) -> tuple[_Candidate | None, Obstacle]:
         """The best move off a machine, replicas first, or what stands against one."""
-        best: _Best | None = None
+        best: _Candidate | None = None
         obstacle = Obstacle.NOTHING_MOVABLE
         for task in self._candidates(source, moved):
             weights = self.weights[task.spec.job_class]
             room = False
             for destination in self._destinations(task.spec, source, machines, pair):
-                plan.looks += 1
+                plan.comparisons += 1
                 room = True
                 found, reason = self._weigh(task, weights, source, destination, means)
                 if found is None:
-                    obstacle = _better_try(obstacle, reason)
+                    obstacle = _later_obstacle(obstacle, reason)
                 elif best is None or found.rank > best.rank:
                     best = found
             if not room:
-                obstacle = _better_try(obstacle, Obstacle.NO_ROOM)
+                obstacle = _later_obstacle(obstacle, Obstacle.NO_ROOM)
         return best, obstacle
 
     def _candidates(self, source: MachineLoad, moved: set[str]) -> list[RunningTask]:
         """The task of each job that loses least; a bounded number of jobs."""
         cheapest: dict[str, RunningTask] = {}
         for task in source.tasks:
-            if not task.movable or task.spec.id in moved:
+            if not task.is_movable or task.spec.id in moved:
                 continue
             known = cheapest.get(task.spec.id)
             if known is None or task.lost_core_s < known.lost_core_s:
                 cheapest[task.spec.id] = task
         return heapq.nsmallest(
-            c.MOVE_TASKS,
+            constants.MOVE_TASKS,
             cheapest.values(),
             key=lambda task: (not task.spec.service, task.lost_core_s, task.spec.id),
         )
@@ -202,7 +206,7 @@
         spec: wire.JobSpec,
         source: MachineLoad,
         machines: list[MachineLoad],
-        pair: Pair | None,
+        pair: OwnerFilter | None,
     ) -> list[MachineLoad]:
         """The least loaded machines that may take a task, and those that hold its data."""
         fitting = [
@@ -210,38 +214,40 @@
             for machine in machines
             if machine is not source
             and machine.fits(spec)
-            and self._allowed(spec, source, machine)
+            and self._is_allowed(spec, source, machine)
             and (pair is None or pair(source, machine))
         ]
         least = heapq.nsmallest(
-            2 * c.MOVE_DESTINATIONS, fitting, key=lambda m: (m.load.total, m.name)
+            2 * constants.MOVE_DESTINATIONS, fitting, key=lambda m: (m.load.total, m.name)
         )
-        # Half of the least loaded ones, at random: several planners with the same picture
+        # Half of the least loaded ones, at random: several planners with the same snapshot
         # would otherwise all choose the same machine.
         drawn = (
             least
-            if len(least) <= c.MOVE_DESTINATIONS
-            else [least[0], *self.rng.sample(least[1:], c.MOVE_DESTINATIONS - 1)]
+            if len(least) <= constants.MOVE_DESTINATIONS
+            else [least[0], *self.rng.sample(least[1:], constants.MOVE_DESTINATIONS - 1)]
         )
         if not self.datasets.read_by(spec):
             return drawn
         names = {machine.name for machine in drawn}
-        holders = (m for m in fitting if m.name not in names and self._far(spec, m) <= 0.0)
+        holders = (m for m in fitting if m.name not in names and self._distance(spec, m) <= 0.0)
         return drawn + heapq.nsmallest(
-            c.MOVE_DESTINATIONS, holders, key=lambda m: (m.load.total, m.name)
+            constants.MOVE_DESTINATIONS, holders, key=lambda m: (m.load.total, m.name)
         )
 
-    def _far(self, spec: wire.JobSpec, machine: MachineLoad) -> float:
+    def _distance(self, spec: wire.JobSpec, machine: MachineLoad) -> float:
         return self.datasets.distance(spec, machine.name, machine.machine_type.name, machine.zone)
 
-    def _allowed(self, spec: wire.JobSpec, source: MachineLoad, machine: MachineLoad) -> bool:
+    def _is_allowed(self, spec: wire.JobSpec, source: MachineLoad, machine: MachineLoad) -> bool:
         """The job's hard conditions; jobs with rules of zone move within their zone."""
-        if machine.failing or (not self.settings.use_empty and machine.load.total <= c.EPSILON):
+        if machine.is_failing or (
+            not self.settings.use_empty and machine.load.total <= constants.EPSILON
+        ):
             return False
         if (spec.one_zone or spec.spread) and machine.zone != source.zone:
             return False
-        if machine.gate is not None and not machine.gate.admits(spec):
-            return False  # a move never crosses a share
+        if machine.admission is not None and not machine.admission.admits(spec):
+            return False  # a move never crosses a capacity partition
         return (
             (spec.types is None or machine.machine_type.name in spec.types)
             and (spec.zone is None or spec.zone == machine.zone)
@@ -255,11 +261,13 @@
         source: MachineLoad,
         destination: MachineLoad,
         means: Means,
-    ) -> tuple[_Best | None, Obstacle]:
+    ) -> tuple[_Candidate | None, Obstacle]:
         """One move: its gain, less what it costs, against what a move must gain."""
         spec, settings = task.spec, self.settings
         arrives = task_share(spec, destination.machine_type)
-        if over_bound(destination.load.of(spec.team), arrives, means.team(spec.team), self.bound):
+        if exceeds_bound(
+            destination.load.of(spec.team), arrives, means.team(spec.team), self.bound
+        ):
             return None, Obstacle.TOO_LARGE
         fetch_s = self.fetch_s(spec, destination)
         if fetch_s > settings.fetch_s:
@@ -268,8 +276,8 @@
         if found.now <= 0:
             return None, Obstacle.TOO_LARGE
         cost = (task.lost_core_s + fetch_s * spec.cpus) / settings.payback_s
-        net = found.sure - cost
-        if net < settings.min_gain * max(spec.cpus, c.MOVE_LEAST_CORES):
+        net = found.lower - cost
+        if net < settings.min_gain * max(spec.cpus, constants.MOVE_LEAST_CORES):
             return None, Obstacle.GAIN_TOO_SMALL
         proposal = Proposal(
             spec.id,
@@ -280,7 +288,9 @@
             round(net, 4),
             destination.load.total,
         )
-        return _Best(proposal, task, destination, (spec.service, net)), Obstacle.NOTHING_MOVABLE
+        return _Candidate(
+            proposal, task, destination, (spec.service, net)
+        ), Obstacle.NOTHING_MOVABLE
 
     @staticmethod
     def fetch_s(spec: wire.JobSpec, machine: MachineLoad) -> float:
@@ -291,7 +301,7 @@
         return spec.image_gb / rate
 
 
-def _better_try(known: Obstacle, found: Obstacle) -> Obstacle:
+def _later_obstacle(known: Obstacle, found: Obstacle) -> Obstacle:
     """The obstacle of the try that came further."""
     order = list(Obstacle)
     return max(known, found, key=order.index)
--- a/appledock/rebalancing/potential.py
+++ b/appledock/rebalancing/potential.py
@@ -30,8 +30,8 @@
     smoothed: float
 
     @property
-    def sure(self) -> float:
-        """The gain by either picture."""
+    def lower(self) -> float:
+        """The lower of the two gains: what the move gains by either load."""
         return min(self.now, self.smoothed)
 
 
--- a/appledock/rebalancing/snapshot.py
+++ b/appledock/rebalancing/snapshot.py
@@ -1,7 +1,7 @@
-"""The picture of the fleet that the policy decides on: loads, tasks, means.
+"""Snapshot of the fleet that the policy decides on: loads, tasks, means.
 
-Load is the *committed* share of a machine, since workers report no use: the sum, over the
-tasks on it, of the largest of their shares of its processors, memory and accelerators.
+Load is the *committed* share of a machine, since workers report no usage: the sum, over the
+tasks on it, of the largest of their shares of its CPUs, memory and GPUs.
 """
 
 from __future__ import annotations
@@ -10,8 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from appledock import constants as c
-from appledock import wire
+from appledock import constants, wire
 
 
 def task_share(spec: wire.JobSpec, machine_type: wire.MachineType) -> float:
@@ -57,7 +56,7 @@
         """How many tasks are counted."""
         return sum(self.counts.values())
 
-    def followed(self, now: Load, weight: float) -> Load:
+    def moved_towards(self, now: Load, weight: float) -> Load:
         """This load, moved towards that of now by a part of what they differ."""
         teams = {
             team: self.of(team) + weight * (now.of(team) - self.of(team))
@@ -65,7 +64,7 @@
         }
         return Load(self.total + weight * (now.total - self.total), teams, dict(now.counts))
 
-    def raised(self, other: Load) -> Load:
+    def at_least(self, other: Load) -> Load:
         """This load, each part at least as large as that of the other."""
         teams = {
             team: max(self.of(team), other.of(team))
@@ -97,7 +96,7 @@
 
 
 def means(loads: Iterable[tuple[float, Load]]) -> Means:
-    """The means of (processors of the machine, its load)."""
+    """The means of (CPUs of the machine, its load)."""
     machines, cpus, total = 0, 0.0, 0.0
     teams: dict[str, float] = {}
     for size, load in loads:
@@ -122,11 +121,11 @@
     attempt: int
     lost_core_s: float
     """work that is thrown away when it is stopped"""
-    movable: bool
+    is_movable: bool
     """may it be stopped for balance at all?"""
 
 
-class Gate(Protocol):
+class Admission(Protocol):
     """Says whose jobs a machine takes."""
 
     def admits(self, spec: wire.JobSpec) -> bool:
@@ -153,20 +152,20 @@
     images: frozenset[str] = frozenset()
     tasks: list[RunningTask] = field(default_factory=list)
     """read for machines that tasks may be moved from"""
-    failing: bool = False
+    is_failing: bool = False
     """tasks of different jobs failed on it"""
-    gate: Gate | None = None
+    admission: Admission | None = None
     """whose jobs it takes; None: anybody's"""
 
     def fits(self, spec: wire.JobSpec) -> bool:
         """Is there room for one task?"""
         return (
-            self.cpus + c.EPSILON >= spec.cpus
-            and self.gpus + c.EPSILON >= spec.gpus
-            and self.memory_gb + c.EPSILON >= spec.memory_gb
+            self.cpus + constants.EPSILON >= spec.cpus
+            and self.gpus + constants.EPSILON >= spec.gpus
+            and self.memory_gb + constants.EPSILON >= spec.memory_gb
         )
 
-    def take(self, spec: wire.JobSpec, tasks: int) -> None:
+    def count(self, spec: wire.JobSpec, tasks: int) -> None:
         """Count tasks as placed (negative: as gone)."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
@@ -174,3 +173,11 @@
         share = task_share(spec, self.machine_type)
         self.load.add(spec.team, share, tasks)
         self.smoothed.shift(spec.team, share * tasks)
+
+
+def exceeds_bound(load: float, share: float, mean: float, bound: float) -> bool:
+    """Would one task more be beyond the team's bound on a machine?
+
+    A machine may always hold one task of a team: a smaller part of it cannot be moved.
+    """
+    return load > constants.EPSILON and load + share > bound * mean + constants.EPSILON
--- a/appledock/rebalancing/speeds.py
+++ b/appledock/rebalancing/speeds.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from appledock import constants as c
+from appledock import constants
 
 
 @dataclass(slots=True)
@@ -14,7 +14,7 @@
 
     def add(self, value: float) -> None:
         self.count += 1
-        self.value += (value - self.value) / min(self.count, c.SPEED_SAMPLES)
+        self.value += (value - self.value) / min(self.count, constants.SPEED_SAMPLES)
 
 
 class Speeds:
@@ -32,7 +32,7 @@
         if mean is None:
             self._classes[job_class] = _Average(seconds)
             return
-        ratio = min(c.SPEED_RATIO_MAX, seconds / mean.value)
+        ratio = min(constants.SPEED_RATIO_MAX, seconds / mean.value)
         mean.add(seconds)
         known = self._machines.get(machine)
         if known is None:
@@ -47,6 +47,6 @@
     def slowness(self, machine: str) -> float:
         """1 for a machine as fast as the others, or not known well enough."""
         known = self._machines.get(machine)
-        if known is None or known.count < c.SPEED_SAMPLES_LEAST:
+        if known is None or known.count < constants.SPEED_SAMPLES_LEAST:
             return 1.0
         return known.value
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -19,11 +19,11 @@
 from appledock import wire
 from appledock.cli import main
 from appledock.core.machines.machine_capacity import MachineCapacity
+from appledock.core.rebalancing.scoring import Scoring
 from appledock.core.scheduling.placement import Sampling, place
 from appledock.rebalancing.locality import DataSets
 from appledock.rebalancing.planner import Obstacle, Plan, Planner
 from appledock.rebalancing.potential import potential
-from appledock.rebalancing.scoring import Scoring
 from appledock.rebalancing.settings import (
     ClassWeights,
     DataSet,
@@ -214,8 +214,8 @@
             if where == number
         ]
         for task in row.tasks:
-            row.take(task.spec, 1)
-        row.smoothed = self.smoothed.get(number, row.load).followed(row.load, self.lag)
+            row.count(task.spec, 1)
+        row.smoothed = self.smoothed.get(number, row.load).moved_towards(row.load, self.lag)
         return row
 
     def rows(self) -> list[MachineLoad]:
@@ -322,7 +322,7 @@
 def test_machines_that_join_and_leave_in_waves_are_not_filled_at_once() -> None:
     fleet = Fleet(balanced(moves=Moves()), [(n % 2, spec(n)) for n in range(8)], 4)
     fullest = fleet.rows()[0].load
-    fleet.smoothed = {n: Load().raised(fullest) for n in (2, 3)}
+    fleet.smoothed = {n: Load().at_least(fullest) for n in (2, 3)}
     fleet.lag = 0.1
     assert fleet.step().proposals == []
     for _ in range(30):
@@ -434,7 +434,7 @@
     rows = fleet.rows()
     for number, tasks in by_machine.items():
         for task in tasks:
-            rows[number].take(task.spec, 1)
+            rows[number].count(task.spec, 1)
 
     def read(row: MachineLoad) -> list[RunningTask]:
         nonlocal reads
@@ -444,7 +444,7 @@
     mean = means((row.machine_type.cpus, row.load) for row in rows)
     plan = fleet.planner.plan(rows, mean, read, 100)
     assert reads <= c.MOVE_SOURCES
-    assert plan.looks <= c.MOVE_SOURCES * c.MOVE_TASKS * 2 * c.MOVE_DESTINATIONS
+    assert plan.comparisons <= c.MOVE_SOURCES * c.MOVE_TASKS * 2 * c.MOVE_DESTINATIONS
     assert len(plan.proposals) == c.MOVE_SOURCES
 
 
