--- /dev/null
+++ b/tests/unit/rebalancing/test_move_planning.py
@@ -0,0 +1,133 @@
+"""Planning passes, built from a planner and snapshots that answer as the test says."""
+
+from __future__ import annotations
+
+import random
+from types import SimpleNamespace
+from typing import Any
+
+from appledock import constants, wire
+from appledock.core.operator_settings import OperatorSettings
+from appledock.core.rebalancing.move_planning import MovePlanning, mean_load_by_owner
+from appledock.core.runtime import Runtime
+from appledock.rebalancing.planner import Obstacle, Plan, Proposal
+from appledock.rebalancing.settings import Moves as MoveSettings
+from appledock.rebalancing.settings import Rebalancing
+from appledock.rebalancing.snapshot import Load, MachineLoad, Means
+from tests.test_requests import settings
+
+OWNERS = {"vm-1": "n0", "vm-2": "n0", "vm-3": "n1"}
+
+
+def machine(name: str, load: float, cpus: float = 4.0) -> MachineLoad:
+    machine_type = wire.MachineType("t", cpus, 16.0, 1.0, 0.5, 5.0, ["a"])
+    return MachineLoad(
+        name, OWNERS[name], "a", False, machine_type, Load(load), Load(load), 0.0, 0.0, 0.0
+    )
+
+
+def proposal(source: str, destination: str) -> Proposal:
+    return Proposal("job-1", 0, 1, source, destination, 0.5, 0.0)
+
+
+class Planning:
+    """A planning of controller n0, whose planner returns `plans` one after the other."""
+
+    def __init__(self, *plans: Plan, is_leader: bool = False) -> None:
+        self.plans = list(plans)
+        self.calls: list[dict[str, Any]] = []
+        self.smoothed = 0
+        self.requested: list[Proposal] = []
+        self.dry_runs = 0
+        self.runtime = Runtime(settings("n0", ["n0", "n1"]), "x", random.Random(1))
+        self.runtime.now = 100.0
+        self.operator_settings = OperatorSettings()
+        fleet = [machine("vm-1", 0.9), machine("vm-2", 0.1), machine("vm-3", 0.2)]
+        snapshots: Any = SimpleNamespace(
+            machines=lambda: fleet,
+            own_machines=lambda: fleet[:2],
+            running_tasks=lambda row: [],
+            smooth=self._smooth,
+        )
+        self.moves: Any = SimpleNamespace(
+            requested={}, request=self.requested.append, count_dry_run=self._count_dry_run
+        )
+        planner: Any = SimpleNamespace(plan=self._plan)
+        replica: Any = SimpleNamespace(owner_of=OWNERS.__getitem__)
+        membership: Any = SimpleNamespace(is_leader=lambda: is_leader)
+        self.planning = MovePlanning(
+            runtime=self.runtime,
+            replica=replica,
+            membership=membership,
+            operator_settings=self.operator_settings,
+            settings=Rebalancing(moves=MoveSettings(every_s=10.0, in_flight=3)),
+            planner=planner,
+            snapshots=snapshots,
+            moves=self.moves,
+            mean_loads=Means,
+        )
+
+    def _plan(
+        self, machines: list[MachineLoad], means: Means, tasks: Any, most: int, **options: Any
+    ) -> Plan:
+        self.calls.append({"machines": [row.name for row in machines], "most": most, **options})
+        return self.plans.pop(0)
+
+    def _smooth(self, time_constant_s: float) -> None:
+        self.smoothed += 1
+
+    def _count_dry_run(self) -> None:
+        self.dry_runs += 1
+
+
+def test_a_controller_plans_among_its_own_machines_within_the_moves_that_may_be_under_way() -> None:
+    own = proposal("vm-1", "vm-2")
+    parts = Planning(Plan([own]), Plan())
+    parts.moves.requested = {1: None, 2: None}
+    parts.planning.tick()
+    assert parts.requested == [own]
+    assert parts.calls[0]["machines"] == ["vm-1", "vm-2"] and parts.calls[0]["most"] == 1
+    parts.runtime.now += 8.9
+    parts.planning.tick()
+    assert len(parts.calls) == 1  # the next pass is not due
+    parts.runtime.now += 2.2
+    parts.planning.tick()
+    assert len(parts.calls) == 2
+
+
+def test_the_leader_requests_only_moves_between_owners() -> None:
+    between, within = proposal("vm-1", "vm-3"), proposal("vm-1", "vm-2")
+    parts = Planning(Plan(), Plan([between, within]), is_leader=True)
+    parts.planning.tick()
+    assert parts.requested == [between]
+    pair = parts.calls[1]["pair"]
+    assert pair(machine("vm-1", 0.0), machine("vm-3", 0.0))  # 0.5 on average, against 0.2
+    assert not pair(machine("vm-3", 0.0), machine("vm-1", 0.0))
+
+
+def test_a_machine_that_nothing_can_be_moved_off_is_left_alone_for_a_while() -> None:
+    parts = Planning(Plan(obstacles={"vm-1": Obstacle.NO_ROOM}), Plan(), Plan())
+    parts.planning.tick()
+    assert parts.planning.blocked["vm-1"].obstacle == Obstacle.NO_ROOM.value
+    parts.runtime.now += 11.1
+    parts.planning.tick()
+    assert set(parts.calls[1]["skip"]) == {"vm-1"}
+    parts.runtime.now += constants.MOVE_BLOCKED_S
+    parts.planning.tick()
+    assert set(parts.calls[2]["skip"]) == set()
+
+
+def test_operators_pause_moves_or_only_count_them_while_loads_are_smoothed_on() -> None:
+    parts = Planning(Plan([proposal("vm-1", "vm-2")]))
+    parts.operator_settings.apply({"moves_paused": 1})
+    parts.planning.tick()
+    assert parts.calls == [] and parts.smoothed == 1
+    parts.operator_settings.apply({"moves_dry_run": 1})
+    parts.runtime.now += 11.1
+    parts.planning.tick()
+    assert parts.dry_runs == 1 and parts.requested == [] and parts.smoothed == 2
+
+
+def test_the_mean_load_of_an_owner_weighs_machines_by_their_size() -> None:
+    machines = [machine("vm-1", 0.9, cpus=3.0), machine("vm-2", 0.1, cpus=1.0)]
+    assert round(mean_load_by_owner(machines)["n0"], 6) == 0.7
