--- a/appledock/core/rebalancing/scoring.py
+++ b/appledock/core/rebalancing/scoring.py
@@ -1,4 +1,4 @@
-"""The score of a machine within the sampled pick, for classes that have weights."""
+"""Scores of machines for job classes that have weights of their own."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     slowness: Callable[[str], float]
 
     def score(self, machine: MachineCapacity) -> tuple[float, ...]:
-        """No failures, the right kind, then the weighted sum."""
+        """Return failures, spot mismatch and the weighted sum, in the order of precedence."""
         return (
             float(machine.failure_count > 0),
             spot_mismatch(self.spec, machine),
@@ -66,7 +66,7 @@
 
 
 class Scoring:
-    """Makes the scorers, with the means as last counted."""
+    """Makes the scorers, with the mean loads as last computed."""
 
     def __init__(
         self, rebalancing: Rebalancing, datasets: DataSets, slowness: Callable[[str], float]
@@ -78,7 +78,7 @@
         self._weights = {row.name: row for row in rebalancing.classes}
 
     def scorer(self, spec: wire.JobSpec) -> Scorer | None:
-        """The scorer of a job; None: its class has no weights, and is placed as ever."""
+        """Return the scorer of a job; None: its class has no weights, the default score holds."""
         weights = self._weights.get(spec.job_class)
         if weights is None:
             return None
--- a/appledock/rebalancing/locality.py
+++ b/appledock/rebalancing/locality.py
@@ -1,4 +1,4 @@
-"""Closeness to data: how far a machine is from the data sets that a task reads."""
+"""Data locality: the distance of a machine from the data sets that a task reads."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Distance(enum.Enum):
-    """From a machine to data, graded; the value is what the weight is multiplied by."""
+    """Grade of the distance from a machine to data; the value multiplies the locality weight."""
 
     MACHINE = 0.0
     ZONE = 0.5
@@ -19,7 +19,7 @@
 
 
 def distance(data: DataSet, machine: str, machine_type: str, zone: str) -> Distance:
-    """From a machine to one data set."""
+    """Return the distance from a machine to one data set."""
     if machine in data.machines:
         return Distance.MACHINE
     if machine_type in data.types or zone in data.zones:
@@ -34,14 +34,14 @@
 
 
 class DataSets:
-    """All data sets of the file."""
+    """The data sets of the settings file, by their readers."""
 
     def __init__(self, datasets: list[DataSet]) -> None:
         self.datasets = datasets
         self._by_reader: dict[tuple[str, str], list[DataSet]] = {}
 
     def read_by(self, spec: wire.JobSpec) -> list[DataSet]:
-        """The data sets that the job reads."""
+        """Return the data sets that the job reads."""
         key = (spec.job_class, spec.team)
         found = self._by_reader.get(key)
         if found is None:
@@ -49,7 +49,7 @@
         return found
 
     def distance(self, spec: wire.JobSpec, machine: str, machine_type: str, zone: str) -> float:
-        """Mean distance from the machine to what the job reads; 0 if it reads nothing."""
+        """Return the mean distance to the data sets of the job; 0 if it reads none."""
         datasets = self.read_by(spec)
         if not datasets:
             return 0.0
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineSite:
-    """A machine that takes steps, and whether it has any room left."""
+    """A machine that may take tasks, and whether it has no free capacity."""
 
     machine: str
     machine_type: str
@@ -69,7 +69,7 @@
 
 
 def describe_availability(data: DataSet, sites: list[MachineSite]) -> str:
-    """Say in words which grade of closeness can still be had, and why not a better one."""
+    """Return which grade of locality can be had, and why not a better one; for the API and log."""
     present = dict.fromkeys(Distance, 0)
     with_capacity = dict.fromkeys(Distance, 0)
     for site in sites:
--- a/appledock/rebalancing/planner.py
+++ b/appledock/rebalancing/planner.py
@@ -1,4 +1,4 @@
-"""The planner: few moves, each the largest gain for the least lost work."""
+"""Plans moves: few of them, each with the largest gain for the least lost work."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Obstacle(enum.Enum):
-    """Why an overloaded machine stays as it is; the later one is the better try."""
+    """Why nothing moves off an overloaded machine, in the order in which moves are checked."""
 
     NOTHING_MOVABLE = "no task on it may be stopped for balance"
     NO_ROOM = "no other machine has room for its tasks"
@@ -41,12 +41,12 @@
     destination: str
     gain: float
     destination_load: float
-    """what the planner takes the destination's load for, before the move"""
+    """load of the destination before the move, as far as the planner knows"""
 
 
 @dataclass(slots=True)
 class Plan:
-    """What one pass came to."""
+    """Result of one planning pass."""
 
     proposals: list[Proposal] = field(default_factory=list)
     obstacles: dict[str, Obstacle] = field(default_factory=dict)
@@ -143,7 +143,7 @@
         return [machine for _, _, machine in heapq.nlargest(constants.MOVE_SOURCES, beyond)]
 
     def excess(self, machine: MachineLoad, means: Means) -> float:
-        """Its load, or that of a team, against the most that the dead band allows.
+        """Return the load, or the highest of a team, over the most that the dead band allows.
 
         A single task cannot be spread, however much of the machine it takes.
         """
@@ -239,7 +239,7 @@
         return self.datasets.distance(spec, machine.name, machine.machine_type.name, machine.zone)
 
     def _is_allowed(self, spec: wire.JobSpec, source: MachineLoad, machine: MachineLoad) -> bool:
-        """The job's hard conditions; jobs with rules of zone move within their zone."""
+        """Check the hard constraints; jobs with zone constraints move within their zone."""
         if machine.is_failing or (
             not self.settings.use_empty and machine.load.total <= constants.EPSILON
         ):
@@ -294,7 +294,7 @@
 
     @staticmethod
     def fetch_s(spec: wire.JobSpec, machine: MachineLoad) -> float:
-        """How long the task would wait for its image there."""
+        """Return how long (s) the task would wait for its image there."""
         rate = machine.machine_type.fetch_gb_per_s
         if spec.image in machine.images or rate <= 0:
             return 0.0
@@ -302,6 +302,6 @@
 
 
 def _later_obstacle(known: Obstacle, found: Obstacle) -> Obstacle:
-    """The obstacle of the try that came further."""
+    """Return the obstacle of the attempt that came further."""
     order = list(Obstacle)
     return max(known, found, key=order.index)
--- a/appledock/rebalancing/snapshot.py
+++ b/appledock/rebalancing/snapshot.py
@@ -14,7 +14,7 @@
 
 
 def task_share(spec: wire.JobSpec, machine_type: wire.MachineType) -> float:
-    """The part of such a machine that one task takes: the largest of its amounts."""
+    """Return the dominant share: the largest part of the machine's resources that a task takes."""
     share = 0.0
     for amount, whole in (
         (spec.cpus, machine_type.cpus),
@@ -57,7 +57,7 @@
         return sum(self.counts.values())
 
     def moved_towards(self, now: Load, weight: float) -> Load:
-        """This load, moved towards that of now by a part of what they differ."""
+        """Return this load, moved towards the present one by `weight` of their difference."""
         teams = {
             team: self.of(team) + weight * (now.of(team) - self.of(team))
             for team in self.teams.keys() | now.teams.keys()
@@ -65,7 +65,7 @@
         return Load(self.total + weight * (now.total - self.total), teams, dict(now.counts))
 
     def at_least(self, other: Load) -> Load:
-        """This load, each part at least as large as that of the other."""
+        """Return the maximum of both loads, team by team."""
         teams = {
             team: max(self.of(team), other.of(team))
             for team in self.teams.keys() | other.teams.keys()
@@ -73,11 +73,11 @@
         return Load(max(self.total, other.total), teams, dict(self.counts))
 
     def of(self, team: str) -> float:
-        """The team's part."""
+        """Return the team's share."""
         return self.teams.get(team, 0.0)
 
     def copy(self) -> Load:
-        """A load to be changed apart from this one."""
+        """Return a copy that may be changed."""
         return Load(self.total, dict(self.teams), dict(self.counts))
 
 
@@ -96,7 +96,7 @@
 
 
 def means(loads: Iterable[tuple[float, Load]]) -> Means:
-    """The means of (CPUs of the machine, its load)."""
+    """Return the mean loads over machines, each given as its CPUs and its load."""
     machines, cpus, total = 0, 0.0, 0.0
     teams: dict[str, float] = {}
     for size, load in loads:
@@ -122,11 +122,11 @@
     lost_core_s: float
     """work that is thrown away when it is stopped"""
     is_movable: bool
-    """may it be stopped for balance at all?"""
+    """may it be stopped to balance load?"""
 
 
 class Admission(Protocol):
-    """Says whose jobs a machine takes."""
+    """Which jobs a machine of a capacity partition admits."""
 
     def admits(self, spec: wire.JobSpec) -> bool:
         """May a task of the job run there?"""
@@ -134,7 +134,7 @@
 
 @dataclass(slots=True)
 class MachineLoad:
-    """One machine that takes steps."""
+    """One machine that may take tasks, as the planner sees it."""
 
     name: str
     owner: str
@@ -144,7 +144,7 @@
     load: Load
     """without the tasks that are leaving it"""
     smoothed: Load
-    """over the last while"""
+    """averaged over time"""
     cpus: float
     gpus: float
     memory_gb: float
@@ -155,10 +155,10 @@
     is_failing: bool = False
     """tasks of different jobs failed on it"""
     admission: Admission | None = None
-    """whose jobs it takes; None: anybody's"""
+    """which jobs it admits; None: any"""
 
     def fits(self, spec: wire.JobSpec) -> bool:
-        """Is there room for one task?"""
+        """Is there free capacity for one task?"""
         return (
             self.cpus + constants.EPSILON >= spec.cpus
             and self.gpus + constants.EPSILON >= spec.gpus
@@ -166,7 +166,7 @@
         )
 
     def count(self, spec: wire.JobSpec, tasks: int) -> None:
-        """Count tasks as placed (negative: as gone)."""
+        """Count tasks of the job as placed here; a negative number as moved away."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
         self.memory_gb -= spec.memory_gb * tasks
--- a/appledock/rebalancing/speeds.py
+++ b/appledock/rebalancing/speeds.py
@@ -1,4 +1,4 @@
-"""How fast machines are, by the run times of the tasks that completed on them."""
+"""Speed of machines, estimated from the run times of the tasks that completed on them."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
             known.add(ratio)
 
     def forget(self, machine: str) -> None:
-        """The machine is gone."""
+        """Drop what is known of a machine that no longer exists."""
         self._machines.pop(machine, None)
 
     def slowness(self, machine: str) -> float:
-        """1 for a machine as fast as the others, or not known well enough."""
+        """Return the mean ratio of its run times to those of the class; 1 if too few are known."""
         known = self._machines.get(machine)
         if known is None or known.count < constants.SPEED_SAMPLES_LEAST:
             return 1.0
