--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -289,7 +289,7 @@
     def _act_on_job_change(self, job_id: str) -> None:
         job = self._replica.jobs.get(job_id)
         if job is not None:
-            self._fleet.note(job)
+            self._fleet.on_job_changed(job)
             dependencies = self._replica.dependencies
             if job_id in dependencies.prerequisites and job_id not in dependencies.waiting_jobs:
                 self._queue_order.on_dependencies_met(job_id)
