--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -143,7 +143,7 @@
         }
 
     def _read_moves(self) -> dict[str, Row]:
-        orders = [under_way.order for under_way in self._moves.planned.values()]
+        orders = [move.order for move in self._moves.requested.values()]
         return {
             f"move/{order.job}/{order.task}": MoveRow(order.source, order.destination, "under way")
             for order in orders
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -24,16 +24,16 @@
     """Moves of running replicas to other machines."""
 
     @property
-    def planned(self) -> Sized:
+    def requested(self) -> Sized:
         """Moves that this controller has requested and that have not ended."""
 
     def request(self, proposal: Proposal, /) -> None:
         """Ask the destination's owner for a move."""
 
-    def rests(self, job_id: str, /) -> bool:
+    def is_cooling_down(self, job_id: str, /) -> bool:
         """Is the job moving, or in the cool-down after a move?"""
 
-    def hears(self, node: str, /) -> bool:
+    def is_reachable(self, node: str, /) -> bool:
         """Would this job owner receive a move, and this controller its outcome?"""
 
 
@@ -181,7 +181,7 @@
         self._capacity_index.recompute()
         for machine, _ in self._machines_being_handed_over():
             for proposal in self._proposals(machine):
-                if len(self._moves.planned) >= max_moves:
+                if len(self._moves.requested) >= max_moves:
                     return
                 self._moves.request(proposal)
 
@@ -217,8 +217,8 @@
             self._partitions.must_move_off(job.spec, machine)
             and not self._replica.is_cancelled(job_id)
             and not job.queued_task_count
-            and not self._moves.rests(job_id)
-            and self._moves.hears(self._replica.job_owner(job))
+            and not self._moves.is_cooling_down(job_id)
+            and self._moves.is_reachable(self._replica.job_owner(job))
         )
 
     def _destination(self, spec: wire.JobSpec) -> MachineCapacity | None:
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -33,7 +33,7 @@
     UnknownOutcome,
 )
 from appledock.core.workers import Workers
-from appledock.rebalancing.picture import task_share
+from appledock.rebalancing.snapshot import task_share
 
 log = logging.getLogger(__name__)
 
--- a/appledock/core/capacity/preferred_owners.py
+++ b/appledock/core/capacity/preferred_owners.py
@@ -79,7 +79,7 @@
 class MoveHistory(Protocol):
     """Moves of tasks that are under way or were made lately."""
 
-    def rests(self, job_id: str, /) -> bool:
+    def is_cooling_down(self, job_id: str, /) -> bool:
         """Is the job moving, or in the cool-down after a move?"""
 
 
@@ -128,6 +128,6 @@
         return (
             self._replica.owns_job(self._runtime.node, job)
             and not self._replica.is_cancelled(job.id)
-            and not self._moves.rests(job.id)
+            and not self._moves.is_cooling_down(job.id)
             and self._writer.can_write(job)
         )
