--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -9,13 +9,18 @@
 from appledock import constants, wire
 from appledock.capacity.settings import Capacity
 from appledock.core.api.admin import AdminApi
+from appledock.core.api.admin_readers import JobReader, MachineReader, StatusReader, TeamReader
+from appledock.core.api.admin_responses import AdminResponder
 from appledock.core.api.capacity_api import PartitionSharesApi
+from appledock.core.api.console_feed import ConsoleFeed
 from appledock.core.api.first_owner import FirstOwner
 from appledock.core.api.health import HealthCheck
 from appledock.core.api.job_cancellation import JobCancellations
 from appledock.core.api.job_records import DependencyOutcomes, JobRecords
 from appledock.core.api.job_states import JobStates
+from appledock.core.api.machine_actions import MachineActions
 from appledock.core.api.open_requests import OpenRequests
+from appledock.core.api.settings_api import SettingsApi
 from appledock.core.api.status_polls import StatusPolls
 from appledock.core.api.submission import Submissions
 from appledock.core.api.submission_check import SubmissionCheck
@@ -57,7 +62,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.handoff import HandOff
 from appledock.core.scheduling.lost_launches import LostLaunchDetector
-from appledock.core.scheduling.moves import Moves
+from appledock.core.scheduling.moves import MovePolicy, Moves
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.pacing import Pacing
 from appledock.core.scheduling.placement_pass import PlacementPass
@@ -148,14 +153,12 @@
             admission_of=lambda worker: self.partitions.admission_of(worker),  # noqa: PLW0108 -- built later
             is_load_tracked=lambda: self.rebalancer.enabled or self.partitions.enabled,
         )
-        self.rebalancer = Rebalancer(self, rebalancing)
         self.partitions = PartitionMap(self.replica, self.capacity_index, capacity)
         self.machine_usage = MachineUsage(self.runtime, self.replica, self.workers, self.partitions)
         self.preferred_owners = PreferredOwners(
             self.runtime, self.replica, self.heartbeats, self.partitions
         )
         self.partition_summary = PartitionSummary(self.replica, self.partitions, self.machine_usage)
-        self.moves = Moves(self)
         self.quota_usage = QuotaUsage(self.runtime, self.replica)
         self.queue_order = QueueOrder(self.runtime, self.replica, self.quota_usage, self.objectives)
         self.quota_allocation = QuotaAllocation(
@@ -187,7 +190,7 @@
             fencing_conditions=self.membership.fencing_conditions,
             partition_conditions=self.partitions.conditions,
             is_step_rate_limited=lambda: self.pacing.is_step_rate_limited(),  # noqa: PLW0108 -- built later
-            commit_listeners=(self._release_claims, self.moves.placed),
+            commit_listeners=(self._release_claims, self._on_step_committed),
         )
         self.stop_requests = StopRequests(
             self.runtime, self.replica, self.job_writer, self.reconcile_queue
@@ -212,6 +215,33 @@
             self.reconcile_queue,
             self.heartbeats.is_any_peer_under_pressure,
         )
+        self.moves = Moves(
+            runtime=self.runtime,
+            replica=self.replica,
+            membership=self.membership,
+            heartbeats=self.heartbeats,
+            workers=self.workers,
+            zones=self.machine_zones,
+            capacity_index=self.capacity_index,
+            reconcile_queue=self.reconcile_queue,
+            writer=self.job_writer,
+            stop_requests=self.stop_requests,
+            pacing=self.pacing,
+            preemption=self.preemption,
+            policy=self._build_move_policy(rebalancing),
+            count_running=lambda job: self.job_states.count_running(job),  # noqa: PLW0108 -- built later
+        )
+        self.rebalancer = Rebalancer(
+            rebalancing,
+            runtime=self.runtime,
+            replica=self.replica,
+            membership=self.membership,
+            workers=self.workers,
+            capacity_index=self.capacity_index,
+            machine_types=self.machine_types,
+            operator_settings=self.operator_settings,
+            moves=self.moves,
+        )
         self.step_writer = StepWriter(
             self.replica,
             self.codec,
@@ -316,16 +346,8 @@
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
         self.job_states = JobStates(self.replica, self.workers)
         self.user_requests = self._build_user_requests()
-        self.shares_api = PartitionSharesApi(
-            runtime=self.runtime,
-            client=self.client,
-            replica=self.replica,
-            reader=self.reader,
-            partitions=self.partitions,
-            usage=self.machine_usage,
-            summary=self.partition_summary,
-        )
-        self.admin = AdminApi(self)
+        self.job_reader = JobReader(self.replica, self.workers, self.reconcile_queue)
+        self.admin = self._build_admin_api()
         self.engine = Engine(
             runtime=self.runtime,
             client=self.client,
@@ -353,6 +375,80 @@
             operator_settings=self.operator_settings,
         )
 
+    def _build_move_policy(self, rebalancing: Rebalancing | None) -> MovePolicy:
+        """Moves spread load, and drain machines that change their capacity partition."""
+        return MovePolicy(
+            settings=(rebalancing or Rebalancing()).moves,
+            is_enabled=lambda: self.rebalancer.enabled or self.partitions.enabled,
+            is_movable=lambda spec: self.rebalancer.is_movable(spec),  # noqa: PLW0108 -- built later
+            must_leave=self.partitions.must_move_off,
+            is_draining=self.partitions.is_being_handed_over,
+        )
+
+    def _build_console_feed(self) -> ConsoleFeed:
+        return ConsoleFeed(
+            runtime=self.runtime,
+            replica=self.replica,
+            workers=self.workers,
+            heartbeats=self.heartbeats,
+            capacity_index=self.capacity_index,
+            quota_usage=self.quota_usage,
+            operator_settings=self.operator_settings,
+            rebalancer=self.rebalancer,
+            partition_summary=self.partition_summary,
+            moves=self.moves,
+        )
+
+    def _build_admin_api(self) -> AdminApi:
+        """The administration API, with the readers of state by their paths."""
+        responder = AdminResponder(self.runtime.emit)
+        status = StatusReader(
+            runtime=self.runtime,
+            client=self.client,
+            replica=self.replica,
+            membership=self.membership,
+            workers=self.workers,
+            health=self.health,
+            open_requests=self.user_requests.open_requests,
+            machine_types=self.machine_types,
+            booting_machines=self.fleet.booting,
+        )
+        machines = MachineReader(self.runtime, self.replica, self.workers, self.capacity_index)
+        teams = TeamReader(self.runtime, self.replica, self.quota_usage)
+        return AdminApi(
+            runtime=self.runtime,
+            responder=responder,
+            readers={
+                "status": status.read,
+                "jobs": lambda: {"jobs": self.job_reader.read_all()},
+                "machines": lambda: {"machines": machines.read_all()},
+                "teams": lambda: {"teams": teams.read_all()},
+                "rebalancing": self.rebalancer.summary,
+                "capacity": self.partition_summary.as_json,
+            },
+            console_feed=self._build_console_feed(),
+            settings=SettingsApi(
+                self.client,
+                self.replica,
+                self.reader,
+                self.operator_settings,
+                self.reconcile_queue,
+                responder,
+            ),
+            machine_actions=MachineActions(
+                self.workers, self.membership, responder, self.fleet.operate
+            ),
+            capacity=PartitionSharesApi(
+                runtime=self.runtime,
+                client=self.client,
+                replica=self.replica,
+                reader=self.reader,
+                partitions=self.partitions,
+                usage=self.machine_usage,
+                summary=self.partition_summary,
+            ),
+        )
+
     def _build_partition_manager(self) -> PartitionManager:
         """Passes over the partitions of the machines."""
         return PartitionManager(
@@ -457,6 +553,9 @@
     def _release_claims(self, job_id: str, reservations: list[StepReservation]) -> None:
         self.preemption.release_claims(job_id, reservations)
 
+    def _on_step_committed(self, job_id: str, reservations: list[StepReservation]) -> None:
+        self.moves.on_step_committed(job_id, reservations)
+
     def _local_status(self) -> LocalStatus:
         return LocalStatus(
             reporting_fraction=self.workers.reporting_fraction(),
@@ -515,7 +614,3 @@
     def call(self, make: Callable[[int], Effect], done: Callable[[Any], None]) -> None:
         """Emit a call whose answer goes to `done`."""
         self.runtime.call(make, done)
-
-    def running(self, job: Job) -> int:
-        """Tasks that reports show as running, for display."""
-        return self.job_states.count_running(job)
--- a/appledock/rebalancing/scoring.py
+++ b/appledock/core/rebalancing/scoring.py
@@ -1,25 +1,16 @@
-"""The score of a machine within the sampled pick, for classes that have weights."""
+"""Scores of machines for job classes that have weights of their own."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from appledock import constants as c
-from appledock import wire
+from appledock import constants, wire
 from appledock.core.machines.machine_capacity import MachineCapacity, fragmentation, image_fetch_s
 from appledock.core.scheduling.placement import spot_mismatch
 from appledock.rebalancing.locality import DataSets
-from appledock.rebalancing.picture import Means, task_share
 from appledock.rebalancing.settings import ClassWeights, Rebalancing
-
-
-def over_bound(load: float, share: float, mean: float, bound: float) -> bool:
-    """Would one task more be beyond the team's bound on a machine?
-
-    A machine may always hold one task of a team: a smaller part of it cannot be moved.
-    """
-    return load > c.EPSILON and load + share > bound * mean + c.EPSILON
+from appledock.rebalancing.snapshot import Means, exceeds_bound, task_share
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +25,7 @@
     slowness: Callable[[str], float]
 
     def score(self, machine: MachineCapacity) -> tuple[float, ...]:
-        """No failures, the right kind, then the weighted sum."""
+        """Return failures, spot mismatch and the weighted sum, in the order of precedence."""
         return (
             float(machine.failure_count > 0),
             spot_mismatch(self.spec, machine),
@@ -48,7 +39,7 @@
             share = task_share(spec, machine.type)
             result += weights.spread * (machine.load.total + machine.load.of(spec.team) + share)
         if weights.image:
-            result += weights.image * image_fetch_s(spec, machine) / c.FETCH_SCALE_S
+            result += weights.image * image_fetch_s(spec, machine) / constants.FETCH_SCALE_S
         if weights.packing:
             result += weights.packing * fragmentation(spec, machine)
         if weights.speed:
@@ -61,7 +52,7 @@
         if far < 1.0 and machine.load is not None:
             share = task_share(self.spec, machine.type)
             mean = self.means.team(self.spec.team)
-            if over_bound(machine.load.of(self.spec.team), share, mean, self.bound):
+            if exceeds_bound(machine.load.of(self.spec.team), share, mean, self.bound):
                 return 1.0
         return far
 
@@ -75,7 +66,7 @@
 
 
 class Scoring:
-    """Makes the scorers, with the means as last counted."""
+    """Makes the scorers, with the mean loads as last computed."""
 
     def __init__(
         self, rebalancing: Rebalancing, datasets: DataSets, slowness: Callable[[str], float]
@@ -87,7 +78,7 @@
         self._weights = {row.name: row for row in rebalancing.classes}
 
     def scorer(self, spec: wire.JobSpec) -> Scorer | None:
-        """The scorer of a job; None: its class has no weights, and is placed as ever."""
+        """Return the scorer of a job; None: its class has no weights, the default score holds."""
         weights = self._weights.get(spec.job_class)
         if weights is None:
             return None
--- a/appledock/rebalancing/potential.py
+++ b/appledock/rebalancing/potential.py
@@ -18,8 +18,8 @@
 
 from appledock import wire
 from appledock.rebalancing.locality import DataSets
-from appledock.rebalancing.picture import Load, MachineLoad, task_share
 from appledock.rebalancing.settings import ClassWeights
+from appledock.rebalancing.snapshot import Load, MachineLoad, task_share
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,8 +30,8 @@
     smoothed: float
 
     @property
-    def sure(self) -> float:
-        """The gain by either picture."""
+    def lower(self) -> float:
+        """The lower of the two gains: what the move gains by either load."""
         return min(self.now, self.smoothed)
 
 
--- a/appledock/rebalancing/picture.py
+++ b/appledock/rebalancing/snapshot.py
@@ -1,7 +1,7 @@
-"""The picture of the fleet that the policy decides on: loads, tasks, means.
+"""Snapshot of the fleet that the policy decides on: loads, tasks, means.
 
-Load is the *committed* share of a machine, since workers report no use: the sum, over the
-tasks on it, of the largest of their shares of its processors, memory and accelerators.
+Load is the *committed* share of a machine, since workers report no usage: the sum, over the
+tasks on it, of the largest of their shares of its CPUs, memory and GPUs.
 """
 
 from __future__ import annotations
@@ -10,12 +10,11 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from appledock import constants as c
-from appledock import wire
+from appledock import constants, wire
 
 
 def task_share(spec: wire.JobSpec, machine_type: wire.MachineType) -> float:
-    """The part of such a machine that one task takes: the largest of its amounts."""
+    """Return the dominant share: the largest part of the machine's resources that a task takes."""
     share = 0.0
     for amount, whole in (
         (spec.cpus, machine_type.cpus),
@@ -57,16 +56,16 @@
         """How many tasks are counted."""
         return sum(self.counts.values())
 
-    def followed(self, now: Load, weight: float) -> Load:
-        """This load, moved towards that of now by a part of what they differ."""
+    def moved_towards(self, now: Load, weight: float) -> Load:
+        """Return this load, moved towards the present one by `weight` of their difference."""
         teams = {
             team: self.of(team) + weight * (now.of(team) - self.of(team))
             for team in self.teams.keys() | now.teams.keys()
         }
         return Load(self.total + weight * (now.total - self.total), teams, dict(now.counts))
 
-    def raised(self, other: Load) -> Load:
-        """This load, each part at least as large as that of the other."""
+    def at_least(self, other: Load) -> Load:
+        """Return the maximum of both loads, team by team."""
         teams = {
             team: max(self.of(team), other.of(team))
             for team in self.teams.keys() | other.teams.keys()
@@ -74,11 +73,11 @@
         return Load(max(self.total, other.total), teams, dict(self.counts))
 
     def of(self, team: str) -> float:
-        """The team's part."""
+        """Return the team's share."""
         return self.teams.get(team, 0.0)
 
     def copy(self) -> Load:
-        """A load to be changed apart from this one."""
+        """Return a copy that may be changed."""
         return Load(self.total, dict(self.teams), dict(self.counts))
 
 
@@ -97,7 +96,7 @@
 
 
 def means(loads: Iterable[tuple[float, Load]]) -> Means:
-    """The means of (processors of the machine, its load)."""
+    """Return the mean loads over machines, each given as its CPUs and its load."""
     machines, cpus, total = 0, 0.0, 0.0
     teams: dict[str, float] = {}
     for size, load in loads:
@@ -122,12 +121,12 @@
     attempt: int
     lost_core_s: float
     """work that is thrown away when it is stopped"""
-    movable: bool
-    """may it be stopped for balance at all?"""
+    is_movable: bool
+    """may it be stopped to balance load?"""
 
 
-class Gate(Protocol):
-    """Says whose jobs a machine takes."""
+class Admission(Protocol):
+    """Which jobs a machine of a capacity partition admits."""
 
     def admits(self, spec: wire.JobSpec) -> bool:
         """May a task of the job run there?"""
@@ -135,7 +134,7 @@
 
 @dataclass(slots=True)
 class MachineLoad:
-    """One machine that takes steps."""
+    """One machine that may take tasks, as the planner sees it."""
 
     name: str
     owner: str
@@ -145,7 +144,7 @@
     load: Load
     """without the tasks that are leaving it"""
     smoothed: Load
-    """over the last while"""
+    """averaged over time"""
     cpus: float
     gpus: float
     memory_gb: float
@@ -153,24 +152,32 @@
     images: frozenset[str] = frozenset()
     tasks: list[RunningTask] = field(default_factory=list)
     """read for machines that tasks may be moved from"""
-    failing: bool = False
+    is_failing: bool = False
     """tasks of different jobs failed on it"""
-    gate: Gate | None = None
-    """whose jobs it takes; None: anybody's"""
+    admission: Admission | None = None
+    """which jobs it admits; None: any"""
 
     def fits(self, spec: wire.JobSpec) -> bool:
-        """Is there room for one task?"""
+        """Is there free capacity for one task?"""
         return (
-            self.cpus + c.EPSILON >= spec.cpus
-            and self.gpus + c.EPSILON >= spec.gpus
-            and self.memory_gb + c.EPSILON >= spec.memory_gb
+            self.cpus + constants.EPSILON >= spec.cpus
+            and self.gpus + constants.EPSILON >= spec.gpus
+            and self.memory_gb + constants.EPSILON >= spec.memory_gb
         )
 
-    def take(self, spec: wire.JobSpec, tasks: int) -> None:
-        """Count tasks as placed (negative: as gone)."""
+    def count(self, spec: wire.JobSpec, tasks: int) -> None:
+        """Count tasks of the job as placed here; a negative number as moved away."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
         self.memory_gb -= spec.memory_gb * tasks
         share = task_share(spec, self.machine_type)
         self.load.add(spec.team, share, tasks)
         self.smoothed.shift(spec.team, share * tasks)
+
+
+def exceeds_bound(load: float, share: float, mean: float, bound: float) -> bool:
+    """Would one task more be beyond the team's bound on a machine?
+
+    A machine may always hold one task of a team: a smaller part of it cannot be moved.
+    """
+    return load > constants.EPSILON and load + share > bound * mean + constants.EPSILON
--- a/appledock/rebalancing/speeds.py
+++ b/appledock/rebalancing/speeds.py
@@ -1,10 +1,10 @@
-"""How fast machines are, by the run times of the tasks that completed on them."""
+"""Speed of machines, estimated from the run times of the tasks that completed on them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from appledock import constants as c
+from appledock import constants
 
 
 @dataclass(slots=True)
@@ -14,7 +14,7 @@
 
     def add(self, value: float) -> None:
         self.count += 1
-        self.value += (value - self.value) / min(self.count, c.SPEED_SAMPLES)
+        self.value += (value - self.value) / min(self.count, constants.SPEED_SAMPLES)
 
 
 class Speeds:
@@ -32,7 +32,7 @@
         if mean is None:
             self._classes[job_class] = _Average(seconds)
             return
-        ratio = min(c.SPEED_RATIO_MAX, seconds / mean.value)
+        ratio = min(constants.SPEED_RATIO_MAX, seconds / mean.value)
         mean.add(seconds)
         known = self._machines.get(machine)
         if known is None:
@@ -41,12 +41,12 @@
             known.add(ratio)
 
     def forget(self, machine: str) -> None:
-        """The machine is gone."""
+        """Drop what is known of a machine that no longer exists."""
         self._machines.pop(machine, None)
 
     def slowness(self, machine: str) -> float:
-        """1 for a machine as fast as the others, or not known well enough."""
+        """Return the mean ratio of its run times to those of the class; 1 if too few are known."""
         known = self._machines.get(machine)
-        if known is None or known.count < c.SPEED_SAMPLES_LEAST:
+        if known is None or known.count < constants.SPEED_SAMPLES_LEAST:
             return 1.0
         return known.value
