--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any
 
 from appledock import constants, wire
 from appledock.capacity.settings import Capacity
@@ -78,7 +76,6 @@
 from appledock.core.workers import WorkerObservers, Workers
 from appledock.rebalancing.settings import Rebalancing
 from appledock.settings import Settings
-from appledock.settings import Team as TeamLimits
 
 
 class Controller:
@@ -107,6 +104,18 @@
             self.replica,
             on_loaded=self._on_replica_loaded,
         )
+        self._build_membership_and_workers(capacity)
+        self._build_machines_and_partitions(capacity)
+        self._build_quota_and_writes()
+        self._build_preemption_and_moves(rebalancing)
+        self._build_placement()
+        self._build_reconciler()
+        self._build_cancellation_and_fleet()
+        self._build_api()
+        self.engine = self._build_engine()
+
+    def _build_membership_and_workers(self, capacity: Capacity | None) -> None:
+        """Leases, views and leadership; heartbeats between the controllers; the workers."""
         self.view_requests = ViewChangeRequests()
         self.membership = Membership(self.runtime, self.replica)
         self.heartbeats = Heartbeats(
@@ -139,6 +148,9 @@
             is_deleted=lambda machine: machine in self.workers.deleted_machines,
             newest_format=NEWEST_FORMAT if capacity is None else constants.CAPACITY_FORMAT,
         )
+
+    def _build_machines_and_partitions(self, capacity: Capacity | None) -> None:
+        """Free capacity of the machines, and to which partition each belongs."""
         self.machine_zones = MachineZones(
             self.workers,
             lambda machine: self.fleet.zone_of(machine),  # noqa: PLW0108 -- built later
@@ -159,6 +171,9 @@
             self.runtime, self.replica, self.heartbeats, self.partitions
         )
         self.partition_summary = PartitionSummary(self.replica, self.partitions, self.machine_usage)
+
+    def _build_quota_and_writes(self) -> None:
+        """Quota, settlement of attempts, and the conditional writes of job records."""
         self.quota_usage = QuotaUsage(self.runtime, self.replica)
         self.queue_order = QueueOrder(self.runtime, self.replica, self.quota_usage, self.objectives)
         self.quota_allocation = QuotaAllocation(
@@ -195,6 +210,9 @@
         self.stop_requests = StopRequests(
             self.runtime, self.replica, self.job_writer, self.reconcile_queue
         )
+
+    def _build_preemption_and_moves(self, rebalancing: Rebalancing | None) -> None:
+        """What makes room or moves tasks: preemption, moves and their policy."""
         self.preemption = Preemption(
             runtime=self.runtime,
             replica=self.replica,
@@ -242,6 +260,9 @@
             operator_settings=self.operator_settings,
             moves=self.moves,
         )
+
+    def _build_placement(self) -> None:
+        """Decides the next steps of the queued jobs and carries the decisions out."""
         self.step_writer = StepWriter(
             self.replica,
             self.codec,
@@ -280,6 +301,9 @@
             moves=self.moves,
             mean_loads=self.rebalancer,
         )
+
+    def _build_reconciler(self) -> None:
+        """Reconciles the jobs that this controller owns."""
         self.lost_launches = LostLaunchDetector(
             self.runtime, self.replica, self.membership, self.view_requests, self.workers
         )
@@ -308,6 +332,9 @@
             recorder=self.settlement_recorder,
             placement_pass=self.placement_pass,
         )
+
+    def _build_cancellation_and_fleet(self) -> None:
+        """Enforcement of cancellations; scale out and scale in."""
         self.cancellation_dissemination = CancellationDissemination(
             self.runtime, self.replica, self.codec
         )
@@ -343,12 +370,18 @@
             reconcile_queue=self.reconcile_queue,
             stop_requests=self.stop_requests,
         )
+
+    def _build_api(self) -> None:
+        """Health check, requests of users and operators."""
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
         self.job_states = JobStates(self.replica, self.workers)
         self.user_requests = self._build_user_requests()
         self.job_reader = JobReader(self.replica, self.workers, self.reconcile_queue)
         self.admin = self._build_admin_api()
-        self.engine = Engine(
+
+    def _build_engine(self) -> Engine:
+        """The batch loop, which dispatches to the parts."""
+        return Engine(
             runtime=self.runtime,
             client=self.client,
             replica=self.replica,
@@ -562,55 +595,3 @@
             owner_timeouts=self.workers.owner_timeout_counts(),
             is_service_rate_limited=self.pacing.is_service_rate_limited(),
         )
-
-    # --- for the parts that are still given the controller -----------------
-    @property
-    def settings(self) -> Settings:
-        """The platform's settings."""
-        return self.runtime.settings
-
-    @property
-    def incarnation(self) -> str:
-        """Of this process."""
-        return self.runtime.incarnation
-
-    @property
-    def rng(self) -> random.Random:
-        """The random source."""
-        return self.runtime.rng
-
-    @property
-    def now(self) -> float:
-        """Steady clock, s."""
-        return self.runtime.now
-
-    @now.setter
-    def now(self, now: float) -> None:
-        self.runtime.now = now
-
-    @property
-    def wall(self) -> float:
-        """Time of day, s."""
-        return self.runtime.wall
-
-    @wall.setter
-    def wall(self, wall: float) -> None:
-        self.runtime.wall = wall
-
-    @property
-    def teams(self) -> dict[str, TeamLimits]:
-        """The teams by name."""
-        return self.runtime.teams
-
-    @property
-    def grant_s(self) -> float:
-        """Time to live of a controller's lease."""
-        return self.runtime.lease_ttl_s
-
-    def emit(self, effect: Effect) -> None:
-        """Hand an effect to the adapters, with the others of this batch."""
-        self.runtime.emit(effect)
-
-    def call(self, make: Callable[[int], Effect], done: Callable[[Any], None]) -> None:
-        """Emit a call whose answer goes to `done`."""
-        self.runtime.call(make, done)
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -117,7 +117,7 @@
     for row in world.cloud.machines.values():
         row["status"] = "running"  # nobody reports: the list alone tells of them
     for node in world.nodes.values():
-        node.engine.runtime.settings = _with_cloud_rps(node.engine.settings, 2.0)
+        node.engine.runtime.settings = _with_cloud_rps(node.engine.runtime.settings, 2.0)
     world.clock.run(seconds)
     return max(len(node.engine.fleet.inventory.listed) for node in world.nodes.values())
 
@@ -146,7 +146,7 @@
     e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
     e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
         e.membership.store_answered_at
-    ) = e.now
+    ) = e.runtime.now
     e.replica.advance(1)
     for number in range(FLEET):
         tasks = [wire.TaskReport(f"job-{number:06d}/{n}", 1, wire.RUNNING) for n in range(8)]
@@ -162,9 +162,9 @@
     for _ in range(math.ceil(seconds / c.TICK_S)):
         e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
             e.membership.store_answered_at
-        ) = e.now
+        ) = e.runtime.now
         batch: list[Command] = [Tick()] if told else [PeerConnected("n1")]
-        effects = e.handle(batch, e.now + c.TICK_S, 0.0)
+        effects = e.handle(batch, e.runtime.now + c.TICK_S, 0.0)
         messages = [json.loads(wire.encode(x.message)) for x in effects if isinstance(x, PeerSend)]
         told |= {m["report"]["dockhand"] for m in messages if m["kind"] == "worker"}
         most = max(most, sum(len(frame(json.dumps(m).encode())) for m in messages))
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -40,7 +40,7 @@
         app.store.calls.request = brackets  # type: ignore[assignment]
         app.cloud.client.request = brackets  # type: ignore[assignment]
         answers: list[object] = []
-        app.engine.call(make, lambda reply: answers.append(reply.outcome))
+        app.engine.runtime.call(make, lambda reply: answers.append(reply.outcome))
         for effect in app.engine.handle([], 1.0, 0.0):
             app._carry_out(effect)
         for _ in range(50):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -329,7 +329,7 @@
 
 def test_jobs_that_can_meet_their_deadline_go_first() -> None:
     e = engine()
-    e.wall = 100.0
+    e.runtime.wall = 100.0
     hopeful = Job(spec(id="job-1", crates=9, sail_s=60.0, eta_s=30.0), 80.0)
     quick = Job(spec(id="job-2", crates=1, sail_s=60.0, eta_s=30.0), 80.0)
     late = Job(spec(id="job-3", crates=1, sail_s=20.0, eta_s=30.0), 50.0)
@@ -342,7 +342,7 @@
     aged = Job(spec(id="job-6", crates=90, sail_s=20.0, eta_s=30.0), 30.0)
     order = sorted([late, older, aged, service, quick], key=e.queue_order.sort_key)
     assert [job.id for job in order] == ["job-4", "job-6", "job-2", "job-5", "job-3"]
-    e.wall = 190.0
+    e.runtime.wall = 190.0
     assert e.queue_order.sort_key(aged) < e.queue_order.sort_key(service)
 
 
@@ -372,14 +372,14 @@
         for k in [(t.name, z, s)]
     }
     assert prices[kind] == min(prices.values())
-    offers.unavailable_until[MachineKind(*kind)] = e.now + 5
+    offers.unavailable_until[MachineKind(*kind)] = e.runtime.now + 5
     assert offers.cheapest(job, tasks) != kind
 
 
 def test_fresh_leader_keeps_machines_it_has_not_heard_of() -> None:
     """A restarted leader once deleted 19 machines whose reports went to its peers."""
     e = engine()
-    e.fleet.leader_since = e.now
+    e.fleet.leader_since = e.runtime.now
     running = wire.Machine("vm-1", "h4", "a", "running", age_s=500.0)
     starting = wire.Machine("vm-2", "h4", "a", wire.BOOTING, age_s=500.0)
     e.fleet.inventory.listed = {"vm-1": running, "vm-2": starting}
@@ -422,17 +422,17 @@
     counted as up, for ever. Not while most machines are silent: that is our trouble."""
     e = engine()
     e.replica.put("ad/live/view", {"term": 1, "members": {"n0": "x"}, "leader": "n0"}, 1)
-    e.fleet.leader_since = e.now
+    e.fleet.leader_since = e.runtime.now
     for number in range(5):
         e.workers.ingest_heartbeat(wire.Report(f"vm-{number}", "10.0.0.9:9", "h4", "a", 1, 1, 1))
-    e.now += 100.0
+    e.runtime.now += 100.0
     e.fleet.delete_surplus(e.fleet.queued_demand())
     assert not e.fleet.deletions.pending
     for number in range(1, 5):
         worker = e.workers.table[f"vm-{number}"]
         worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = (
             worker.reachability.last_direct_heartbeat_at
-        ) = e.now
+        ) = e.runtime.now
     e.fleet.delete_surplus(e.fleet.queued_demand())
     pending = e.fleet.deletions.pending
     assert "vm-0" in pending and pending["vm-0"].reason == "silent"
@@ -470,7 +470,7 @@
                 tasks=[wire.TaskReport(f"{task}/0", 1, wire.RUNNING)],
             )
         )
-    e.workers.table["vm-150"].status.image_seen_at["img"] = e.now
+    e.workers.table["vm-150"].status.image_seen_at["img"] = e.runtime.now
     e.capacity_index.mark_all_changed()
     e.capacity_index.recompute()
     assert e.capacity_index.machines_by_image["img"] == {"vm-150"}
@@ -488,7 +488,7 @@
         e.machine_types.update({"h4": KIND})
         e.replica.put("ad/live/view", {"term": 1, "members": {"n0": "x"}, "leader": "n0"}, 1)
         e.workers.ingest_heartbeat(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 1))
-        e.workers.table["vm-1"].placement.idle_since = e.now - 20
+        e.workers.table["vm-1"].placement.idle_since = e.runtime.now - 20
         e.replica.set_job(Job(spec(cores=size), 0, 5))
         e.capacity_index.recompute()
         e.fleet.delete_surplus(e.fleet.queued_demand())
@@ -505,7 +505,7 @@
         e.client.limiter.add(call(Priority.USER, 1))
     held = []
     for _ in range(50):  # ten seconds
-        e.now += 0.2
+        e.runtime.now += 0.2
         held.append(e.pacing.should_defer_batch_jobs())
     assert held[:14] == [True] * 14
     assert 2 <= held.count(False) <= 4  # held back, but not for ever
@@ -519,7 +519,7 @@
         ControllerHeartbeat("n1", 0.1, write_rate=9.0, is_service_rate_limited=True)
     )
     assert e.pacing.should_defer_batch_jobs()
-    e.now += c.HEARTBEAT_LOST_S + 1
+    e.runtime.now += c.HEARTBEAT_LOST_S + 1
     assert not e.pacing.should_defer_batch_jobs()  # it may be over since: nobody is heard
     e.heartbeats.on_peer(
         ControllerHeartbeat("n1", 0.1, write_rate=9.0, is_service_rate_limited=False)
@@ -557,7 +557,7 @@
     """Passed round for minutes, a job of 32 tasks counted as begun with its first hand-off,
     and began after 323 s."""
     e = engine()
-    e.wall = 1000.0
+    e.runtime.wall = 1000.0
     young = Job(spec(id="job-000001", sail_s=500.0), 1000.0 - 5, 1)
     passed = Job(spec(id="job-000002", crates=9, sail_s=500.0), 1000.0 - 70, 1, last_step=3)
     assert e.queue_order.sort_key(passed) < e.queue_order.sort_key(young)
@@ -581,7 +581,7 @@
         0.0,
         -9.0,
     )
-    e.handle([], e.now + 0.2, 0.0)
+    e.handle([], e.runtime.now + 0.2, 0.0)
     assert (
         e.capacity_index.reserved_tasks == {vm: {mine[0]: 4}}
         and mine[0] in e.job_writer.jobs_in_flight
@@ -589,8 +589,8 @@
     service = Job(spec(id=mine[1], crates=1, cores=4.0, rank="production", shape="daemon"), 0.0, 3)
     e.replica.set_job(service)
     for _ in range(3):
-        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
-        e.handle([], e.now + 0.11, 0.0)
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.runtime.now
+        e.handle([], e.runtime.now + 0.11, 0.0)
     assert e.capacity_index.reserved_tasks == {vm: {mine[1]: 1}}
     assert mine[0] not in e.job_writer.jobs_in_flight and mine[1] in e.job_writer.jobs_in_flight
     # A stop takes the waiting write of its own job back too, but not an urgent one.
@@ -621,7 +621,7 @@
     what our finished tasks still held, with writes to spare."""
     e = engine()
     e.replica.put("ad/live/view", {"term": 1, "members": {"n0": "x"}, "leader": "n0"}, 1)
-    limits = e.teams["red"]
+    limits = e.runtime.teams["red"]
     full = int(limits.cpus_max)
     running = Job(spec(id="job-000001", crates=full, owner="red", cores=1.0), 0.0, 1)
     running.attempts.append(Attempt("vm-1", 1, 1, 1, False, set(range(full - 1))))
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -115,5 +115,5 @@
     assert not e.pacing.should_batch(nearly_done, nearly_done, 2)
     service = Job(spec(id="job-000003", crates=4, shape="daemon"), 0.0, 1)
     assert not e.pacing.should_batch(service, service, 1)
-    e.now += c.GATHER_STEP_S
+    e.runtime.now += c.GATHER_STEP_S
     assert not e.pacing.should_batch(job, job, 2)
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -143,7 +143,7 @@
     e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
     e.membership.lease_renewed_at = e.membership.view_confirmed_at = (
         e.membership.store_answered_at
-    ) = e.now
+    ) = e.runtime.now
     e.replica.advance(1)
     return e
 
@@ -159,7 +159,9 @@
     e.workers.on_peer_connected("n1")
     for effect in e.runtime.take_effects():
         assert isinstance(effect, PeerSend)
-        fresh.handle([PeerMessageReceived(json.loads(wire.encode(effect.message)))], fresh.now, 0.0)
+        fresh.handle(
+            [PeerMessageReceived(json.loads(wire.encode(effect.message)))], fresh.runtime.now, 0.0
+        )
     assert not fresh.workers.ingest_heartbeat(report("vm-1", 49))
     assert fresh.workers.ingest_heartbeat(report("vm-1", 51))
 
@@ -189,8 +191,8 @@
         name = next(f"vm-{i}" for i in range(99) if e.replica.owner_of(f"vm-{i}") == "n1")
         e.workers.ingest_heartbeat(report(name, 50))
         for step in range(12):
-            e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
-            e.handle([HeartbeatReceived(step, report(name, 20 + step))], e.now + 0.9, 0.0)
+            e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.runtime.now
+            e.handle([HeartbeatReceived(step, report(name, 20 + step))], e.runtime.now + 0.9, 0.0)
         return e.view_requests.overrides
 
     assert wanted() == {}
@@ -268,11 +270,11 @@
 
     def returned() -> tuple[Controller, set[str]]:
         e = owner_of_nothing()
-        e.fleet.leader_since = e.now - 60
+        e.fleet.leader_since = e.runtime.now - 60
         e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
         for name in names:
             e.workers.ingest_heartbeat(report(name, 1))
-            e.workers.table[name].placement.idle_since = e.now - 50
+            e.workers.table[name].placement.idle_since = e.runtime.now - 50
         e.heartbeats.on_peer(ControllerHeartbeat("n1", 0.1))  # n2 is not heard
         e.fleet.delete_surplus(e.fleet.queued_demand())
         return e, set(e.fleet.deletions.pending)
@@ -380,7 +382,7 @@
     e.replica.set_job(
         Job(spec(id=job_id, crates=60, cores=0.2, owner="red", memory_gb=9.0), 0.0, 2)
     )
-    effects = e.handle([], e.now + 0.2, 0.0)
+    effects = e.handle([], e.runtime.now + 0.2, 0.0)
     plans = [
         x.request
         for x in effects
@@ -405,7 +407,7 @@
         e.replica.set_job(job)
         e.workers.ingest_heartbeat(report("vm-1", 1))
         for step in range(12):
-            e.now += 1.0
+            e.runtime.now += 1.0
             if not silent:
                 e.workers.ingest_heartbeat(report("vm-1", 2 + step))
             LostLaunchDetector.check(e.lost_launches)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -119,11 +119,16 @@
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
     name = next(f"vm-{i}" for i in range(99) if e.replica.owner_of(f"vm-{i}") == "n1")
     e.replica.set_job(
-        Job(spec(owner="red", crates=2), e.wall, 5, handoff_target=HandoffTarget("n0", "x.1"))
+        Job(
+            spec(owner="red", crates=2),
+            e.runtime.wall,
+            5,
+            handoff_target=HandoffTarget("n0", "x.1"),
+        )
     )
     seen: list[Effect] = []
     for tick in range(int(seconds / c.TICK_S)):
-        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.runtime.now
         batch: list[Command] = [Tick()]
         if tick % 20 == 0:  # its reports come, and show nothing new
             batch.append(
@@ -145,7 +150,7 @@
                     }
                 )
             )
-        seen += e.handle(batch, e.now + c.TICK_S, e.wall + c.TICK_S)
+        seen += e.handle(batch, e.runtime.now + c.TICK_S, e.runtime.wall + c.TICK_S)
     writes = [
         write
         for effect in seen
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -108,7 +108,7 @@
         mine = [
             job
             for job in e.replica.jobs.values()
-            if e.replica.owns_job(e.settings.name, job) and (name, job.id) not in self.busy
+            if e.replica.owns_job(e.runtime.settings.name, job) and (name, job.id) not in self.busy
         ]
         if not mine:
             return
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -302,10 +302,10 @@
     e.replica.set_job(Job(spec(id=name, crates=2, owner="red", hulls=types), 0.0, 2))
     e.client.max_value_bytes = 1740
     for worker in e.workers.table.values():
-        worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = e.now
+        worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = e.runtime.now
     written = [
         write.value
-        for call in calls(e.handle([], e.now + 0.2, e.wall), Transaction)
+        for call in calls(e.handle([], e.runtime.now + 0.2, e.runtime.wall), Transaction)
         for write in call.request.writes
         if getattr(write, "key", "") == JOBS + name
     ]
@@ -333,16 +333,18 @@
     )
     tries: list[float] = []
     bounds = {e.client.max_value_bytes}
-    start = e.now
-    while e.now < start + 60.0:
+    start = e.runtime.now
+    while e.runtime.now < start + 60.0:
         for worker in e.workers.table.values():
-            worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = e.now
-        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.now
-        for call in calls(e.handle([], e.now + 0.2, e.wall), Transaction):
+            worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = (
+                e.runtime.now
+            )
+        e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.runtime.now
+        for call in calls(e.handle([], e.runtime.now + 0.2, e.runtime.wall), Transaction):
             plan = call.request
             if any(getattr(write, "key", "") == JOBS + name for write in plan.writes):
-                tries.append(e.now)
-                e.handle([StoreReply(call.call_id, Rejected())], e.now, e.wall)
+                tries.append(e.runtime.now)
+                e.handle([StoreReply(call.call_id, Rejected())], e.runtime.now, e.runtime.wall)
                 bounds.add(e.client.max_value_bytes)
     assert 3 <= len(tries) <= 8
     gaps = [later - earlier for earlier, later in zip(tries, tries[1:], strict=False)]
