--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -193,7 +193,9 @@
     for pulse in kept(version)["messages"]["pulse"]:
         node = next(node for name, node in told.world.nodes.items() if name != pulse["node"])
         code, controller = node.runs, node.engine
-        controller.handle([code.peer_message(pulse)], controller.runtime.now, controller.runtime.wall)
+        controller.handle(
+            [code.peer_message(pulse)], controller.runtime.now, controller.runtime.wall
+        )
         assert code.hears(controller, pulse["node"])
         assert {"kind": "pulse", **code.told_by(controller, pulse["node"])} == pulse
 
