--- a/tests/loopback/cluster.py
+++ b/tests/loopback/cluster.py
@@ -12,7 +12,7 @@
 
 from appledock.net.http import Answer as HttpAnswer
 from appledock.net.http import Client, NoAnswer, NotSent, Server
-from tests.loopback.controller import Controller
+from tests.loopback.controller import ROOT, Controller
 from tests.loopback.relay import Relay
 from tests.standins.deployment import TYPES
 from tests.standins.judge import Judge
@@ -92,7 +92,12 @@
     cloud: LoopbackCloud
 
     def __init__(
-        self, folder: Path, teams: dict[str, float], options: list[str], seed: int
+        self,
+        folder: Path,
+        teams: dict[str, float],
+        options: list[str],
+        seed: int,
+        root: Path = ROOT,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         clock = RealClock(self.loop)
@@ -101,6 +106,8 @@
         self.names = list(NAMES)
         self.teams = teams
         self.folder, self.options = folder, options
+        self.root = root
+        """folder of the program that the controllers are started from"""
         self.state, self.cloud = State(clock, write_rps=40.0), LoopbackCloud(self)
         self.controllers: dict[str, Controller] = {}
         self.relays: dict[tuple[str, str], Relay] = {}
@@ -119,7 +126,9 @@
                     self.relays[source, target] = Relay(ports[target][1])
         for name in self.names:
             settings = await self._settings(name, ports)
-            self.controllers[name] = Controller(name, settings, self.folder, self.options)
+            self.controllers[name] = Controller(
+                name, settings, self.folder, self.options, self.root
+            )
         for controller in self.controllers.values():
             controller.start()
         self._look()
--- a/tests/loopback/controller.py
+++ b/tests/loopback/controller.py
@@ -16,7 +16,12 @@
     """A controller process with its settings file and its log."""
 
     def __init__(
-        self, name: str, settings: dict[str, Any], folder: Path, options: list[str]
+        self,
+        name: str,
+        settings: dict[str, Any],
+        folder: Path,
+        options: list[str],
+        root: Path = ROOT,
     ) -> None:
         self.name = name
         self.api: str = settings["public_addr"]
@@ -24,6 +29,8 @@
         self.config = folder / f"{name}.json"
         self.config.write_text(json.dumps(settings))
         self.options = options
+        self.root = root
+        """folder of the program; a later start may use another version"""
         self.process: subprocess.Popen[bytes] | None = None
         self.starts = 0
 
@@ -35,7 +42,7 @@
         with (self.folder / f"{self.name}.log").open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "run.py", *self.options, "--config", str(self.config)],
-                cwd=ROOT,
+                cwd=self.root,
                 stderr=log,
             )
 
