--- a/appledock/app.py
+++ b/appledock/app.py
@@ -108,7 +108,7 @@
             self.server.limit,
         )
         gc.freeze()
-        gc.set_threshold(c.GC_ALLOCATIONS)
+        gc.set_threshold(c.GC_THRESHOLD_OBJECTS)
         self.push(Tick())
         while True:
             await asyncio.sleep(c.TICK_S)
@@ -131,7 +131,7 @@
 
     def _work(self) -> None:
         self.scheduled = False
-        self.next_batch = self.loop.time() + c.BATCH_EVERY_S
+        self.next_batch = self.loop.time() + c.BATCH_INTERVAL_S
         batch, self.queue = self.queue, []
         since = self.loop.time()
         effects = self.engine.handle(batch, since, time.time())
--- a/appledock/console/changes.py
+++ b/appledock/console/changes.py
@@ -39,7 +39,7 @@
         for key in gone:
             self._dropped += 1
             self._set(key, None)
-        if self._dropped > c.CONSOLE_DROPPED_MAX:
+        if self._dropped > c.CONSOLE_TOMBSTONES_MAX:
             self._forget_dropped()
 
     def _set(self, key: str, row: Row | None) -> None:
--- a/appledock/console/link.py
+++ b/appledock/console/link.py
@@ -38,26 +38,28 @@
 
     def ask(self) -> Ask:
         """The next request."""
-        fits = (c.CONSOLE_ANSWER_S * self.bytes_per_s - c.CONSOLE_HEAD_BYTES) / self.row_bytes
+        fits = (
+            c.CONSOLE_RESPONSE_TARGET_S * self.bytes_per_s - c.CONSOLE_HEADERS_BYTES
+        ) / self.row_bytes
         return Ask(self.address, self.next_at, max(1, min(c.CONSOLE_ROWS_MAX, int(fits))))
 
     def answered(self, now: float, size: int, rows: int, more: bool) -> None:
         """An answer of so many bytes and rows came."""
         self.failures.clear()
-        size += c.CONSOLE_HEAD_BYTES
+        size += c.CONSOLE_HEADERS_BYTES
         if rows:
-            measured = max(1.0, (size - c.CONSOLE_HEAD_BYTES) / rows)
+            measured = max(1.0, (size - c.CONSOLE_HEADERS_BYTES) / rows)
             self.row_bytes += (measured - self.row_bytes) / 2
         # The link is left idle until the answer's bytes are paid for.
         paid = size / self.bytes_per_s
-        self.next_at = now + (paid if more else max(paid, c.CONSOLE_EVERY_S))
+        self.next_at = now + (paid if more else max(paid, c.CONSOLE_POLL_INTERVAL_S))
 
     def failed(self, now: float, reason: str) -> None:
         """No use came of asking; the next controller is asked, after a pause once round."""
         self.failures[self.address] = reason
         self.place = (self.place + 1) % len(self.addresses)
         once_round = len(self.failures) >= len(self.addresses)
-        self.next_at = now + (c.CONSOLE_RETRY_S if once_round else 0.0)
+        self.next_at = now + (c.CONSOLE_RETRY_DELAY_S if once_round else 0.0)
 
     def trouble(self) -> str:
         """Which controllers were tried in vain since the last answer; empty if none."""
--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -193,7 +193,7 @@
             Transaction({AGREED_FRACTIONS: version}, [Put(AGREED_FRACTIONS, record)]),
             Priority.USER,
             on_outcome,
-            constants.REQUEST_DEADLINE_S,
+            constants.REQUEST_TIMEOUT_S,
         )
 
     def _is_applied(self, change: FractionChange) -> bool:
@@ -236,7 +236,7 @@
 def _parse_identity(body: dict[str, Any]) -> tuple[str, int | None]:
     """Request id and expected version."""
     request_id, version = body.get("request"), body.get("version")
-    longest = constants.REQUEST_ID_MAX
+    longest = constants.REQUEST_ID_LENGTH_MAX
     if not isinstance(request_id, str) or not 1 <= len(request_id) <= longest:
         raise InvalidChangeError(f"request: a text of 1 to {longest} characters is needed")
     if version is not None and (isinstance(version, bool) or not isinstance(version, int)):
--- a/appledock/core/api/job_cancellation.py
+++ b/appledock/core/api/job_cancellation.py
@@ -111,7 +111,7 @@
                 case _:
                     self._requests.refuse(request_id, STORE_UNAVAILABLE)
 
-        self._client.submit(cancellation, Priority.USER, on_outcome, constants.REQUEST_DEADLINE_S)
+        self._client.submit(cancellation, Priority.USER, on_outcome, constants.REQUEST_TIMEOUT_S)
 
     def _apply(self, job: Job, revision: int, *, is_over: bool) -> None:
         """Take the committed cancellation into the replica, and tell the peers."""
--- a/appledock/core/api/job_records.py
+++ b/appledock/core/api/job_records.py
@@ -68,7 +68,7 @@
         if not unknown or not self._reader.loaded:
             return
         for job_id in sorted(unknown):
-            if len(self._being_read) >= constants.OUTCOMES_AT_ONCE:
+            if len(self._being_read) >= constants.CONCURRENT_OUTCOME_READS_MAX:
                 return
             if job_id not in self._being_read and (
                 self._runtime.now >= self._retry_at.get(job_id, 0.0)
@@ -81,7 +81,7 @@
         def finish() -> None:
             self._being_read.discard(job_id)
             if job_id in self._replica.dependencies.unknown_outcomes:
-                self._retry_at[job_id] = self._runtime.now + constants.RETRY_MAX_S
+                self._retry_at[job_id] = self._runtime.now + constants.RETRY_DELAY_MAX_S
             else:
                 self._retry_at.pop(job_id, None)
 
--- a/appledock/core/api/open_requests.py
+++ b/appledock/core/api/open_requests.py
@@ -40,11 +40,11 @@
 
     def admit(self, request_id: int) -> bool:
         """Take a request in, or refuse it: before the first load, and beyond the bound."""
-        self._deadlines[request_id] = self._runtime.now + constants.REQUEST_DEADLINE_S
+        self._deadlines[request_id] = self._runtime.now + constants.REQUEST_TIMEOUT_S
         if not self._reader.loaded:
             self.refuse(request_id, STARTING)
             return False
-        if len(self._deadlines) > constants.PENDING_USERS_MAX:
+        if len(self._deadlines) > constants.PENDING_REQUESTS_MAX:
             self.refuse(request_id, TOO_MANY_REQUESTS)
             return False
         return True
--- a/appledock/core/api/settings_api.py
+++ b/appledock/core/api/settings_api.py
@@ -91,7 +91,7 @@
             Transaction({SETTINGS: version}, [Put(SETTINGS, changed)]),
             Priority.USER,
             on_outcome,
-            constants.REQUEST_DEADLINE_S,
+            constants.REQUEST_TIMEOUT_S,
         )
 
     def _check(self, body: Any) -> tuple[dict[str, Any], int]:
--- a/appledock/core/api/status_polls.py
+++ b/appledock/core/api/status_polls.py
@@ -109,7 +109,7 @@
     # --- linearizable read ------------------------------------------------
     def confirm(self) -> None:
         """Compare the cached versions of the jobs of all waiting polls in one transaction."""
-        self._next_confirm_at = self._runtime.now + constants.PROOF_EVERY_S
+        self._next_confirm_at = self._runtime.now + constants.POLL_CONFIRMATION_WINDOW_S
         batch, conditions = self._take_batch()
         if not batch:
             return
@@ -127,7 +127,7 @@
                         self._requests.refuse(request.request_id, STORE_UNAVAILABLE)
 
         self._client.submit(
-            Transaction(conditions), Priority.USER, on_outcome, constants.REQUEST_DEADLINE_S
+            Transaction(conditions), Priority.USER, on_outcome, constants.REQUEST_TIMEOUT_S
         )
 
     def _take_batch(self) -> tuple[list[PendingRequest], dict[str, int]]:
@@ -136,7 +136,7 @@
         batch: list[PendingRequest] = []
         rest: list[PendingRequest] = []
         state_settings = self._runtime.settings.cluster.state
-        max_conditions = min(constants.PROOF_MAX, 4 * state_settings.txn_ops)
+        max_conditions = min(constants.POLL_CONFIRMATION_CONDITIONS_MAX, 4 * state_settings.txn_ops)
         for request in self._polls:
             job_id = request.job_id
             if request.request_id not in self._requests:
--- a/appledock/core/api/submission.py
+++ b/appledock/core/api/submission.py
@@ -144,7 +144,7 @@
                 case _:
                     self._requests.refuse(request_id, STORE_UNAVAILABLE)
 
-        self._client.submit(creation, Priority.USER, on_outcome, constants.REQUEST_DEADLINE_S)
+        self._client.submit(creation, Priority.USER, on_outcome, constants.REQUEST_TIMEOUT_S)
 
     def _on_created(self, request_id: int, job: Job) -> None:
         spec = job.spec
--- a/appledock/core/capacity/machine_usage.py
+++ b/appledock/core/capacity/machine_usage.py
@@ -48,12 +48,12 @@
     ) -> float:
         """How long the attempts may still take to leave the machine, by the estimates."""
         if spec.service:
-            return constants.REPLICA_LEAVES_S
+            return constants.REPLICA_MOVE_ESTIMATE_S
         longest = 0.0
         for attempt in attempts:
             for task in attempt.tasks:
                 key = (f"{spec.id}/{task}", attempt.attempt_number)
                 now = self._runtime.now
                 ran_s = now - worker.status.running_since.get(key, now)
-                longest = max(longest, spec.estimate_s - ran_s, constants.TASK_LEAVES_S)
+                longest = max(longest, spec.estimate_s - ran_s, constants.TASK_REMAINING_MIN_S)
         return longest
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -139,7 +139,7 @@
         workers = self._workers
         # A controller that has just begun to act has not received every heartbeat yet.
         acting_s = self._runtime.now - self._membership.can_act_since
-        are_workers_known = acting_s > constants.UNHEARD_S
+        are_workers_known = acting_s > constants.FIRST_HEARTBEAT_TIMEOUT_S
         return [
             machine
             for machine, _ in self._replica.capacity.owned_machines()
@@ -210,7 +210,7 @@
             self._is_writing = False
             self._on_outcome(transaction, outcome)
 
-        self._client.submit(transaction, Priority.STEP, on_outcome, constants.STEP_PATIENCE_S)
+        self._client.submit(transaction, Priority.STEP, on_outcome, constants.STEP_QUEUE_TIMEOUT_S)
 
     def _on_outcome(self, transaction: Transaction, outcome: StoreOutcome) -> None:
         match outcome:
--- a/appledock/core/capacity/preferred_owners.py
+++ b/appledock/core/capacity/preferred_owners.py
@@ -53,7 +53,7 @@
         is_stable = (
             member is not None
             and view.members.get(node) == member.incarnation
-            and self._runtime.now - member.joined_at >= constants.PREFERRED_STEADY_S
+            and self._runtime.now - member.joined_at >= constants.PREFERRED_OWNER_MIN_UPTIME_S
         )
         return node if is_stable and self._heartbeats.is_reachable(node) else None
 
@@ -113,7 +113,7 @@
         """
         now = self._runtime.now
         if (
-            now - self._checked_at < constants.PREFERRED_HAND_EVERY_S
+            now - self._checked_at < constants.PREFERRED_OWNER_HANDOFF_INTERVAL_S
             or self._pacing.is_step_rate_limited()
         ):
             return
--- a/appledock/core/fleet/boot_time.py
+++ b/appledock/core/fleet/boot_time.py
@@ -14,5 +14,5 @@
 
 def boot_timeout_s(machine_type: wire.MachineType | None) -> float:
     """Age at which a machine without a heartbeat counts as late; None: its type is unknown."""
-    boot_s = machine_type.boot_s if machine_type else constants.BOOT_UNKNOWN_S
-    return max(constants.BOOT_LATE_MIN_S, constants.BOOT_LATE * boot_s)
+    boot_s = machine_type.boot_s if machine_type else constants.BOOT_TIME_DEFAULT_S
+    return max(constants.BOOT_TIMEOUT_MIN_S, constants.BOOT_TIMEOUT_RATIO * boot_s)
--- a/appledock/core/fleet/catalogue.py
+++ b/appledock/core/fleet/catalogue.py
@@ -78,10 +78,12 @@
         now = self._runtime.now
         self._is_reading = False
         if isinstance(result, CloudFailure):
-            self._next_read_at = now + constants.TYPES_RETRY_S + self._runtime.rng.random()
+            self._next_read_at = (
+                now + constants.MACHINE_TYPES_RETRY_DELAY_S + self._runtime.rng.random()
+            )
             self._cloud.back_off()
             return
-        self._next_read_at = now + constants.TYPES_EVERY_S
+        self._next_read_at = now + constants.MACHINE_TYPES_INTERVAL_S
         self._machine_types.clear()
         self._machine_types.update((offered.name, offered) for offered in result.types)
         self._capacity_index.mark_all_changed()
@@ -109,7 +111,7 @@
             if isinstance(outcome, Committed):
                 self._replica.put(CATALOGUE, value, outcome.revision)
             else:
-                retry_at = self._runtime.now + constants.CATALOGUE_RETRY_S
+                retry_at = self._runtime.now + constants.CATALOGUE_WRITE_RETRY_DELAY_S
                 self._next_read_at = min(self._next_read_at, retry_at)
 
         self._client.submit(
--- a/appledock/core/fleet/cordons.py
+++ b/appledock/core/fleet/cordons.py
@@ -103,7 +103,10 @@
             return
         placement = worker.placement
         placement.failed_jobs.add(job_id)
-        if len(placement.failed_jobs) >= constants.ERRORS_OF_JOBS and not placement.cordon_reason:
+        if (
+            len(placement.failed_jobs) >= constants.FAULTY_MACHINE_JOBS_MIN
+            and not placement.cordon_reason
+        ):
             log.warning(
                 "faulty machine cordoned: machine=%s failed_jobs=%s",
                 machine,
@@ -138,7 +141,7 @@
         placement = worker.placement
         return (
             placement.cordon_reason == ScaleInReason.IDLE
-            and self._runtime.now - placement.cordoned_at > constants.CORDON_LAPSE_S
+            and self._runtime.now - placement.cordoned_at > constants.CORDON_TTL_S
         )
 
     def _evict(self, machine: str, *, only_checkpointing: bool) -> None:
--- a/appledock/core/fleet/deletions.py
+++ b/appledock/core/fleet/deletions.py
@@ -18,8 +18,8 @@
 class MachineDeletions:
     """Keeps the machines that are to be deleted, until the cloud has confirmed it.
 
-    Between cordon and deletion `CORDON_S` pass, in which a step that another controller has
-    placed there meanwhile becomes known; then the machine is kept.
+    Between cordon and deletion `DELETION_CORDON_S` pass, in which a step that another controller
+    has placed there meanwhile becomes known; then the machine is kept.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
         """machine -> its deletion"""
 
     def cordon(self, machine: str, reason: ScaleInReason) -> None:
-        """Cordon an empty machine, to be deleted if it is still empty after `CORDON_S`."""
+        """Cordon an empty machine, to be deleted if it is still empty after `DELETION_CORDON_S`."""
         self.pending[machine] = PendingDeletion(self._runtime.now, reason)
         self._cordons.set_everywhere(machine, reason)
 
     def delete_soon(self, machine: str, reason: ScaleInReason) -> None:
         """Delete a machine at the next opportunity, empty or not."""
-        cordoned_at = self._runtime.now - constants.CORDON_S
+        cordoned_at = self._runtime.now - constants.DELETION_CORDON_S
         self.pending[machine] = PendingDeletion(cordoned_at, reason, is_forced=True)
 
     def on_failed(self, machines: list[str]) -> None:
@@ -64,7 +64,7 @@
         for machine, deletion in list(self.pending.items()):
             if (
                 deletion.is_call_in_flight
-                or self._runtime.now < deletion.cordoned_at + constants.CORDON_S
+                or self._runtime.now < deletion.cordoned_at + constants.DELETION_CORDON_S
             ):
                 continue
             if self._has_recovered(machine, deletion):
@@ -75,7 +75,7 @@
             else:
                 due.append(machine)
         if due:
-            self.delete(due[: constants.DELETE_MAX])
+            self.delete(due[: constants.DELETION_MACHINES_MAX])
 
     def _has_recovered(self, machine: str, deletion: PendingDeletion) -> bool:
         """Has a heartbeat arrived since the machine was to be deleted for the lack of them?
@@ -87,7 +87,8 @@
         return (
             deletion.reason.is_void_after_heartbeat
             and worker is not None
-            and worker.reachability.last_healthy_at > deletion.cordoned_at + constants.CORDON_S
+            and worker.reachability.last_healthy_at
+            > deletion.cordoned_at + constants.DELETION_CORDON_S
         )
 
     def delete(self, machines: list[str]) -> None:
@@ -98,11 +99,11 @@
             deletion.is_call_in_flight = True
             if (
                 deletion.reason is ScaleInReason.IDLE
-                and now - deletion.cordoned_at > constants.CORDON_LAPSE_S / 3
+                and now - deletion.cordoned_at > constants.CORDON_TTL_S / 3
             ):
                 # Calls to the cloud fail: renewed, so that the cordon does not become stale
                 # at the peers, and nothing is placed there meanwhile.
-                deletion.cordoned_at = now - constants.CORDON_S
+                deletion.cordoned_at = now - constants.DELETION_CORDON_S
                 self._cordons.announce(machine, deletion.reason)
         self._cloud.delete(machines, lambda failure: self._on_result(machines, failure))
 
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -71,7 +71,7 @@
 
     def _is_worth_machines(self, job: Job) -> bool:
         """Can it run on a type that is offered, and has it not failed on machine after machine?"""
-        return job.consecutive_failures < constants.RENT_FAILURES and any(
+        return job.consecutive_failures < constants.RENTAL_JOB_FAILURES_LIMIT and any(
             can_run_on_type(job.spec, machine_type) for machine_type in self._machine_types.values()
         )
 
@@ -91,7 +91,7 @@
         self, freed: MachineCapacity, spec: wire.JobSpec, attempts: list[Attempt], worker: Worker
     ) -> None:
         """Add what the tasks free that, by their estimate, end within the horizon."""
-        horizon_s = boot_and_fetch_s(spec, freed.type) * constants.SOON_SHARE
+        horizon_s = boot_and_fetch_s(spec, freed.type) * constants.FREED_CAPACITY_HORIZON_SHARE
         now, running_since = self._runtime.now, worker.status.running_since
         for attempt in attempts:
             for task in attempt.tasks:
--- a/appledock/core/fleet/desired_capacity.py
+++ b/appledock/core/fleet/desired_capacity.py
@@ -126,7 +126,7 @@
         up = sum(worker.report is not None for worker in self._workers.table.values())
         allowed = int(self._operator_settings["machines_max"]) - up - booting
         for kind, count in missing.items():
-            number = min(count, constants.RENT_MAX, allowed)
+            number = min(count, constants.RENTAL_MACHINES_MAX, allowed)
             if number > 0:
                 allowed -= number
                 self._scale_out.rent(kind, number)
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -82,7 +82,8 @@
             if can_run_on_type(job.spec, machine_type)
         ]
         return (
-            bool(boot_times_s) and self.ready_in_s(job) <= min(boot_times_s) * constants.AHEAD_SHARE
+            bool(boot_times_s)
+            and self.ready_in_s(job) <= min(boot_times_s) * constants.DEMAND_FORECAST_HORIZON_RATIO
         )
 
     def ready_in_s(self, job: Job) -> float:
--- a/appledock/core/fleet/inventory.py
+++ b/appledock/core/fleet/inventory.py
@@ -43,7 +43,7 @@
         self._on_failed = on_failed
         self.listed: dict[str, wire.Machine] = {}
         """machine -> its row in the last complete list"""
-        self.listed_at = constants.LONG_AGO
+        self.listed_at = constants.DISTANT_PAST
         self.rentals: dict[str, RentedMachine] = {}
         """machines rented, and seen neither in the list nor by a heartbeat since"""
         self.rented_at: dict[str, float] = {}
@@ -59,7 +59,10 @@
     def _forget_rentals(self) -> None:
         """Drop rentals whose machine shows elsewhere by now, or is lost."""
         now, workers = self._runtime.now, self._workers
-        lost_after_s = constants.LOST_AFTER_S + 2 * self._runtime.settings.cluster.cloud.list_lag_s
+        lost_after_s = (
+            constants.UNLISTED_MACHINE_TIMEOUT_S
+            + 2 * self._runtime.settings.cluster.cloud.list_lag_s
+        )
         for name, rental in list(self.rentals.items()):
             if (
                 name in workers.table
@@ -88,7 +91,7 @@
         rented_at = self.rented_at.get(machine)
         return (
             rented_at is None
-            or self._runtime.now - rented_at > constants.MIN_CHARGE_S - constants.CORDON_S
+            or self._runtime.now - rented_at > constants.MIN_CHARGE_S - constants.DELETION_CORDON_S
         )
 
     # --- deletion ---------------------------------------------------------
@@ -148,7 +151,8 @@
         """Is the machine's first heartbeat overdue?
 
         One listed as running may only be unknown to this controller, which perhaps became
-        leader a moment ago: it counts once the leader has waited `UNHEARD_S` for a heartbeat.
+        leader a moment ago: it counts once the leader has waited `FIRST_HEARTBEAT_TIMEOUT_S`
+        for a heartbeat.
         """
         machine_type = self._machine_types.get(machine.kind.type)
         if machine.age_s <= boot_timeout_s(machine_type) or leader_since is None:
@@ -160,4 +164,4 @@
         row = self.listed.get(name)
         if row is not None and row.state == wire.BOOTING:
             return True
-        return self._runtime.now - leader_since > constants.UNHEARD_S
+        return self._runtime.now - leader_since > constants.FIRST_HEARTBEAT_TIMEOUT_S
--- a/appledock/core/fleet/machine_list.py
+++ b/appledock/core/fleet/machine_list.py
@@ -70,7 +70,7 @@
         reading.is_call_in_flight = False
         if isinstance(page, CloudFailure):
             self._cloud.back_off()
-            if now - reading.began_at > constants.LIST_ABANDON_S:
+            if now - reading.began_at > constants.MACHINE_LIST_TIMEOUT_S:
                 self._end_reading()
             return
         reading.found.update((machine.id, machine) for machine in page.machines)
@@ -83,8 +83,8 @@
 
     def _page_pause_s(self) -> float:
         """Pause between two pages, which leaves rate for renting and deleting."""
-        return 1.0 / (self._runtime.settings.cluster.cloud.rps * constants.LIST_CALLS_SHARE)
+        return 1.0 / (self._runtime.settings.cluster.cloud.rps * constants.MACHINE_LIST_CALLS_SHARE)
 
     def _end_reading(self) -> None:
         self._reading = None
-        self._next_reading_at = self._runtime.now + constants.LIST_EVERY_S
+        self._next_reading_at = self._runtime.now + constants.MACHINE_LIST_INTERVAL_S
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -163,7 +163,7 @@
             return
         now = self._runtime.now
         if self._membership.can_act() and now >= self._next_cordon_check_at:
-            self._next_cordon_check_at = now + constants.FLEET_EVERY_S
+            self._next_cordon_check_at = now + constants.FLEET_CHECK_INTERVAL_S
             self.cordons.enforce(self._pending_deletions_as_leader())
         is_leader = self._follow_leadership()
         if now < self.cloud.paused_until:
@@ -178,7 +178,7 @@
         self.machine_list.refresh()
         self.scale_out.retry()
         if now >= self._next_scaling_at and self._machine_types:
-            self._next_scaling_at = now + constants.FLEET_EVERY_S
+            self._next_scaling_at = now + constants.FLEET_CHECK_INTERVAL_S
             self._capacity_index.recompute()
             demand = self.queued_demand()
             self.rent_missing(demand)
@@ -187,7 +187,7 @@
     def _follow_leadership(self) -> bool:
         """Is this controller the leader? When that begins, old knowledge is dropped.
 
-        Scaling then waits for `LEADER_PAUSE_S`: until the peers have sent what they know, a
+        Scaling then waits for `NEW_LEADER_DELAY_S`: until the peers have sent what they know, a
         machine without a heartbeat here is neither late nor missing.
         """
         if not self._membership.is_leader():
@@ -197,7 +197,7 @@
             now = self._runtime.now
             self.leader_since = now
             self.machine_list.restart()
-            self._next_scaling_at = now + constants.LEADER_PAUSE_S
+            self._next_scaling_at = now + constants.NEW_LEADER_DELAY_S
             self.deletions.pending.clear()
         return True
 
--- a/appledock/core/fleet/model.py
+++ b/appledock/core/fleet/model.py
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class PendingDeletion:
-    """A machine to be deleted, `CORDON_S` after its cordon, if it is still empty by then."""
+    """A machine to be deleted `DELETION_CORDON_S` after its cordon, if it is still empty then."""
 
     cordoned_at: float
     reason: ScaleInReason
--- a/appledock/core/fleet/offers.py
+++ b/appledock/core/fleet/offers.py
@@ -21,7 +21,7 @@
 
     def mark_unavailable(self, kind: MachineKind) -> None:
         """The cloud has no more machines of this kind for now."""
-        self.unavailable_until[kind] = self._runtime.now + constants.NO_CAPACITY_S
+        self.unavailable_until[kind] = self._runtime.now + constants.NO_CAPACITY_BACKOFF_S
 
     def cheapest(
         self, spec: wire.JobSpec, tasks: int, zone: str | None = None
--- a/appledock/core/fleet/scale_in.py
+++ b/appledock/core/fleet/scale_in.py
@@ -120,7 +120,7 @@
             and now - idle_since > self._operator_settings["idle_return_s"]
             and self._inventory.is_past_minimum_charge(name)
             and worker.placement.cordon_reason != ScaleInReason.OPERATOR
-            and now - worker.reachability.last_heartbeat_at < constants.IDLE_HEARD_S
+            and now - worker.reachability.last_heartbeat_at < constants.IDLE_HEARTBEAT_AGE_MAX_S
             and self._is_certainly_empty(name)
             and not self._could_run_queued(name, queue)
             and not self._upcoming_reserve.keep(name)
@@ -136,7 +136,7 @@
     def _has_timed_out(self, worker: Worker) -> bool:
         """Has it sent no heartbeat for so long that no recorded task can still run there?"""
         silent_s = self._runtime.now - worker.reachability.last_heartbeat_at
-        return silent_s > constants.SILENT_DELETE_S and (
+        return silent_s > constants.SILENT_MACHINE_TIMEOUT_S and (
             worker.lease.expired_epoch >= worker.agent_epoch
             or worker.id not in self._replica.attempts_by_machine
         )
--- a/appledock/core/fleet/scale_out.py
+++ b/appledock/core/fleet/scale_out.py
@@ -77,7 +77,10 @@
         if not isinstance(result, CloudFailure):
             self.requests.remove(request)
             self._on_rented(request, list(result.machines))
-        elif result.outcome is CloudOutcome.UNKNOWN and request.attempts < constants.RENT_TRIES:
+        elif (
+            result.outcome is CloudOutcome.UNKNOWN
+            and request.attempts < constants.RENTAL_ATTEMPTS_MAX
+        ):
             request.next_attempt_at = (
                 self._runtime.now + constants.CLOUD_PAUSE_S + self._runtime.rng.random()
             )
--- a/appledock/core/fleet/summary.py
+++ b/appledock/core/fleet/summary.py
@@ -34,11 +34,11 @@
         self._next_line_at = 0.0
 
     def log_if_due(self, target_cpus: float, reserve: Reserve, pending_deletions: int) -> None:
-        """Log the line, at most once in `TELL_EVERY_S`."""
+        """Log the line, at most once in `FLEET_SUMMARY_INTERVAL_S`."""
         now, inventory = self._runtime.now, self._inventory
         if now < self._next_line_at:
             return
-        self._next_line_at = now + constants.TELL_EVERY_S
+        self._next_line_at = now + constants.FLEET_SUMMARY_INTERVAL_S
         up = [worker for worker in self._workers.table.values() if worker.report is not None]
         idle = [worker for worker in up if worker.placement.idle_since]
         idle_return_s = self._operator_settings["idle_return_s"]
--- a/appledock/core/fleet/unresponsive.py
+++ b/appledock/core/fleet/unresponsive.py
@@ -45,17 +45,19 @@
             if worker.report
         ]
         return (
-            sum(are_recent) >= constants.CALM_SHARE * len(are_recent)
-            and self._workers.reporting_fraction() >= constants.REPORTING_SHARE
+            sum(are_recent) >= constants.DELETE_REPORTING_SHARE_MIN * len(are_recent)
+            and self._workers.reporting_fraction() >= constants.REPORTING_SHARE_MIN
         )
 
     def find(self, pending_deletions: Container[str]) -> list[str]:
         """Find machines to delete, and probe those that are only suspected.
 
         To be called only while `are_most_workers_reporting`. A new leader probes at once, but
-        names no machine until it has been able to act for `CALM_S`.
+        names no machine until it has been able to act for `LEADER_DELETE_DELAY_S`.
         """
-        can_delete = self._runtime.now - self._membership.can_act_since >= constants.CALM_S
+        can_delete = (
+            self._runtime.now - self._membership.can_act_since >= constants.LEADER_DELETE_DELAY_S
+        )
         unresponsive = []
         for machine, worker in self._workers.table.items():
             if machine in pending_deletions or not self._is_suspected(worker):
@@ -64,7 +66,7 @@
             if (
                 can_delete
                 and self._is_last_probe_unanswered(worker)
-                and silent_s > constants.MUTE_S * self._report_s
+                and silent_s > constants.UNRESPONSIVE_SILENCE_INTERVALS * self._report_s
             ):
                 log.warning("machine unresponsive: machine=%s silent_s=%.1f", machine, silent_s)
                 unresponsive.append(machine)
@@ -81,7 +83,7 @@
         return (
             worker.report is not None
             and worker.id not in self._workers.deleted_machines
-            and silent_s >= constants.SUSPECT_REPORTS * self._report_s
+            and silent_s >= constants.SUSPECT_SILENCE_INTERVALS * self._report_s
             and self._runs_service(worker.id)
         )
 
@@ -95,7 +97,7 @@
         reachability = worker.reachability
         return (
             reachability.last_healthy_at < reachability.probe_failed_at
-            and self._runtime.now - reachability.probe_failed_at < 2 * constants.SHOW_EVERY_S
+            and self._runtime.now - reachability.probe_failed_at < 2 * constants.PROBE_INTERVAL_S
         )
 
     def _probe_if_due(self, worker: Worker) -> None:
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -67,7 +67,7 @@
         now = self._runtime.now
         if now < self._next_check_at:
             return
-        self._next_check_at = now + constants.SILENCE_EVERY_S
+        self._next_check_at = now + constants.MACHINE_CHECK_INTERVAL_S
         if not self._replica.cancelled_jobs and not self._known:
             return
         self._forget_old()
@@ -129,7 +129,7 @@
             return not self._membership.can_act()
         return (
             not self._heartbeats.is_served(owner)
-            or self._runtime.now - known.learned_at > constants.HALT_FOR_OTHERS_S
+            or self._runtime.now - known.learned_at > constants.CANCEL_HALT_FALLBACK_DELAY_S
         )
 
     # --- deletions --------------------------------------------------------
@@ -140,8 +140,8 @@
         """
         cancel_s = self._runtime.settings.cluster.workers.cancel_s
         return (
-            self._runtime.now > known.committed_at + cancel_s - constants.CANCEL_DELETE_S
-            and self._runtime.now - known.learned_at > constants.HALT_FOR_OTHERS_S
+            self._runtime.now > known.committed_at + cancel_s - constants.CANCEL_DELETE_LEAD_S
+            and self._runtime.now - known.learned_at > constants.CANCEL_HALT_FALLBACK_DELAY_S
         )
 
     def _may_run(self, job: Job, attempt: Attempt) -> bool:
@@ -167,7 +167,7 @@
         lease_s = self._runtime.settings.cluster.workers.lease_s
         last_renewal_at = max(worker.lease.renewable_until, worker.reachability.last_heartbeat_at)
         return self._runtime.now - last_renewal_at > (
-            lease_s * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN_S
+            lease_s * (1 + constants.CLOCK_DRIFT) + constants.LEASE_EXPIRY_MARGIN_S
         )
 
     def _is_settled(self, job: Job, attempt: Attempt) -> bool:
--- a/appledock/core/jobs/cancelled_task_halter.py
+++ b/appledock/core/jobs/cancelled_task_halter.py
@@ -28,7 +28,7 @@
 
 
 class CancelledTaskHalter:
-    """Halts cancelled tasks directly at their workers, each at most every `HALT_AGAIN_S`."""
+    """Halts cancelled tasks directly at their workers, each at most every `HALT_RETRY_DELAY_S`."""
 
     def __init__(self, runtime: Runtime, replica: Replica, workers: Workers) -> None:
         self._runtime = runtime
@@ -53,8 +53,8 @@
         due = [
             task
             for task in tasks
-            if now - self._halted_at.get(_halted_task(report, task), constants.LONG_AGO)
-            >= constants.HALT_AGAIN_S
+            if now - self._halted_at.get(_halted_task(report, task), constants.DISTANT_PAST)
+            >= constants.HALT_RETRY_DELAY_S
         ]
         if due:
             self._halted_at.update((_halted_task(report, task), now) for task in due)
@@ -66,7 +66,7 @@
         self._halted_at = {
             task: halted_at
             for task, halted_at in self._halted_at.items()
-            if now - halted_at < constants.HALT_AGAIN_S
+            if now - halted_at < constants.HALT_RETRY_DELAY_S
         }
 
     def _is_cancelled(self, job_id: str) -> bool:
@@ -92,7 +92,9 @@
                 self._ingest_if_known(reply.report)
 
         self._runtime.call(
-            lambda call_id: WorkerCall(call_id, report.addr, orders, constants.ORDERS_TIMEOUT_S),
+            lambda call_id: WorkerCall(
+                call_id, report.addr, orders, constants.WORKER_COMMAND_TIMEOUT_S
+            ),
             on_reply,
         )
 
--- a/appledock/core/jobs/cancelled_task_machines.py
+++ b/appledock/core/jobs/cancelled_task_machines.py
@@ -39,10 +39,12 @@
         and the workers' leases end without it.
         """
         now = self._runtime.now
-        due = [name for name in names if not self._is_requested(name)][: constants.DELETE_MAX]
+        due = [name for name in names if not self._is_requested(name)][
+            : constants.DELETION_MACHINES_MAX
+        ]
         if not due or now < self._next_request_at or not self._hears_most_workers():
             return
-        self._next_request_at = now + constants.CANCEL_DELETE_AGAIN_S / 2
+        self._next_request_at = now + constants.CANCEL_DELETE_RETRY_DELAY_S / 2
         self._requested_at.update(dict.fromkeys(due, now))
         log.warning("deleting machines of cancelled tasks: machines=%s", due)
 
@@ -67,8 +69,8 @@
         }
 
     def _is_requested(self, name: str) -> bool:
-        requested_at = self._requested_at.get(name, constants.LONG_AGO)
-        return self._runtime.now - requested_at < constants.CANCEL_DELETE_AGAIN_S
+        requested_at = self._requested_at.get(name, constants.DISTANT_PAST)
+        return self._runtime.now - requested_at < constants.CANCEL_DELETE_RETRY_DELAY_S
 
     def _hears_most_workers(self) -> bool:
         recent_s = 2 * self._runtime.settings.cluster.workers.report_s
@@ -77,4 +79,4 @@
             for worker in self._workers.table.values()
             if worker.report
         ]
-        return sum(are_recent) >= constants.CALM_SHARE * len(are_recent)
+        return sum(are_recent) >= constants.DELETE_REPORTING_SHARE_MIN * len(are_recent)
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -204,7 +204,7 @@
             transaction,
             priority,
             lambda outcome: self._on_outcome(write, outcome),
-            constants.STEP_PATIENCE_S if is_step_or_end else constants.PATIENCE_S,
+            constants.STEP_QUEUE_TIMEOUT_S if is_step_or_end else constants.QUEUE_TIMEOUT_S,
         )
         if call is None:
             return False
@@ -273,12 +273,12 @@
     def _backoff_s(self, write: JobWrite, outcome: StoreOutcome) -> float:
         """Return the time until the job is decided anew after a write that did not succeed."""
         job, random = write.job, self._runtime.rng.random
-        spread_s = constants.RETRY_MAX_S - constants.RETRY_MIN_S
-        backoff_s = constants.RETRY_MIN_S + random() * spread_s
+        spread_s = constants.RETRY_DELAY_MAX_S - constants.RETRY_DELAY_MIN_S
+        backoff_s = constants.RETRY_DELAY_MIN_S + random() * spread_s
         match outcome:
             case Conflict():
                 self._reader.read_keys(outcome.failed)
-                return constants.RETRY_MIN_S * random()
+                return constants.RETRY_DELAY_MIN_S * random()
             case UnknownOutcome():
                 # It may be applied, now or later: read before acting on either.
                 team_keys = [TEAMS + job.spec.team] if write.team_record else []
--- a/appledock/core/machines/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -94,7 +94,7 @@
         now = self._runtime.now
         if now < self._next_check_at:
             return
-        self._next_check_at = now + constants.SILENCE_EVERY_S
+        self._next_check_at = now + constants.MACHINE_CHECK_INTERVAL_S
         for name, machine in self.machines.items():
             worker = self._workers.table.get(name)
             if (
--- a/appledock/core/membership/format_upgrade.py
+++ b/appledock/core/membership/format_upgrade.py
@@ -85,7 +85,7 @@
 
         def on_outcome(outcome: StoreOutcome) -> None:
             self._is_recording = False
-            self._next_attempt_at = self._runtime.now + constants.TOUCH_RETRY_S
+            self._next_attempt_at = self._runtime.now + constants.MEMBERSHIP_RETRY_DELAY_S
             match outcome:
                 case Committed():
                     replica.put(FORMAT, record, outcome.revision)
--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -72,12 +72,12 @@
             self._not_isolated_at = now
         if now < self._next_heartbeat_at:
             return
-        self._next_heartbeat_at = now + constants.HEARTBEAT_EVERY_S
+        self._next_heartbeat_at = now + constants.CONTROLLER_HEARTBEAT_INTERVAL_S
         self._send()
         if self.last_heartbeats:
             self._client.limiter.on_peer_write_rate(
                 sum(received.heartbeat.write_rate for received in self._from_reachable_peers()),
-                self._runtime.settings.cluster.state.write_rps * constants.BUDGET_SHARE,
+                self._runtime.settings.cluster.state.write_rps * constants.STORE_RATE_BUDGET_SHARE,
             )
 
     def _send(self) -> None:
@@ -85,7 +85,7 @@
         status = self._local_status()
         heartbeat = ControllerHeartbeat(
             node=self._runtime.node,
-            store_answer_age_s=round(min(store_answer_age_s, constants.AGE_MAX_S), 3),
+            store_answer_age_s=round(min(store_answer_age_s, constants.PEER_AGE_MAX_S), 3),
             write_rate=round(self._client.limiter.recent_write_rate, 2),
             reporting_fraction=round(status.reporting_fraction, 3),
             owner_timeouts=status.owner_timeouts,
@@ -102,13 +102,13 @@
 
     # --- a single controller ----------------------------------------------
     def is_reachable(self, node: str) -> bool:
-        """Did the last heartbeat of the node arrive within `HEARTBEAT_LOST_S`?"""
+        """Did the last heartbeat of the node arrive within `CONTROLLER_HEARTBEAT_TIMEOUT_S`?"""
         if node == self._runtime.node:
             return True
         received = self.last_heartbeats.get(node)
         return (
             received is not None
-            and self._runtime.now - received.received_at < constants.HEARTBEAT_LOST_S
+            and self._runtime.now - received.received_at < constants.CONTROLLER_HEARTBEAT_TIMEOUT_S
         )
 
     def is_served(self, node: str) -> bool:
@@ -116,14 +116,15 @@
         if node == self._runtime.node:
             return self._membership.can_act()
         return self.is_reachable(node) and (
-            self._runtime.now - self.last_heartbeats[node].served_at < constants.HEARTBEAT_SERVED_S
+            self._runtime.now - self.last_heartbeats[node].served_at
+            < constants.STORE_UNREACHABLE_TIMEOUT_S
         )
 
     def receives_worker_reports(self, node: str) -> bool:
         """Is the node reachable, and do most of its workers reach it, as far as it says?"""
         received = self.last_heartbeats.get(node)
         fraction = received.heartbeat.reporting_fraction if received is not None else 1.0
-        return self.is_reachable(node) and fraction >= constants.REPORTING_SHARE
+        return self.is_reachable(node) and fraction >= constants.REPORTING_SHARE_MIN
 
     # --- all peers --------------------------------------------------------
     def _from_reachable_peers(self) -> Iterator[ReceivedHeartbeat]:
@@ -161,11 +162,11 @@
         is reachable.
         """
         served_at = self._membership.store_answered_at
-        if not self._peers or self._runtime.now - served_at < constants.SHUT_OUT_S:
+        if not self._peers or self._runtime.now - served_at < constants.ISOLATION_TIMEOUT_S:
             return False
         reachable = [peer for peer in self._peers if self.is_reachable(peer)]
         return not reachable or any(
-            self.last_heartbeats[peer].served_at - served_at > constants.SERVED_LATER_S
+            self.last_heartbeats[peer].served_at - served_at > constants.ISOLATION_PEER_AHEAD_S
             for peer in reachable
         )
 
@@ -174,7 +175,7 @@
 
         True as well if it reaches no peer: then the others probably go on without it.
         """
-        return self._runtime.now - self._not_isolated_at > constants.SHUT_OUT_FOR_S
+        return self._runtime.now - self._not_isolated_at > constants.ISOLATION_CONFIRMATION_S
 
     def has_leader_failed(self) -> bool:
         """Does the leader, and not the network between all controllers, fail?
--- a/appledock/core/membership/joining.py
+++ b/appledock/core/membership/joining.py
@@ -105,7 +105,7 @@
 
     def _retry_later(self) -> None:
         self._membership.abandon_joining()
-        self._retry_at = self._runtime.now + constants.TOUCH_RETRY_S * (
+        self._retry_at = self._runtime.now + constants.MEMBERSHIP_RETRY_DELAY_S * (
             0.5 + self._runtime.rng.random()
         )
 
--- a/appledock/core/membership/lease_renewal.py
+++ b/appledock/core/membership/lease_renewal.py
@@ -41,7 +41,7 @@
 
     def on_joined(self) -> None:
         """The lease is new: its first renewal is due in half the usual interval."""
-        self._next_renewal_at = self._runtime.now + constants.TOUCH_EVERY_S / 2
+        self._next_renewal_at = self._runtime.now + constants.LEASE_RENEWAL_INTERVAL_S / 2
 
     def _renew(self) -> None:
         """Renew the lease, which counts from now on if that succeeds, not from the answer."""
@@ -57,13 +57,15 @@
                 case Acknowledged():
                     self._membership.on_lease_renewed(sent_at)
                     self._next_renewal_at = max(
-                        self._runtime.now, sent_at + constants.TOUCH_EVERY_S
+                        self._runtime.now, sent_at + constants.LEASE_RENEWAL_INTERVAL_S
                     )
                 case Missing():
                     self._membership.on_lost("lease expired")
                 case _:
-                    self._next_renewal_at = self._runtime.now + constants.TOUCH_RETRY_S * (
-                        0.75 + self._runtime.rng.random() / 2
+                    self._next_renewal_at = (
+                        self._runtime.now
+                        + constants.MEMBERSHIP_RETRY_DELAY_S
+                        * (0.75 + self._runtime.rng.random() / 2)
                     )
 
         assert lease is not None  # joined, so there is one
--- a/appledock/core/membership/membership.py
+++ b/appledock/core/membership/membership.py
@@ -59,13 +59,13 @@
         self._joins_begun = 0
         self.lease: int | None = None
         """id of the lease that the member key is attached to"""
-        self.lease_renewed_at = constants.LONG_AGO
+        self.lease_renewed_at = constants.DISTANT_PAST
         """when the last successful grant or renewal of the lease was sent"""
-        self.view_confirmed_at = constants.LONG_AGO
+        self.view_confirmed_at = constants.DISTANT_PAST
         """when the last call was sent that proved the known view to be the newest one"""
-        self.store_answered_at = constants.LONG_AGO
+        self.store_answered_at = constants.DISTANT_PAST
         """when the store last answered a renewal or the joining transaction with success"""
-        self.can_act_since = constants.LONG_AGO
+        self.can_act_since = constants.DISTANT_PAST
         """when `can_act` last said no"""
 
     # --- questions --------------------------------------------------------
@@ -172,4 +172,4 @@
         log.warning("membership lost: incarnation=%s reason=%s", self.incarnation, reason)
         self.state = MembershipState.NOT_JOINED
         self.lease = None
-        self.lease_renewed_at = self.view_confirmed_at = constants.LONG_AGO
+        self.lease_renewed_at = self.view_confirmed_at = constants.DISTANT_PAST
--- a/appledock/core/membership/view_changes.py
+++ b/appledock/core/membership/view_changes.py
@@ -28,7 +28,7 @@
     has left the view only after its lease, when it has no authority any more: it counts its lease
     from the moment of sending, which is earlier than the store's own count. Besides, pending
     requests are carried out: those to detach a member at once, the others no sooner than
-    `TERM_BUMP_EVERY_S` after the last view.
+    `TERM_BUMP_INTERVAL_MIN_S` after the last view.
     """
 
     def __init__(  # noqa: PLR0913 -- it connects the store, the lease and the failure detector
@@ -57,7 +57,7 @@
         self._is_changing = False
         self._leader_alive_at = 0.0
         """when the leader was last seen to work"""
-        self._view_known_at = constants.LONG_AGO
+        self._view_known_at = constants.DISTANT_PAST
         """when the newest view became known"""
 
     def on_view(self) -> None:
@@ -87,11 +87,13 @@
             self._change(members)
 
     def _check_leader(self, view: View) -> None:
-        """Ask for the leadership once the leader has failed for `LEADER_LOST_S`."""
+        """Ask for the leadership once the leader has failed for `LEADER_FAILURE_TIMEOUT_S`."""
         now = self._runtime.now
         if view.leader == self._membership.node or not self._heartbeats.has_leader_failed():
             self._leader_alive_at = now
-        self._requests.take_leadership = now - self._leader_alive_at > constants.LEADER_LOST_S
+        self._requests.take_leadership = (
+            now - self._leader_alive_at > constants.LEADER_FAILURE_TIMEOUT_S
+        )
 
     def _is_change_needed(self, view: View, members: dict[str, str]) -> bool:
         requests = self._requests
@@ -104,7 +106,8 @@
             or requests.attach_self
         )
         return (
-            is_requested and self._runtime.now >= self._view_known_at + constants.TERM_BUMP_EVERY_S
+            is_requested
+            and self._runtime.now >= self._view_known_at + constants.TERM_BUMP_INTERVAL_MIN_S
         )
 
     def _delay_s(self, view: View) -> float:
@@ -136,6 +139,6 @@
                 case Conflict():
                     self._reader.read_keys(outcome.failed)
                 case _:
-                    self._change_at = self._runtime.now + constants.TOUCH_RETRY_S
+                    self._change_at = self._runtime.now + constants.MEMBERSHIP_RETRY_DELAY_S
 
         self._client.submit(transaction, Priority.VIEW, on_outcome)
--- a/appledock/core/operator_settings.py
+++ b/appledock/core/operator_settings.py
@@ -26,7 +26,9 @@
     "step_tasks": SettingDeclaration(
         c.STEP_TASKS, 1, 1000, "tasks", "size of one step of an array"
     ),
-    "sample": SettingDeclaration(c.SAMPLE, 1, 1000, "machines", "machines looked at for each task"),
+    "sample": SettingDeclaration(
+        c.PLACEMENT_SAMPLE_SIZE, 1, 1000, "machines", "machines looked at for each task"
+    ),
     "machines_max": SettingDeclaration(
         100_000, 0, 100_000, "machines", "the leader rents no more once so many are up or booting"
     ),
--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -166,7 +166,7 @@
         # Guards against a job that fails everywhere and keeps the limit from the others.
         jobs.sort(
             key=lambda job: (
-                job.consecutive_failures >= constants.FAILING,
+                job.consecutive_failures >= constants.DEPRIORITIZED_JOB_FAILURES_MIN,
                 self._job_order.sort_key(job),
                 job.id,
             )
--- a/appledock/core/quota/record_plan.py
+++ b/appledock/core/quota/record_plan.py
@@ -72,7 +72,7 @@
     changed = dict(allocated)
     changed[node] = changed.get(node, NO_RESOURCES).maximum(needed)
     missing = waiting.above(changed[node])
-    spare = _unallocated(changed, limit).scaled_by(constants.SHARE_SLACK)
+    spare = _unallocated(changed, limit).scaled_by(constants.ALLOCATION_HEADROOM_SHARE)
     changed[node] = changed[node] + missing.minimum(spare)
     _add_slack(changed, [node], limit, controllers)
     return changed
@@ -104,7 +104,7 @@
     allocated: dict[str, Resources], receivers: list[str], limit: Resources, controllers: int
 ) -> None:
     """Allocate a part of what is left, so that the receivers' next steps need no write."""
-    factor = constants.SHARE_SLACK / max(1, controllers)
+    factor = constants.ALLOCATION_HEADROOM_SHARE / max(1, controllers)
     part = _unallocated(allocated, limit).scaled_by(factor)
     for receiver in receivers:
         allocated[receiver] = allocated.get(receiver, NO_RESOURCES) + part
--- a/appledock/core/rebalancing/move_planning.py
+++ b/appledock/core/rebalancing/move_planning.py
@@ -84,7 +84,7 @@
             review=self._next_reviewed(machines),
             skip=self.blocked.keys(),
         )
-        until = self._runtime.now + constants.MOVE_BLOCKED_S
+        until = self._runtime.now + constants.MOVE_SOURCE_BACKOFF_S
         for name, obstacle in plan.obstacles.items():
             self.blocked[name] = BlockedMachine(until, obstacle.value)
         self._carry_out(plan.proposals)
@@ -118,9 +118,9 @@
         if not self._settings.datasets or not machines:
             return []
         first = self._first_reviewed % len(machines)
-        self._first_reviewed = first + constants.MOVE_REVIEWED
+        self._first_reviewed = first + constants.DATA_LOCALITY_MACHINES_MAX
         rotated = machines[first:] + machines[:first]
-        return rotated[: constants.MOVE_REVIEWED]
+        return rotated[: constants.DATA_LOCALITY_MACHINES_MAX]
 
     def _carry_out(self, proposals: list[Proposal]) -> None:
         for proposal in proposals:
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -74,7 +74,7 @@
             moves=moves,
             mean_loads=lambda: self._scoring.means,
         )
-        self._means_at = constants.LONG_AGO
+        self._means_at = constants.DISTANT_PAST
 
     # --- placement ----------------------------------------------------------
     def scorer(self, spec: wire.JobSpec) -> Scorer | None:
@@ -93,7 +93,7 @@
     def refresh_means(self) -> None:
         """Compute the mean loads and check the data sets, at most once in an interval."""
         now = self._runtime.now
-        if not self.enabled or now < self._means_at + constants.MEANS_EVERY_S:
+        if not self.enabled or now < self._means_at + constants.MEAN_LOAD_INTERVAL_S:
             return
         self._means_at = now
         self._scoring.means = means(
--- a/appledock/core/rebalancing/snapshots.py
+++ b/appledock/core/rebalancing/snapshots.py
@@ -37,7 +37,7 @@
         self._is_movable = is_movable
         self.smoothed: dict[str, Load] = {}
         """machine -> its load, averaged over time"""
-        self._smoothed_at = constants.LONG_AGO
+        self._smoothed_at = constants.DISTANT_PAST
 
     # --- machines -----------------------------------------------------------
     def smooth(self, time_constant_s: float) -> None:
--- a/appledock/core/records/capacity.py
+++ b/appledock/core/records/capacity.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-CAPACITY = constants.KEY_ROOT + "live/capacity/"
+CAPACITY = constants.KEY_PREFIX + "live/capacity/"
 AGREED_FRACTIONS = CAPACITY + "agreed"
 OWNERSHIP_PREFIX = CAPACITY + "held/"
 
--- a/appledock/core/runtime.py
+++ b/appledock/core/runtime.py
@@ -37,8 +37,11 @@
         # more, and the worker runs on for its own lease after that: both must fit into the
         # time that a cancellation has.
         self.lease_ttl_s = max(
-            constants.GRANT_MIN_S,
-            min(constants.GRANT_S, workers.cancel_s - workers.lease_s - constants.CANCEL_RESERVE_S),
+            constants.CONTROLLER_LEASE_MIN_S,
+            min(
+                constants.CONTROLLER_LEASE_S,
+                workers.cancel_s - workers.lease_s - constants.CANCEL_RESERVE_S,
+            ),
         )
         """time to live of a controller's lease in the key-value store"""
         self._effects: list[Effect] = []
--- a/appledock/core/scheduling/handoff.py
+++ b/appledock/core/scheduling/handoff.py
@@ -76,9 +76,9 @@
         Capacity is freed here as well: handed round for a task here and a task there, a job
         costs more writes than it saves waiting.
         """
-        received_at = self._received_at.get(job.id, constants.LONG_AGO)
-        has_rested = self._runtime.now - received_at > constants.HANDOFF_EVERY_S
-        least = min(tasks, max(1, math.ceil(tasks * constants.HANDOFF_SHARE)))
+        received_at = self._received_at.get(job.id, constants.DISTANT_PAST)
+        has_rested = self._runtime.now - received_at > constants.HANDOFF_COOLDOWN_S
+        least = min(tasks, max(1, math.ceil(tasks * constants.HANDOFF_MIN_SHARE)))
         return free_slots >= least and has_rested
 
 
--- a/appledock/core/scheduling/lost_launches.py
+++ b/appledock/core/scheduling/lost_launches.py
@@ -48,7 +48,7 @@
             )
             if not is_missing or not self._replica.owns_job(self._runtime.node, job):
                 self.forget(job.id)
-            elif now - self._missing_since.setdefault(job.id, now) > constants.TERM_BUMP_AFTER_S:
+            elif now - self._missing_since.setdefault(job.id, now) > constants.TERM_BUMP_DELAY_S:
                 self._view_requests.new_term = True
 
     def _is_missing(self, job: Job, attempt: Attempt) -> bool:
@@ -59,7 +59,7 @@
         if worker is None:
             return False
         silent_s = self._runtime.now - worker.reachability.last_heartbeat_at
-        if silent_s > constants.SHOW_AFTER_S:
+        if silent_s > constants.PROBE_SILENCE_THRESHOLD_S:
             # A silent worker would not show that it has seen a new term, which costs the
             # whole cluster; the expiry of its lease or its deletion settles the attempt.
             return False
--- a/appledock/core/scheduling/moves/cooldowns.py
+++ b/appledock/core/scheduling/moves/cooldowns.py
@@ -19,12 +19,12 @@
 
     def is_cooling_down(self, job_id: str) -> bool:
         """Was the job moved, or a move of it refused, so lately that it is left alone?"""
-        return self._runtime.now < self._until.get(job_id, constants.LONG_AGO)
+        return self._runtime.now < self._until.get(job_id, constants.DISTANT_PAST)
 
     def duration_s(self, order: MoveOrder) -> float:
         """Return the cool-down after this move; short if it drained its source machine."""
         if self._policy.is_draining(order.source):
-            return constants.DRAIN_REST_S
+            return constants.DRAIN_MOVE_COOLDOWN_S
         return self._policy.settings.cooldown_s
 
     def start(self, job_id: str, duration_s: float) -> None:
@@ -34,7 +34,7 @@
     def extend(self, job_id: str, duration_s: float) -> None:
         """Let the job's cool-down last at least so long from now."""
         until = self._runtime.now + duration_s
-        self._until[job_id] = max(until, self._until.get(job_id, constants.LONG_AGO))
+        self._until[job_id] = max(until, self._until.get(job_id, constants.DISTANT_PAST))
 
     def drop_ended(self) -> None:
         """Forget cool-downs that have ended."""
--- a/appledock/core/scheduling/moves/coordinator.py
+++ b/appledock/core/scheduling/moves/coordinator.py
@@ -172,7 +172,7 @@
         """From time to time, end moves that have expired or are over by the records."""
         if self._runtime.now < self._next_check_at:
             return
-        self._next_check_at = self._runtime.now + constants.MOVE_LOOK_EVERY_S
+        self._next_check_at = self._runtime.now + constants.MOVE_CHECK_INTERVAL_S
         self.job_owner.tick()
         self.destination_owner.tick()
         self.requester.tick()
--- a/appledock/core/scheduling/moves/destination_owner.py
+++ b/appledock/core/scheduling/moves/destination_owner.py
@@ -77,7 +77,7 @@
             return MoveOutcome.NOT_ALLOWED
         if not machine.fits(spec):
             return MoveOutcome.NO_ROOM
-        if machine.load is None or machine.load.total > order.load + constants.MOVE_LOAD_SLACK:
+        if machine.load is None or machine.load.total > order.load + constants.MOVE_LOAD_TOLERANCE:
             return MoveOutcome.FULLER
         return None
 
--- a/appledock/core/scheduling/moves/requester.py
+++ b/appledock/core/scheduling/moves/requester.py
@@ -39,7 +39,7 @@
         self.requested: dict[int, OngoingMove] = {}
         """number of the order -> move that has not ended"""
         self.outcomes: Counter[str] = Counter()
-        self.ended: deque[EndedMove] = deque(maxlen=constants.MOVES_KEPT)
+        self.ended: deque[EndedMove] = deque(maxlen=constants.MOVE_HISTORY_MAX)
         self._last_number = 0
         self._unanswered: dict[str, int] = {}
         """job -> moves in a row that its owner did not answer"""
@@ -94,7 +94,7 @@
     def tick(self) -> None:
         """End the moves whose owners have not answered in time."""
         for move in list(self.requested.values()):
-            if self._runtime.now >= move.expires_at + constants.MOVE_LOOK_EVERY_S:
+            if self._runtime.now >= move.expires_at + constants.MOVE_CHECK_INTERVAL_S:
                 self._end(move.order, MoveOutcome.NO_ANSWER)
 
     def forget_closed_jobs(self) -> None:
@@ -117,10 +117,10 @@
                 # The owner may run a version without moves: capacity would be reserved for
                 # nothing again and again.
                 self._unanswered[order.job] = unanswered + 1
-                backoff_s: float = constants.MOVE_RETRY_S * 2 ** min(10, unanswered)
-                return min(constants.MOVE_REST_MAX_S, backoff_s)
+                backoff_s: float = constants.MOVE_BACKOFF_S * 2 ** min(10, unanswered)
+                return min(constants.MOVE_BACKOFF_MAX_S, backoff_s)
             case _:
-                return constants.MOVE_RETRY_S
+                return constants.MOVE_BACKOFF_S
 
     def _record(self, order: MoveOrder, outcome: str) -> None:
         self.outcomes[outcome] += 1
--- a/appledock/core/scheduling/moves/reservations.py
+++ b/appledock/core/scheduling/moves/reservations.py
@@ -73,4 +73,4 @@
 
 def begin_move(order: MoveOrder, now: float) -> OngoingMove:
     """Return a move that begins now, and expires unless it ends before."""
-    return OngoingMove(order, now, now + constants.MOVE_HOLD_S)
+    return OngoingMove(order, now, now + constants.MOVE_RESERVATION_S)
--- a/appledock/core/scheduling/objectives.py
+++ b/appledock/core/scheduling/objectives.py
@@ -75,8 +75,8 @@
         """Seconds of waiting after which a job that has not begun comes first in its rank."""
         limits_s = _limits_of(self._wait_limits_s, spec.job_class)
         if not limits_s or spec.service:
-            return constants.AGED_S
-        return min(constants.OVERDUE_S, constants.AGED_SHARE * min(limits_s))
+            return constants.AGEING_THRESHOLD_S
+        return min(constants.OVERDUE_THRESHOLD_S, constants.AGEING_THRESHOLD_SHARE * min(limits_s))
 
 
 def _add_limit(table: LimitsByClass, job_class: str | None, limit: float | None) -> None:
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -48,7 +48,7 @@
 
     def is_step_rate_limited(self) -> bool:
         """Do steps wait for the store's rate limit?"""
-        return self._limiter.count_waiting(Priority.STEP) > constants.CROWDED
+        return self._limiter.count_waiting(Priority.STEP) > constants.WAITING_CALLS_THRESHOLD
 
     def is_service_rate_limited(self) -> bool:
         """Do steps of services wait for the store's rate limit?
@@ -56,28 +56,28 @@
         Then handing one off for image locality costs others more than it saves: two writes
         in place of one.
         """
-        return self._limiter.count_waiting(Priority.URGENT) > constants.CROWDED
+        return self._limiter.count_waiting(Priority.URGENT) > constants.WAITING_CALLS_THRESHOLD
 
     def batching_window_s(self) -> float:
         """Seconds until batch jobs are placed again."""
         if self.is_step_rate_limited():
-            return constants.GATHER_CROWDED_S
+            return constants.BATCHING_WINDOW_RATE_LIMITED_S
         if self._limiter.has_spare_writes():
-            return constants.GATHER_SPARE_S
-        return constants.GATHER_S
+            return constants.BATCHING_WINDOW_SPARE_WRITES_S
+        return constants.BATCHING_WINDOW_S
 
     def should_defer_batch_jobs(self) -> bool:
         """Must batch jobs wait until users and services have got their writes?
 
         Those of this controller or of another one: steps of batch jobs would only keep
-        capacity and writes from them. At most for `HOLD_BACK_S` at a time.
+        capacity and writes from them. At most for `BATCH_JOB_DEFERRAL_MAX_S` at a time.
         """
         if not self.is_service_rate_limited() and not self._is_peer_rate_limited():
             self._deferred_since = math.inf
             return False
         now = self._runtime.now
         self._deferred_since = min(self._deferred_since, now)
-        if now - self._deferred_since < constants.HOLD_BACK_S:
+        if now - self._deferred_since < constants.BATCH_JOB_DEFERRAL_MAX_S:
             return True
         self._deferred_since = now
         return False
@@ -87,11 +87,11 @@
         if self._is_team_limited(job.spec.team):
             # Each completion that is recorded lets a task of the team start.
             if self._limiter.has_spare_writes():
-                return constants.PROGRESS_SPARE_S
-            return constants.PROGRESS_EVERY_S
+                return constants.PROGRESS_INTERVAL_SPARE_WRITES_S
+            return constants.PROGRESS_INTERVAL_TEAM_LIMITED_S
         if self.is_step_rate_limited():
-            return constants.PROGRESS_CROWDED_S
-        return constants.PROGRESS_RELAXED_S
+            return constants.PROGRESS_INTERVAL_RATE_LIMITED_S
+        return constants.PROGRESS_INTERVAL_S
 
     def _is_team_limited(self, team: str) -> bool:
         """Is the team's limit, and not capacity, what a queued task of it waits for?"""
@@ -109,7 +109,7 @@
         """
         if job.spec.service or job.spec.gang or not self.is_step_rate_limited():
             return False
-        if tasks >= min(unsettled.queued_task_count, constants.GATHER_TASKS):
+        if tasks >= min(unsettled.queued_task_count, constants.BATCHING_TASKS_MIN):
             return False
         now = self._runtime.now
-        return now - self._batching_since.setdefault(job.id, now) < constants.GATHER_STEP_S
+        return now - self._batching_since.setdefault(job.id, now) < constants.STEP_BATCHING_WINDOW_S
--- a/appledock/core/scheduling/placement.py
+++ b/appledock/core/scheduling/placement.py
@@ -71,7 +71,7 @@
     spec: wire.JobSpec,
     machines: list[MachineCapacity],
     rng: random.Random,
-    sample_size: int = constants.SAMPLE,
+    sample_size: int = constants.PLACEMENT_SAMPLE_SIZE,
 ) -> MachineCapacity | None:
     """The machine with the best default score in a random sample; None without machines."""
     if not machines:
@@ -104,7 +104,7 @@
     """How one machine is chosen among those that could take a task."""
 
     rng: random.Random
-    sample_size: int = constants.SAMPLE
+    sample_size: int = constants.PLACEMENT_SAMPLE_SIZE
     scorer: Scorer | None = None
     """for job classes with score weights of their own; None: the default score"""
 
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -195,13 +195,13 @@
         fetch a large image takes longer than to boot a machine.
         """
         machines = list(self._capacity_index.machines.values())
-        if len(machines) <= constants.CLEAR_SAMPLE:
+        if len(machines) <= constants.PREEMPTION_SAMPLE_SIZE:
             return machines
         rng = self._runtime.rng
         with_image = sorted(self._capacity_index.machines_by_image.get(image, ()))
-        half = constants.CLEAR_SAMPLE // 2
+        half = constants.PREEMPTION_SAMPLE_SIZE // 2
         names = set(with_image if len(with_image) <= half else rng.sample(with_image, half))
-        others = rng.sample(machines, constants.CLEAR_SAMPLE - len(names))
+        others = rng.sample(machines, constants.PREEMPTION_SAMPLE_SIZE - len(names))
         return [self._capacity_index.machines[name] for name in sorted(names)] + [
             machine for machine in others if machine.name not in names
         ]
@@ -251,10 +251,10 @@
             return None
         node = self._runtime.node
         free, own_fetch_s = self._best_free_start(job, machines, tasks_by_zone)
-        if free is None or free.fetch_s > constants.PREEMPT_MARGIN_S:
+        if free is None or free.fetch_s > constants.PREEMPTION_MARGIN_S:
             options = self._options(job, tasks_by_zone, within_team=False)
             if options and (
-                free is None or options[0].cost_s + constants.PREEMPT_MARGIN_S < free.fetch_s
+                free is None or options[0].cost_s + constants.PREEMPTION_MARGIN_S < free.fetch_s
             ):
                 if options[0].machine.owner == node:
                     self._preempt(job, options[0])
@@ -262,7 +262,7 @@
         if (
             free is not None
             and free.owner != node
-            and free.fetch_s + constants.PREEMPT_MARGIN_S < own_fetch_s
+            and free.fetch_s + constants.PREEMPTION_MARGIN_S < own_fetch_s
         ):
             return free.owner
         return None
@@ -298,7 +298,7 @@
             machine,
             [f"{victim.job.id}/{victim.task}" for victim in option.victims],
         )
-        expires_at = self._runtime.now + constants.CLAIM_S
+        expires_at = self._runtime.now + constants.PREEMPTION_RESERVATION_S
         self.claims.setdefault(job.id, []).append(Claim(machine, expires_at))
         self.claimed_machines[machine] = job.id
         for victim in option.victims:
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -83,7 +83,7 @@
         since = self.waiting_since(job)
         waited_s = self._runtime.wall - since
         if self._is_ageing(job, waited_s):
-            is_overdue = waited_s > constants.OVERDUE_S
+            is_overdue = waited_s > constants.OVERDUE_THRESHOLD_S
             guarantee = GuaranteeClass.OVERDUE if is_overdue else GuaranteeClass.WITHIN_GUARANTEE
             return QueueSortKey(guarantee, -rank, AGEING, since)
         guarantee = self._guarantee_class(job)
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -68,18 +68,18 @@
         self._enqueue_jobs_of_changed_workers()
         now = self._runtime.now
         if now >= self._next_sweep_at:
-            self._next_sweep_at = now + constants.SWEEP_EVERY_S
+            self._next_sweep_at = now + constants.JOB_SWEEP_INTERVAL_S
             self._sweep()
         if now >= self._next_release_at:
-            self._next_release_at = now + constants.RELEASE_EVERY_S
+            self._next_release_at = now + constants.ALLOCATION_RELEASE_INTERVAL_S
             self._team_record_writer.release_unused_allocations()
         if self._queue.deferred_jobs and now >= self._next_deferred_at:
-            self._next_deferred_at = now + constants.QUEUE_EVERY_S
+            self._next_deferred_at = now + constants.QUEUE_PASS_INTERVAL_S
             self._queue.jobs |= self._queue.deferred_jobs
             self._queue.deferred_jobs.clear()
         self._reconcile_queued_jobs()
         if self._queue.placement_due and now >= self._next_placement_at:
-            self._next_placement_at = now + constants.QUEUE_EVERY_S
+            self._next_placement_at = now + constants.QUEUE_PASS_INTERVAL_S
             self._queue.placement_due = False
             self._placement_pass.run()
 
--- a/appledock/core/scheduling/settlement_recorder.py
+++ b/appledock/core/scheduling/settlement_recorder.py
@@ -82,7 +82,7 @@
         return Priority.URGENT if has_dependents else Priority.FINAL
 
     def _is_progress_due(self, job: Job) -> bool:
-        written_at = self._writer.written_at.get(job.id, constants.LONG_AGO)
+        written_at = self._writer.written_at.get(job.id, constants.DISTANT_PAST)
         return self._runtime.now >= written_at + self._pacing.progress_interval_s(job)
 
     def _waits_for_step(self, job_id: str) -> bool:
@@ -93,4 +93,4 @@
         """
         now = self._runtime.now
         freed_at = self._reconcile_queue.capacity_freed_at.setdefault(job_id, now)
-        return now - freed_at < constants.STEP_FIRST_S
+        return now - freed_at < constants.SETTLEMENT_BATCHING_WINDOW_S
--- a/appledock/core/store/client.py
+++ b/appledock/core/store/client.py
@@ -33,14 +33,14 @@
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
         state = runtime.settings.cluster.state
-        share = constants.BUDGET_SHARE / runtime.settings.cluster.size
+        share = constants.STORE_RATE_BUDGET_SHARE / runtime.settings.cluster.size
         self.limiter = StoreRateLimiter(
             TokenBucket(state.rps * share),
             TokenBucket(state.write_rps * share),
             state.write_rps * share,
-            state.write_rps * constants.WRITES_CEILING,
+            state.write_rps * constants.WRITE_RATE_MAX_SHARE,
         )
-        self.max_value_bytes = int(state.value_kb * 1024 * constants.VALUE_SLACK)
+        self.max_value_bytes = int(state.value_kb * 1024 * constants.VALUE_FILL_SHARE)
         """largest value that is written"""
         self.refusals: Counter[str] = Counter()
         """why calls were refused -> how often, for the metrics"""
@@ -52,7 +52,7 @@
         request: StoreRequest,
         priority: Priority,
         on_outcome: Callable[[StoreOutcome], None],
-        expires_after_s: float = constants.PATIENCE_S,
+        expires_after_s: float = constants.QUEUE_TIMEOUT_S,
     ) -> QueuedCall | None:
         """Queue a call; `on_outcome` is called in any case.
 
@@ -64,7 +64,7 @@
             request,
             priority,
             writes,
-            constants.FOLLOW_TIMEOUT_S
+            constants.WATCH_TIMEOUT_S
             if isinstance(request, WatchKeys)
             else constants.STORE_TIMEOUT_S,
             on_outcome,
@@ -140,7 +140,7 @@
             ),
             default=0,
         )
-        bound = max(constants.VALUE_LEAST_BYTES, int(largest * constants.VALUE_SLACK))
+        bound = max(constants.VALUE_LIMIT_MIN_BYTES, int(largest * constants.VALUE_FILL_SHARE))
         if bound < self.max_value_bytes:
             log.warning("value limit lowered: rejected_bytes=%d limit_bytes=%d", largest, bound)
             self.max_value_bytes = bound
--- a/appledock/core/store/keys.py
+++ b/appledock/core/store/keys.py
@@ -4,7 +4,7 @@
 
 from appledock import constants
 
-LIVE = constants.KEY_ROOT + "live/"
+LIVE = constants.KEY_PREFIX + "live/"
 JOBS = LIVE + "jobs/"
 TEAMS = LIVE + "teams/"
 MEMBERS = LIVE + "members/"
@@ -12,9 +12,9 @@
 CATALOGUE = LIVE + "catalogue"
 SETTINGS = LIVE + "settings"
 FORMAT = LIVE + "format"
-FINAL = constants.KEY_ROOT + "final/"
+FINAL = constants.KEY_PREFIX + "final/"
 
 
 def key_kind(key: str) -> str:
     """`jobs`, `teams`, `members`, `view`, `final` ...: what a key keeps."""
-    return key.removeprefix(LIVE).removeprefix(constants.KEY_ROOT).partition("/")[0]
+    return key.removeprefix(LIVE).removeprefix(constants.KEY_PREFIX).partition("/")[0]
--- a/appledock/core/store/rate_limiter.py
+++ b/appledock/core/store/rate_limiter.py
@@ -33,9 +33,9 @@
 
 HEAD_START_S = {
     Priority.URGENT: 0.0,
-    Priority.FINAL: constants.FINAL_AFTER_S,
-    Priority.STEP: constants.STEP_AFTER_S,
-    Priority.PROGRESS: constants.PROGRESS_AFTER_S,
+    Priority.FINAL: constants.FINAL_WRITE_DELAY_S,
+    Priority.STEP: constants.STEP_WRITE_DELAY_S,
+    Priority.PROGRESS: constants.PROGRESS_WRITE_DELAY_S,
 }
 """below users: priority -> time by which its calls are served later than urgent ones"""
 
@@ -118,7 +118,7 @@
         if call.priority > Priority.USER:
             waiting = sum(len(queue) for queue in self.queues[Priority.URGENT :])
             if waiting >= max(
-                constants.CALL_QUEUE_LEAST, constants.CALL_QUEUE_S * self.requests.rate
+                constants.CALL_QUEUE_LIMIT_MIN, constants.CALL_QUEUE_LIMIT_S * self.requests.rate
             ):
                 return False
         self.queues[call.priority].append(call)
@@ -140,7 +140,9 @@
 
     def on_rate_limited(self) -> None:
         """The store refused writes as too many: reduce the rate."""
-        self.writes.rate = max(self.own_write_rate, self.writes.rate * constants.WRITES_BACK)
+        self.writes.rate = max(
+            self.own_write_rate, self.writes.rate * constants.WRITE_RATE_DECREASE_FACTOR
+        )
         self.writes.level = min(self.writes.level, 0.0)
 
     def on_peer_write_rate(self, peer_rate: float, planned_rate: float) -> None:
@@ -156,7 +158,7 @@
         """Does nothing wait for the limit, with most of a second's writes left?"""
         return (
             not self.count_queued()
-            and self.writes.level >= constants.SPARE_WRITES * self.writes.rate
+            and self.writes.level >= constants.SPARE_WRITES_SHARE * self.writes.rate
         )
 
     # --- serving the queues -----------------------------------------------
@@ -192,14 +194,14 @@
     def _advance_to(self, now: float) -> None:
         """Let the time since the last refill count: tokens, rate sent lately, time waited."""
         elapsed_s = max(0.0, now - self.writes.refilled_at)
-        self.recent_write_rate *= math.exp(-elapsed_s / constants.SPENT_S)
+        self.recent_write_rate *= math.exp(-elapsed_s / constants.WRITE_RATE_TIME_CONSTANT_S)
         self.waited_s += elapsed_s
         self.requests.refill(now)
         self.writes.refill(now)
 
     def _is_turn_due(self, now: float) -> bool:
         """Time fills the buckets, but not within a few milliseconds."""
-        return self.has_new_calls or now >= self.served_at + constants.TURN_EVERY_S
+        return self.has_new_calls or now >= self.served_at + constants.CALL_DISPATCH_INTERVAL_S
 
     def _take_in_order(self) -> list[QueuedCall]:
         """Take out all calls that wait, in the order in which they are served.
@@ -241,10 +243,10 @@
         """Take the call's tokens out of the buckets."""
         self.requests.level -= 1
         self.writes.level -= call.writes
-        self.recent_write_rate += call.writes / constants.SPENT_S
+        self.recent_write_rate += call.writes / constants.WRITE_RATE_TIME_CONSTANT_S
 
     def _raise_write_rate(self, waited_s: float) -> None:
         """Additive increase, as far as the peers leave room."""
         if self.writes.rate < self.max_write_rate:
-            raised_rate = self.writes.rate + waited_s * constants.WRITES_MORE
+            raised_rate = self.writes.rate + waited_s * constants.WRITE_RATE_INCREASE_PER_S
             self.writes.rate = min(self.max_write_rate, raised_rate)
--- a/appledock/core/store/reader.py
+++ b/appledock/core/store/reader.py
@@ -104,7 +104,9 @@
             if not isinstance(page, Rows):
                 self._is_loading = False
                 self._load_at = (
-                    self._runtime.now + constants.RETRY_MIN_S + self._runtime.rng.random() * 0.3
+                    self._runtime.now
+                    + constants.RETRY_DELAY_MIN_S
+                    + self._runtime.rng.random() * 0.3
                 )
                 return
             rows.extend(page.items)
@@ -114,7 +116,9 @@
             else:
                 self._finish_loading(rows, revision)
 
-        self._client.submit(ListKeys(LIVE, after, constants.LIST_LIMIT), Priority.LEASE, on_outcome)
+        self._client.submit(
+            ListKeys(LIVE, after, constants.STORE_LIST_LIMIT), Priority.LEASE, on_outcome
+        )
 
     def _finish_loading(self, rows: list[wire.Row], revision: int) -> None:
         self._replica.load(rows, revision)
@@ -130,7 +134,7 @@
 
         def on_outcome(outcome: StoreOutcome) -> None:
             self.watching = False
-            self._watch_at = self._runtime.now + constants.FOLLOW_PAUSE_S
+            self._watch_at = self._runtime.now + constants.WATCH_DELAY_S
             match outcome:
                 case Watched():
                     for event in outcome.events:
@@ -146,11 +150,13 @@
                     self.loaded = False
                 case _:
                     self._watch_at = (
-                        self._runtime.now + constants.RETRY_MIN_S + self._runtime.rng.random() * 0.2
+                        self._runtime.now
+                        + constants.RETRY_DELAY_MIN_S
+                        + self._runtime.rng.random() * 0.2
                     )
 
         self._client.submit(
-            WatchKeys(constants.KEY_ROOT, replica.revision, constants.FOLLOW_BLOCK_MS),
+            WatchKeys(constants.KEY_PREFIX, replica.revision, constants.WATCH_BLOCK_MS),
             Priority.VIEW,
             on_outcome,
         )
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -186,7 +186,7 @@
     def add_final(self, job_id: str, state: str) -> None:
         """The job is over and ended so."""
         self.final_states[job_id] = state
-        if len(self.final_states) > constants.FINAL_CACHE:
+        if len(self.final_states) > constants.FINAL_STATE_CACHE_MAX:
             self.final_states.popitem(last=False)
         self.dependencies.on_job_ended(job_id, state)
         self._follow_dependencies()
--- a/appledock/core/workers/command_pusher.py
+++ b/appledock/core/workers/command_pusher.py
@@ -85,7 +85,7 @@
         worker.reachability.calls_in_flight += 1
         addr, orders = report.addr, wire.Orders(term, report.session, commands)
         self.runtime.call(
-            lambda call_id: WorkerCall(call_id, addr, orders, constants.ORDERS_TIMEOUT_S),
+            lambda call_id: WorkerCall(call_id, addr, orders, constants.WORKER_COMMAND_TIMEOUT_S),
             lambda reply: self._on_reply(worker, pushed, reply),
         )
 
--- a/appledock/core/workers/command_reconciler.py
+++ b/appledock/core/workers/command_reconciler.py
@@ -59,7 +59,7 @@
                 else:
                     worker.commanded.repeatable_launches.pop(key, None)
                     commands.append(wire.Command(wire.FORGET, *key))
-        if retained > constants.KEPT_MAX:
+        if retained > constants.RETAINED_ATTEMPTS_MAX:
             self.view_requests.new_term = True
         return commands + self._launches(worker, recorded)
 
@@ -105,9 +105,9 @@
             if entry.state == wire.SAVING:
                 return []
             if job.spec.checkpoint_s > 0:
-                grace_s = job.spec.save_s + constants.SAVE_SLACK_S
+                grace_s = job.spec.save_s + constants.SAVE_GRACE_MARGIN_S
         now, halted_at = self.runtime.now, worker.commanded.halted_at
-        if now - halted_at.get(key, constants.LONG_AGO) < constants.HALT_AGAIN_S:
+        if now - halted_at.get(key, constants.DISTANT_PAST) < constants.HALT_RETRY_DELAY_S:
             return []
         halted_at[key] = now
         return [wire.Command(wire.HALT, *key, grace_s=grace_s)]
@@ -126,7 +126,7 @@
         for key, (job, attempt) in recorded.items():
             if key in worker.tasks or attempt.term != term or job.cancelled or attempt.stopping:
                 continue
-            if now - launched_at.get(key, constants.LONG_AGO) >= constants.LAUNCH_AGAIN_S:
+            if now - launched_at.get(key, constants.DISTANT_PAST) >= constants.LAUNCH_RETRY_DELAY_S:
                 launched_at[key] = now
                 commands.append(wire.Command(wire.LAUNCH, *key))
         return commands
--- a/appledock/core/workers/detached_members.py
+++ b/appledock/core/workers/detached_members.py
@@ -61,10 +61,10 @@
 
     def _is_unreachable(self, owner: str) -> bool:
         timed_out = len(self._timed_out[owner]) + self.heartbeats.unanswered_workers_at_peers(owner)
-        if timed_out < constants.DETACH_MIN or not self._can_detach(owner):
+        if timed_out < constants.DETACH_WORKERS_MIN or not self._can_detach(owner):
             return False
         workers = self._live_workers_of(owner)
-        if timed_out < constants.DETACH_SHARE * workers:
+        if timed_out < constants.DETACH_WORKERS_SHARE * workers:
             return False
         log.warning(
             "member unreachable by its workers: node=%s timed_out=%d workers=%d",
@@ -79,7 +79,7 @@
         rows = {
             machine: at
             for machine, at in self._timed_out[owner].items()
-            if now - at < constants.UNANSWERED_WINDOW_S
+            if now - at < constants.OWNER_TIMEOUT_WINDOW_S
         }
         if rows:
             self._timed_out[owner] = rows
@@ -97,7 +97,7 @@
         """Workers of the owner of which any controller has received a heartbeat lately."""
         now = self.runtime.now
         return sum(
-            now - worker.reachability.last_heartbeat_at < 2 * constants.UNANSWERED_WINDOW_S
+            now - worker.reachability.last_heartbeat_at < 2 * constants.OWNER_TIMEOUT_WINDOW_S
             and self.replica.owner_of(worker.id) == owner
             for worker in self.table.rows.values()
         )
--- a/appledock/core/workers/dissemination.py
+++ b/appledock/core/workers/dissemination.py
@@ -52,11 +52,11 @@
         now = self.runtime.now
         self._send_backlogs()
         if now >= self._next_summary_at:
-            self._next_summary_at = now + constants.ALIVE_EVERY_S
+            self._next_summary_at = now + constants.UNCHANGED_HEARTBEATS_INTERVAL_S
             self.send_alive(sorted(self._unchanged))
             self._unchanged.clear()
         if now >= self._next_repeat_at:
-            self._next_repeat_at = now + constants.PEER_RESEND_S
+            self._next_repeat_at = now + constants.WORKER_RESEND_INTERVAL_S
             self._repeat_proofs()
 
     def broadcast(self, worker: Worker) -> None:
@@ -69,7 +69,7 @@
             return
         now = self.runtime.now
         is_changed = worker.id in self.triggers.changed_workers
-        if is_changed or now - worker.status.broadcast_at >= constants.PEER_RESEND_S:
+        if is_changed or now - worker.status.broadcast_at >= constants.WORKER_RESEND_INTERVAL_S:
             worker.status.broadcast_at = now
             self._send_heartbeat(worker, report)
         else:
@@ -83,14 +83,14 @@
         """A link (re)opened: what the peer missed is sent again, part by part."""
         self._backlogs[peer] = deque(self.table.rows)
         if self.table.deleted_machines:
-            newest = list(self.table.deleted_machines)[-constants.GONE_RESENT_MAX :]
+            newest = list(self.table.deleted_machines)[-constants.DELETED_MACHINES_RESENT_MAX :]
             self._send_deleted(newest, peer)
         self._send_backlogs()
 
     def send_alive(self, machines: Iterable[str], to: str | None = None) -> None:
         """Send of these workers the number and the ages of their last heartbeats.
 
-        In messages of at most `ALIVE_PART` workers, so that each fits a frame.
+        In messages of at most `UNCHANGED_HEARTBEATS_MAX` workers, so that each fits a frame.
         """
         rows = [
             UnchangedHeartbeat(
@@ -102,14 +102,17 @@
             for machine in machines
             if (worker := self.table.rows.get(machine)) is not None
         ]
-        for first in range(0, len(rows), constants.ALIVE_PART):
-            part = rows[first : first + constants.ALIVE_PART]
+        for first in range(0, len(rows), constants.UNCHANGED_HEARTBEATS_MAX):
+            part = rows[first : first + constants.UNCHANGED_HEARTBEATS_MAX]
             self.runtime.emit(PeerSend(UnchangedHeartbeats(part), to))
 
     def _send_backlogs(self) -> None:
         """Send one part more to each peer whose link has opened."""
         for peer, machines in list(self._backlogs.items()):
-            part = [machines.popleft() for _ in range(min(len(machines), constants.LINK_PART))]
+            part = [
+                machines.popleft()
+                for _ in range(min(len(machines), constants.INITIAL_SYNC_WORKERS_MAX))
+            ]
             if not machines:
                 del self._backlogs[peer]
             self._send_part(peer, part)
@@ -134,7 +137,7 @@
 
     def _age_s(self, at: float) -> float:
         """How long ago that was: the controllers' clocks differ, ages do not."""
-        return round(min(self.runtime.now - at, constants.AGE_MAX_S), 3)
+        return round(min(self.runtime.now - at, constants.PEER_AGE_MAX_S), 3)
 
     def _repeat_proofs(self) -> None:
         """Repeat proofs of settlement while attempts wait for them.
--- a/appledock/core/workers/heartbeat_intake.py
+++ b/appledock/core/workers/heartbeat_intake.py
@@ -95,7 +95,7 @@
             # each answer has timed out.
             if old is None or (
                 old.session == report.session
-                and now - reachability.last_heartbeat_at < constants.ANSWER_LOST_S
+                and now - reachability.last_heartbeat_at < constants.ANSWERED_HEARTBEAT_GAP_MAX_S
             ):
                 reachability.last_healthy_at = now
         reachability.last_heartbeat_at = now
--- a/appledock/core/workers/lease_expiry.py
+++ b/appledock/core/workers/lease_expiry.py
@@ -87,7 +87,7 @@
     def lease_bound_s(self) -> float:
         """A worker's lease by this controller's clock, at most, and the margin."""
         lease_s = self.runtime.settings.cluster.workers.lease_s
-        return lease_s * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN_S
+        return lease_s * (1 + constants.CLOCK_DRIFT) + constants.LEASE_EXPIRY_MARGIN_S
 
     def _newest_recorded_epoch(self, machine: str) -> int:
         attempts = self.replica.attempts_by_machine[machine].values()
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -124,7 +124,7 @@
             return
         self.dissemination.tick()
         if self.runtime.now >= self._next_check_at:
-            self._next_check_at = self.runtime.now + constants.SILENCE_EVERY_S
+            self._next_check_at = self.runtime.now + constants.MACHINE_CHECK_INTERVAL_S
             self.detached_members.tick()
             self.own_reachability.tick()
             self._check_workers_with_attempts()
--- a/appledock/core/workers/own_reachability.py
+++ b/appledock/core/workers/own_reachability.py
@@ -45,11 +45,14 @@
         now = self.runtime.now
         if self.replica.view is None or self.membership.is_detached():
             return 0.0
-        recent_s = constants.REPORTING_INTERVALS * self.runtime.settings.cluster.workers.report_s
+        recent_s = (
+            constants.REPORTING_WINDOW_INTERVALS * self.runtime.settings.cluster.workers.report_s
+        )
         live = [
             worker.reachability
             for worker in self.table.rows.values()
-            if now - worker.reachability.last_heartbeat_at < recent_s + constants.UNANSWERED_S
+            if now - worker.reachability.last_heartbeat_at
+            < recent_s + constants.OWNER_TIMEOUT_SILENCE_MIN_S
             and self.table.owns(worker.id)
         ]
         direct = sum(now - row.last_direct_heartbeat_at < recent_s for row in live)
@@ -63,7 +66,7 @@
             return
         if now < self._next_round_at:
             return
-        self._next_round_at = now + constants.SHOW_EVERY_S
+        self._next_round_at = now + constants.PROBE_INTERVAL_S
         self.view_requests.attach_self = self._answered_rounds >= constants.PROBE_ROUNDS
         known = [
             worker for _, worker in sorted(self.table.rows.items()) if worker.report is not None
@@ -76,7 +79,7 @@
         live = [
             worker
             for worker in known
-            if now - worker.reachability.last_heartbeat_at < constants.SHOW_AFTER_S
+            if now - worker.reachability.last_heartbeat_at < constants.PROBE_SILENCE_THRESHOLD_S
         ] or known
         self._probe_round(self.runtime.rng.sample(live, min(len(live), constants.PROBE_WORKERS)))
 
@@ -95,7 +98,7 @@
 
         def probe(addr: str) -> None:
             self.runtime.call(
-                lambda call_id: WorkerCall(call_id, addr, None, constants.SHOW_TIMEOUT_S), on_reply
+                lambda call_id: WorkerCall(call_id, addr, None, constants.PROBE_TIMEOUT_S), on_reply
             )
 
         for worker in workers:
--- a/appledock/core/workers/probes.py
+++ b/appledock/core/workers/probes.py
@@ -24,7 +24,7 @@
         now, reachability = self.runtime.now, worker.reachability
         if (
             worker.report is not None
-            and now - reachability.last_heartbeat_at > constants.SHOW_AFTER_S
+            and now - reachability.last_heartbeat_at > constants.PROBE_SILENCE_THRESHOLD_S
             and now >= reachability.next_probe_at
             and not reachability.calls_in_flight
             and self._has_open_attempt(worker)
@@ -35,20 +35,20 @@
         """Call the worker for its status; it must have sent a heartbeat before."""
         assert worker.report is not None
         reachability = worker.reachability
-        reachability.next_probe_at = self.runtime.now + constants.SHOW_EVERY_S
+        reachability.next_probe_at = self.runtime.now + constants.PROBE_INTERVAL_S
         reachability.calls_in_flight += 1
         addr = worker.report.addr
 
         def on_reply(reply: WorkerReply) -> None:
             reachability.calls_in_flight -= 1
             if reply.report is not None and reply.report.worker == worker.id:
-                reachability.probe_failed_at = constants.LONG_AGO
+                reachability.probe_failed_at = constants.DISTANT_PAST
                 self.intake.ingest_and_broadcast(reply.report)
             else:
                 reachability.probe_failed_at = self.runtime.now
 
         self.runtime.call(
-            lambda call_id: WorkerCall(call_id, addr, None, constants.SHOW_TIMEOUT_S), on_reply
+            lambda call_id: WorkerCall(call_id, addr, None, constants.PROBE_TIMEOUT_S), on_reply
         )
 
     def _has_open_attempt(self, worker: Worker) -> bool:
--- a/appledock/core/workers/record.py
+++ b/appledock/core/workers/record.py
@@ -50,7 +50,7 @@
     """when each running task was first seen running here"""
     image_seen_at: dict[str, float] = field(default_factory=dict)
     """image -> when it was last seen fetched here"""
-    broadcast_at: float = constants.LONG_AGO
+    broadcast_at: float = constants.DISTANT_PAST
     """when a heartbeat was last broadcast whole to the peers"""
 
 
@@ -76,15 +76,15 @@
     answers to heartbeats.
     """
 
-    last_heartbeat_at: float = constants.LONG_AGO
+    last_heartbeat_at: float = constants.DISTANT_PAST
     """when the last heartbeat reached this controller or a peer that forwarded it"""
-    last_healthy_at: float = constants.LONG_AGO
+    last_healthy_at: float = constants.DISTANT_PAST
     """when a heartbeat last showed that the owner's answers reach the worker"""
-    last_direct_heartbeat_at: float = constants.LONG_AGO
+    last_direct_heartbeat_at: float = constants.DISTANT_PAST
     """when it last sent its heartbeat to this controller itself, or answered its call"""
     next_probe_at: float = 0.0
     """not probed again before"""
-    probe_failed_at: float = constants.LONG_AGO
+    probe_failed_at: float = constants.DISTANT_PAST
     """when a direct call last stayed without an answer"""
     calls_in_flight: int = 0
     """direct calls without an answer yet"""
@@ -139,7 +139,7 @@
 
     cordon_reason: str = ""
     """why no task may be placed here; empty: tasks may"""
-    cordoned_at: float = constants.LONG_AGO
+    cordoned_at: float = constants.DISTANT_PAST
     """when the cordon was last announced"""
     failed_jobs: set[str] = field(default_factory=set)
     """jobs of which tasks failed here"""
--- a/appledock/core/workers/redirects.py
+++ b/appledock/core/workers/redirects.py
@@ -46,7 +46,11 @@
         owner = self.replica.owner_of(report.worker)
         worker = self.table.get_or_create(report.worker)
         silent_s = self.runtime.now - worker.reachability.last_heartbeat_at
-        has_timed_out = constants.UNANSWERED_S <= silent_s < constants.UNANSWERED_LONG_S
+        has_timed_out = (
+            constants.OWNER_TIMEOUT_SILENCE_MIN_S
+            <= silent_s
+            < constants.OWNER_TIMEOUT_SILENCE_MAX_S
+        )
         if self.intake.ingest_and_broadcast(report):
             self._count_misdirected(worker, owner, has_timed_out)
         return wire.Redirect(self._destination(owner, has_timed_out))
@@ -79,7 +83,7 @@
         now, reachability = self.runtime.now, worker.reachability
         since_at, tries = reachability.misdirected
         if (
-            now - since_at > 2 * constants.OVERRIDE_AFTER_S
+            now - since_at > 2 * constants.OWNER_OVERRIDE_DELAY_S
             or reachability.last_heartbeat_at > since_at + _RECENT_S > now - _RECENT_S
         ):
             since_at, tries = now, 0
@@ -89,6 +93,9 @@
             tries += 1
         tries += 1
         reachability.misdirected = MisdirectedHeartbeats(since_at, tries)
-        if tries >= constants.OVERRIDE_MIN_TRIES and now - since_at >= constants.OVERRIDE_AFTER_S:
+        if (
+            tries >= constants.OWNER_OVERRIDE_REDIRECTS_MIN
+            and now - since_at >= constants.OWNER_OVERRIDE_DELAY_S
+        ):
             log.warning("worker cannot reach its owner: machine=%s owner=%s", worker.id, owner)
             self.view_requests.overrides[worker.id] = self.runtime.node
--- a/appledock/core/workers/table.py
+++ b/appledock/core/workers/table.py
@@ -66,7 +66,7 @@
         """These machines no longer exist.
 
         They are remembered: copies of their old heartbeats must not bring them back. Beyond
-        `GONE_MAX` the oldest are dropped, except those that open attempts still name.
+        `DELETED_MACHINES_MAX` the oldest are dropped, except those that open attempts still name.
         """
         for machine in machines:
             if machine not in self.deleted_machines:
@@ -75,11 +75,11 @@
                 self.observers.on_capacity_changed(machine)
                 self.triggers.changed_workers.add(machine)
                 self.observers.on_machine_deleted(machine)
-        if len(self.deleted_machines) > constants.GONE_MAX:
+        if len(self.deleted_machines) > constants.DELETED_MACHINES_MAX:
             self._drop_oldest_deleted()
 
     def _drop_oldest_deleted(self) -> None:
         oldest_first = sorted(self.deleted_machines, key=self.deleted_machines.__getitem__)
-        for machine in oldest_first[: constants.GONE_MAX // 2]:
+        for machine in oldest_first[: constants.DELETED_MACHINES_MAX // 2]:
             if machine not in self.replica.attempts_by_machine:
                 del self.deleted_machines[machine]
--- a/appledock/net/http.py
+++ b/appledock/net/http.py
@@ -106,19 +106,19 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Called by the parser with one header."""
         self._grow_head(len(name) + len(value))
-        if name.lower() == b"content-length" and int(value) > c.BODY_MAX:
-            raise _TooLarge(400, f"body over {c.BODY_MAX} bytes")
+        if name.lower() == b"content-length" and int(value) > c.BODY_MAX_BYTES:
+            raise _TooLarge(400, f"body over {c.BODY_MAX_BYTES} bytes")
 
     def _grow_head(self, size: int) -> None:
         self.head_size += size
-        if self.head_size > c.HEADER_MAX:
+        if self.head_size > c.HEADER_MAX_BYTES:
             raise _TooLarge(431, "request head too large")
 
     def on_body(self, body: bytes) -> None:
         """Called by the parser with a part of the body."""
         self.body += body
-        if len(self.body) > c.BODY_MAX:
-            raise _TooLarge(400, f"body over {c.BODY_MAX} bytes")
+        if len(self.body) > c.BODY_MAX_BYTES:
+            raise _TooLarge(400, f"body over {c.BODY_MAX_BYTES} bytes")
 
     def on_message_complete(self) -> None:
         """Called by the parser: the message is whole."""
@@ -179,9 +179,9 @@
         if self.transport is None or self.answering:
             return
         quiet = now - self.touched
-        if quiet > (c.SLOW_PEER_S if self.receiving else c.IDLE_PEER_S) or (
-            self.closing and quiet > c.SLOW_PEER_S
-        ):
+        if quiet > (
+            c.REQUEST_READ_TIMEOUT_S if self.receiving else c.IDLE_CONNECTION_TIMEOUT_S
+        ) or (self.closing and quiet > c.REQUEST_READ_TIMEOUT_S):
             self.transport.abort()
 
 
@@ -218,24 +218,24 @@
         now = self.loop.time()
         for connection in list(self.connections):
             connection.sweep(now)
-        self.timer = self.loop.call_later(c.SLOW_PEER_S / 4, self._sweep)
+        self.timer = self.loop.call_later(c.REQUEST_READ_TIMEOUT_S / 4, self._sweep)
 
     def turn_away(self, connection: ServerConnection, transport: asyncio.Transport) -> None:
         """Refuse a connection beyond the limit: its first request is told to come again."""
         self.refused += 1
         now = self.loop.time()
         if now >= self.next_warning:
-            self.next_warning = now + c.FULL_WARNING_S
+            self.next_warning = now + c.CONNECTION_LIMIT_WARNING_INTERVAL_S
             log.warning(
                 "no sockets left: %d connections can be served, %d were refused so far",
                 self.limit,
                 self.refused,
             )
-        if len(self.turned_away) >= c.FULL_ANSWERED_MAX:
+        if len(self.turned_away) >= c.REFUSED_CONNECTIONS_MAX:
             transport.abort()
             return
         self.turned_away.add(connection)
-        self.loop.call_later(c.FULL_LINGER_S, transport.abort)
+        self.loop.call_later(c.REFUSED_CONNECTION_TIMEOUT_S, transport.abort)
 
     def close(self) -> None:
         """Close the connections."""
--- a/appledock/net/peers.py
+++ b/appledock/net/peers.py
@@ -44,7 +44,7 @@
             if not digits.isdigit() or (digits[:1] == b"0" and len(digits) > 1):
                 raise Malformed("bad length")
             length = int(digits)
-            if length > c.PEER_FRAME_MAX:
+            if length > c.PEER_FRAME_MAX_BYTES:
                 raise Malformed("frame too long")
             end = colon + 1 + length
             if len(self.buffer) <= end:
@@ -108,7 +108,7 @@
                     )
                 except (OSError, TimeoutError) as error:
                     log.debug("link to %s: %s", self.name, error)
-            await asyncio.sleep(c.PEER_RETRY_S)
+            await asyncio.sleep(c.PEER_RECONNECT_DELAY_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by asyncio: the connection is open."""
@@ -124,7 +124,7 @@
         """Write to the peer, if the link is open."""
         if self.transport is None:
             return
-        if self.transport.get_write_buffer_size() > c.PEER_BUFFER_MAX:
+        if self.transport.get_write_buffer_size() > c.PEER_BUFFER_MAX_BYTES:
             # Guards against a hung or cut peer filling our memory.
             self.transport.abort()
             self.transport = None
--- a/appledock/rebalancing/planner.py
+++ b/appledock/rebalancing/planner.py
@@ -140,7 +140,7 @@
             for machine in machines
             if machine.name not in skip and (excess := self.excess(machine, means)) > 1.0
         ]
-        return [machine for _, _, machine in heapq.nlargest(constants.MOVE_SOURCES, beyond)]
+        return [machine for _, _, machine in heapq.nlargest(constants.MOVE_SOURCES_MAX, beyond)]
 
     def excess(self, machine: MachineLoad, means: Means) -> float:
         """Return the load, or the highest of a team, over the most that the dead band allows.
@@ -196,7 +196,7 @@
             if known is None or task.lost_core_s < known.lost_core_s:
                 cheapest[task.spec.id] = task
         return heapq.nsmallest(
-            constants.MOVE_TASKS,
+            constants.MOVE_JOBS_MAX,
             cheapest.values(),
             key=lambda task: (not task.spec.service, task.lost_core_s, task.spec.id),
         )
@@ -218,21 +218,21 @@
             and (pair is None or pair(source, machine))
         ]
         least = heapq.nsmallest(
-            2 * constants.MOVE_DESTINATIONS, fitting, key=lambda m: (m.load.total, m.name)
+            2 * constants.MOVE_DESTINATIONS_MAX, fitting, key=lambda m: (m.load.total, m.name)
         )
         # Half of the least loaded ones, at random: several planners with the same snapshot
         # would otherwise all choose the same machine.
         drawn = (
             least
-            if len(least) <= constants.MOVE_DESTINATIONS
-            else [least[0], *self.rng.sample(least[1:], constants.MOVE_DESTINATIONS - 1)]
+            if len(least) <= constants.MOVE_DESTINATIONS_MAX
+            else [least[0], *self.rng.sample(least[1:], constants.MOVE_DESTINATIONS_MAX - 1)]
         )
         if not self.datasets.read_by(spec):
             return drawn
         names = {machine.name for machine in drawn}
         holders = (m for m in fitting if m.name not in names and self._distance(spec, m) <= 0.0)
         return drawn + heapq.nsmallest(
-            constants.MOVE_DESTINATIONS, holders, key=lambda m: (m.load.total, m.name)
+            constants.MOVE_DESTINATIONS_MAX, holders, key=lambda m: (m.load.total, m.name)
         )
 
     def _distance(self, spec: wire.JobSpec, machine: MachineLoad) -> float:
@@ -277,7 +277,7 @@
             return None, Obstacle.TOO_LARGE
         cost = (task.lost_core_s + fetch_s * spec.cpus) / settings.payback_s
         net = found.lower - cost
-        if net < settings.min_gain * max(spec.cpus, constants.MOVE_LEAST_CORES):
+        if net < settings.min_gain * max(spec.cpus, constants.MOVE_MIN_CORES):
             return None, Obstacle.GAIN_TOO_SMALL
         proposal = Proposal(
             spec.id,
--- a/appledock/rebalancing/speeds.py
+++ b/appledock/rebalancing/speeds.py
@@ -14,7 +14,7 @@
 
     def add(self, value: float) -> None:
         self.count += 1
-        self.value += (value - self.value) / min(self.count, constants.SPEED_SAMPLES)
+        self.value += (value - self.value) / min(self.count, constants.SPEED_SAMPLES_MAX)
 
 
 class Speeds:
@@ -47,6 +47,6 @@
     def slowness(self, machine: str) -> float:
         """Return the mean ratio of its run times to those of the class; 1 if too few are known."""
         known = self._machines.get(machine)
-        if known is None or known.count < constants.SPEED_SAMPLES_LEAST:
+        if known is None or known.count < constants.SPEED_SAMPLES_MIN:
             return 1.0
         return known.value
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -134,7 +134,7 @@
 def nothing_but_long_leases(patch: Patch) -> None:
     no_word_of_mouth(patch)
     patch.setattr(c, "CANCEL_RESERVE_S", -14.0)
-    patch.setattr(c, "GRANT_S", 30.0)
+    patch.setattr(c, "CONTROLLER_LEASE_S", 30.0)
 
 
 def no_halts(patch: Patch) -> None:
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -132,7 +132,7 @@
     assert listed_after(25.0) == FLEET
     # As it was: page after page without a pause, and from the first one after a refusal.
     monkeypatch.setattr(MachineListReader, "_page_pause_s", lambda self: 0.0)
-    monkeypatch.setattr(c, "LIST_ABANDON_S", -1.0)
+    monkeypatch.setattr(c, "MACHINE_LIST_TIMEOUT_S", -1.0)
     assert listed_after(25.0) == 0
 
 
@@ -172,24 +172,24 @@
 
 
 def test_a_new_link_is_told_of_all_workers_in_parts(monkeypatch: Patch) -> None:
-    most, told = told_at_once(c.LEADER_PAUSE_S)
+    most, told = told_at_once(c.NEW_LEADER_DELAY_S)
     assert told == FLEET  # before a new leader decides anything
-    assert most < c.PEER_BUFFER_MAX / 2
-    monkeypatch.setattr(c, "LINK_PART", 10**9)
-    assert told_at_once(c.LEADER_PAUSE_S)[0] > c.PEER_BUFFER_MAX
+    assert most < c.PEER_BUFFER_MAX_BYTES / 2
+    monkeypatch.setattr(c, "INITIAL_SYNC_WORKERS_MAX", 10**9)
+    assert told_at_once(c.NEW_LEADER_DELAY_S)[0] > c.PEER_BUFFER_MAX_BYTES
 
 
 def test_deletions_and_signs_of_life_fit_their_frames() -> None:
     e = owner_of_all()
-    names = [f"vm-{number:06d}" for number in range(c.GONE_MAX)]
-    assert FLEET < c.GONE_RESENT_MAX
+    names = [f"vm-{number:06d}" for number in range(c.DELETED_MACHINES_MAX)]
+    assert FLEET < c.DELETED_MACHINES_RESENT_MAX
     e.workers.deleted_machines.update(dict.fromkeys(names, 0.0))
     e.workers.dissemination.on_peer_connected("n1")
     e.workers.dissemination.send_alive(list(e.workers.table), "n1")
     sizes = [
         len(wire.encode(x.message)) for x in e.runtime.take_effects() if isinstance(x, PeerSend)
     ]
-    assert max(sizes) < c.PEER_FRAME_MAX / 2
+    assert max(sizes) < c.PEER_FRAME_MAX_BYTES / 2
 
 
 # --- views, rentals, users ---------------------------------------------------------
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -61,7 +61,7 @@
     controller lost its lease, and the next owner of that job did as well."""
     e = leading()
     monkeypatch.setattr(e.reconciler, "tick", lambda: 1 / 0)
-    effects = e.handle([Tick()], NOW + c.TOUCH_EVERY_S, 0.0)
+    effects = e.handle([Tick()], NOW + c.LEASE_RENEWAL_INTERVAL_S, 0.0)
     requests = [x.request for x in effects if isinstance(x, StoreCall)]
     assert any(isinstance(request, RenewLease) for request in requests)
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -72,7 +72,7 @@
 
 
 def test_rows_that_are_gone_are_remembered_within_a_bound(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(c, "CONSOLE_DROPPED_MAX", 10)
+    monkeypatch.setattr(c, "CONSOLE_TOMBSTONES_MAX", 10)
     changes, mirror, lagging = RowChanges("x"), Mirror(), Mirror()
     changes.update({"worker/old": worker(1.0), "worker/kept": worker(0.5)})
     for one in (mirror, lagging):
@@ -104,9 +104,9 @@
         now = max(now, ask.at) + 0.05
         rows = min(ask.rows, rng.choice([0, 3, 40, 500]))
         size = 150 + sum(rng.randint(40, 200) for _ in range(rows))
-        received += size + c.CONSOLE_HEAD_BYTES
+        received += size + c.CONSOLE_HEADERS_BYTES
         link.answered(now, size, rows, more=rows == ask.rows)
-    assert received <= 1000.0 * (600.0 + 2 * c.CONSOLE_ANSWER_S)
+    assert received <= 1000.0 * (600.0 + 2 * c.CONSOLE_RESPONSE_TARGET_S)
     assert received >= 0.3 * 1000.0 * 600.0
 
 
@@ -116,7 +116,7 @@
     assert (link.ask().address, link.ask().at) == ("b:1", 10.0)
     link.failed(14.0, "no answer")
     link.failed(14.1, "refused")
-    assert link.ask().address == "a:1" and link.ask().at == 14.1 + c.CONSOLE_RETRY_S
+    assert link.ask().address == "a:1" and link.ask().at == 14.1 + c.CONSOLE_RETRY_DELAY_S
     assert link.trouble() == "a:1: refused; b:1: no answer; c:1: refused"
     link.answered(20.0, 500, 5, False)
     assert link.trouble() == "" and link.ask().address == "a:1"
@@ -155,7 +155,7 @@
 def on_screen(patch: Patch, play: Callable[[Cluster, Console, Any], Any]) -> None:
     """Play something on a console that is fast and has no terminal."""
     cluster = Cluster()
-    for name in ("CONSOLE_EVERY_S", "CONSOLE_RETRY_S"):
+    for name in ("CONSOLE_POLL_INTERVAL_S", "CONSOLE_RETRY_DELAY_S"):
         patch.setattr(c, name, 0.01)
     patch.setattr(Console, "_request", cluster.request)
 
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -50,23 +50,23 @@
     it: with a service on it, the rest of the machine's room was lost for ever."""
     e = follower()
     e.handle([PeerMessageReceived(IDLE)], NOW, 0.0)
-    live_on(e, c.CORDON_LAPSE_S)
+    live_on(e, c.CORDON_TTL_S)
     assert not e.eligibility.is_eligible(e.workers.table["vm-1"])
-    live_on(e, c.CORDON_LAPSE_S + 3)
+    live_on(e, c.CORDON_TTL_S + 3)
     assert e.eligibility.is_eligible(e.workers.table["vm-1"])
 
 
 def test_a_former_leader_keeps_no_cordon() -> None:
     e = follower()
     e.fleet.deletions.cordon("vm-1", ScaleInReason.IDLE)
-    live_on(e, c.CORDON_LAPSE_S + 3)
+    live_on(e, c.CORDON_TTL_S + 3)
     assert e.eligibility.is_eligible(e.workers.table["vm-1"])
 
 
 def test_what_operators_cordon_stays() -> None:
     e = follower()
     e.fleet.operate("vm-1", "cordon")
-    live_on(e, c.CORDON_LAPSE_S + 3)
+    live_on(e, c.CORDON_TTL_S + 3)
     assert e.workers.table["vm-1"].placement.cordon_reason == "operator"
 
 
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -86,9 +86,9 @@
 
 
 def test_what_is_settled_is_noticed_at_once_or_by_the_next_sweep(monkeypatch: Patch) -> None:
-    assert overlooked(monkeypatch, 11) <= c.SWEEP_EVERY_S + c.QUEUE_EVERY_S
+    assert overlooked(monkeypatch, 11) <= c.JOB_SWEEP_INTERVAL_S + c.QUEUE_PASS_INTERVAL_S
     monkeypatch.undo()
     # Without the sweep and the news of machines, proofs stay unnoticed.
     monkeypatch.setattr(Settlement, "on_machine_changed", lambda self, machine: None)
     monkeypatch.setattr(Settlement, "examine_all", lambda self, job_id: None)
-    assert overlooked(monkeypatch, 11) > c.SWEEP_EVERY_S + c.QUEUE_EVERY_S
+    assert overlooked(monkeypatch, 11) > c.JOB_SWEEP_INTERVAL_S + c.QUEUE_PASS_INTERVAL_S
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -211,7 +211,7 @@
         b.take_due(step / 10)
     assert b.writes.rate == 16.0
     b.on_rate_limited()
-    assert b.writes.rate == pytest.approx(16 * c.WRITES_BACK)
+    assert b.writes.rate == pytest.approx(16 * c.WRITE_RATE_DECREASE_FACTOR)
     for _ in range(9):
         b.on_rate_limited()
     assert b.writes.rate == 4.0
@@ -270,7 +270,7 @@
 def test_full_queue_refuses_what_the_engine_asks_for_and_takes_what_users_do() -> None:
     """Hundreds of waiting steps turned users away, whose number is bounded elsewhere."""
     b = rate_limiter()
-    most = int(max(c.CALL_QUEUE_LEAST, c.CALL_QUEUE_S * b.requests.rate))
+    most = int(max(c.CALL_QUEUE_LIMIT_MIN, c.CALL_QUEUE_LIMIT_S * b.requests.rate))
     assert all(b.add(call(Priority.STEP, 1)) for _ in range(most))
     for priority in (Priority.URGENT, Priority.FINAL, Priority.STEP, Priority.PROGRESS):
         assert not b.add(call(priority, 1))
@@ -519,7 +519,7 @@
         ControllerHeartbeat("n1", 0.1, write_rate=9.0, is_service_rate_limited=True)
     )
     assert e.pacing.should_defer_batch_jobs()
-    e.runtime.now += c.HEARTBEAT_LOST_S + 1
+    e.runtime.now += c.CONTROLLER_HEARTBEAT_TIMEOUT_S + 1
     assert not e.pacing.should_defer_batch_jobs()  # it may be over since: nobody is heard
     e.heartbeats.on_peer(
         ControllerHeartbeat("n1", 0.1, write_rate=9.0, is_service_rate_limited=False)
@@ -545,12 +545,12 @@
     seal = spec(berth="seal", sail_s=70.0)
     assert objectives.deadline_limits_s(seal) == [70.0, 105.0]
     assert objectives.finish_limits_s(seal) == [250.0]
-    assert objectives.ageing_threshold_s(seal) == c.AGED_SHARE * 100.0
+    assert objectives.ageing_threshold_s(seal) == c.AGEING_THRESHOLD_SHARE * 100.0
     assert objectives.deadline_limits_s(spec(berth="other", sail_s=70.0)) == [70.0]
     assert objectives.finish_limits_s(spec(berth="other", sail_s=70.0)) == []
     assert objectives.deadline_limits_s(spec(berth="other", sail_s=None)) == []
-    assert objectives.ageing_threshold_s(spec(berth="other")) == c.AGED_S
-    assert objectives.ageing_threshold_s(spec(berth="gate", shape="daemon")) == c.AGED_S
+    assert objectives.ageing_threshold_s(spec(berth="other")) == c.AGEING_THRESHOLD_S
+    assert objectives.ageing_threshold_s(spec(berth="gate", shape="daemon")) == c.AGEING_THRESHOLD_S
 
 
 def test_a_job_that_was_only_handed_on_or_stopped_again_has_not_begun() -> None:
@@ -604,16 +604,18 @@
     one, other = Job(spec(id="job-000001"), 0.0, 1), Job(spec(id="job-000002"), 0.0, 2)
     e.replica.set_job(one)
     e.replica.set_job(other)
-    assert e.pacing.progress_interval_s(one) == c.PROGRESS_RELAXED_S
+    assert e.pacing.progress_interval_s(one) == c.PROGRESS_INTERVAL_S
     e.reconcile_queue.pending_reasons["job-000002"] = PendingReason.TEAM_LIMIT
     e.client.limiter.writes.level = 0.0
-    assert e.pacing.progress_interval_s(one) == c.PROGRESS_EVERY_S
+    assert e.pacing.progress_interval_s(one) == c.PROGRESS_INTERVAL_TEAM_LIMITED_S
     e.client.limiter.writes.level = e.client.limiter.writes.rate
-    assert e.pacing.progress_interval_s(one) == c.PROGRESS_SPARE_S  # nobody lacks these writes
+    assert (
+        e.pacing.progress_interval_s(one) == c.PROGRESS_INTERVAL_SPARE_WRITES_S
+    )  # nobody lacks these writes
     e.reconcile_queue.pending_reasons["job-000002"] = PendingReason.NO_CAPACITY
-    for _ in range(c.CROWDED + 1):
+    for _ in range(c.WAITING_CALLS_THRESHOLD + 1):
         e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
-    assert e.pacing.progress_interval_s(one) == c.PROGRESS_CROWDED_S
+    assert e.pacing.progress_interval_s(one) == c.PROGRESS_INTERVAL_RATE_LIMITED_S
 
 
 def test_charges_are_given_back_soon_where_another_controllers_jobs_lack_the_limit() -> None:
@@ -633,7 +635,7 @@
     e.quota_allocation.clear_caches()
     assert e.quota_usage.is_limit_exhausted("red") and not e.reconcile_queue.pending_reasons
     e.client.limiter.writes.level = e.client.limiter.writes.rate
-    assert e.pacing.progress_interval_s(running) == c.PROGRESS_SPARE_S
+    assert e.pacing.progress_interval_s(running) == c.PROGRESS_INTERVAL_SPARE_WRITES_S
 
 
 def test_a_launch_of_an_earlier_term_asks_for_no_further_one() -> None:
@@ -643,7 +645,7 @@
     e.replica.put("ad/live/view", {"term": 5, "members": {"n0": "x"}, "leader": "n0"}, 1)
     tasks = [
         wire.TaskReport(f"job-000009/{number}", 1, wire.EXITED, wire.DONE)
-        for number in range(c.KEPT_MAX + 1)
+        for number in range(c.RETAINED_ATTEMPTS_MAX + 1)
     ]
     e.workers.ingest_heartbeat(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 4, tasks=tasks))
     worker = e.workers.table["vm-1"]
--- a/tests/test_detached.py
+++ b/tests/test_detached.py
@@ -76,18 +76,18 @@
 ) -> None:
     """Its lease at the state service lives on, so its workers' own leases ran out; and a
     leader cut off from its workers deleted them all as mute."""
-    monkeypatch.setattr(c, "DETACH_MIN", 2)
+    monkeypatch.setattr(c, "DETACH_WORKERS_MIN", 2)
     world = steady(SEEDS[trouble.__name__])
     assert lost(world, trouble) == 0
     assert world.judge.broken == []
     # The guard taken out: everything it owned is lost.
-    monkeypatch.setattr(c, "DETACH_MIN", 10_000)
+    monkeypatch.setattr(c, "DETACH_WORKERS_MIN", 10_000)
     world = steady(SEEDS[trouble.__name__])
     assert lost(world, trouble) > 0
 
 
 def test_a_detached_member_owns_again_once_workers_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(c, "DETACH_MIN", 2)
+    monkeypatch.setattr(c, "DETACH_WORKERS_MIN", 2)
     world = steady(1)
     node = victim(world)
     loses_workers(world, node)
@@ -106,7 +106,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It hears of no worker at all then, which is no sign that they reach it again."""
-    monkeypatch.setattr(c, "DETACH_MIN", 2)
+    monkeypatch.setattr(c, "DETACH_WORKERS_MIN", 2)
     world = steady(3)
     node = victim(world)
     others = set(world.names) - {node}
@@ -153,6 +153,6 @@
         assert min(few.values()) == 1
         # Without it, each loss is a write of its own before the step.
         with monkeypatch.context() as without:
-            without.setattr(c, "STEP_FIRST_S", 0.0)
+            without.setattr(c, "SETTLEMENT_BATCHING_WINDOW_S", 0.0)
             many = writes_of_lost(seed)
         assert min(many.values()) == 2 and sum(few.values()) <= sum(many.values()) - 4
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -107,13 +107,13 @@
     e = owner_of_nothing()
     job = Job(spec(id="job-000001", crates=30), 0.0, 1)
     assert not e.pacing.should_batch(job, job, 2)
-    for _ in range(c.CROWDED + 1):
+    for _ in range(c.WAITING_CALLS_THRESHOLD + 1):
         e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
-    assert not e.pacing.should_batch(job, job, c.GATHER_TASKS)
+    assert not e.pacing.should_batch(job, job, c.BATCHING_TASKS_MIN)
     assert e.pacing.should_batch(job, job, 2)
     nearly_done = Job(spec(id="job-000002", crates=2), 0.0, 1)
     assert not e.pacing.should_batch(nearly_done, nearly_done, 2)
     service = Job(spec(id="job-000003", crates=4, shape="daemon"), 0.0, 1)
     assert not e.pacing.should_batch(service, service, 1)
-    e.runtime.now += c.GATHER_STEP_S
+    e.runtime.now += c.STEP_BATCHING_WINDOW_S
     assert not e.pacing.should_batch(job, job, 2)
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -85,7 +85,9 @@
     late, down = deaf_machine(replicas=True)
     assert late == 0 and down < 8.0
     assert deaf_machine(replicas=False)[0] == 0
-    monkeypatch.setattr(c, "ANSWER_LOST_S", 1e9)  # every report counts as a sign of health
+    monkeypatch.setattr(
+        c, "ANSWERED_HEARTBEAT_GAP_MAX_S", 1e9
+    )  # every report counts as a sign of health
     assert deaf_machine(replicas=False)[0] > 0
 
 
@@ -346,7 +348,7 @@
 
 def test_the_largest_begins_within_four_minutes_under_lasting_shortage(monkeypatch: Patch) -> None:
     assert shortage() == []
-    monkeypatch.setattr(c, "AGED_S", 1e9)
+    monkeypatch.setattr(c, "AGEING_THRESHOLD_S", 1e9)
     assert shortage() != []
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -79,14 +79,14 @@
     [
         (b"nonsense\r\n\r\n", b"400"),
         (b"POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n", b"400"),
-        (b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (c.BODY_MAX + 1), b"400"),
+        (b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (c.BODY_MAX_BYTES + 1), b"400"),
         (
             b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n"
             + b"x" * 65537
             + b"\r\n",
             b"400",
         ),
-        (b"GET /%s HTTP/1.1\r\n\r\n" % (b"x" * (c.HEADER_MAX + 1)), b"431"),
+        (b"GET /%s HTTP/1.1\r\n\r\n" % (b"x" * (c.HEADER_MAX_BYTES + 1)), b"431"),
         (b"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n", b"200"),
     ],
 )
@@ -104,7 +104,7 @@
     answer was lost when the socket was closed before the body had been read."""
 
     async def body(port: int) -> None:
-        for size in (c.BODY_MAX + 1, 300_000, 3_000_000):
+        for size in (c.BODY_MAX_BYTES + 1, 300_000, 3_000_000):
             answer = await raw(
                 port,
                 b"POST /v2/runs HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (size, b"x" * size),
@@ -115,7 +115,7 @@
 
 
 def test_a_sender_that_never_stops_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(c, "SLOW_PEER_S", 0.2)
+    monkeypatch.setattr(c, "REQUEST_READ_TIMEOUT_S", 0.2)
 
     async def body(port: int) -> None:
         _, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -75,7 +75,9 @@
     """A stop sent to the victim's owner is lost while connections are refused; the claim
     ends and the wish is made again."""
     assert [begun(seed) for seed in (8, 9)] == [3, 3]
-    monkeypatch.setattr(c, "CLAIM_S", 1e9)  # claims that wait for the lost stop for ever
+    monkeypatch.setattr(
+        c, "PREEMPTION_RESERVATION_S", 1e9
+    )  # claims that wait for the lost stop for ever
     assert sum(begun(seed) for seed in (8, 9)) < 6
 
 
@@ -166,6 +168,6 @@
 ) -> None:
     """Handed on it may be only after two seconds. In a quiet cluster nobody looked again,
     and an accepted job waited for 40 s until another was cancelled."""
-    assert handed_on(c.HANDOFF_EVERY_S + c.SWEEP_EVERY_S + 2.0)
-    monkeypatch.setattr(c, "SWEEP_EVERY_S", 1e9)
-    assert not handed_on(c.HANDOFF_EVERY_S + 4.0)
+    assert handed_on(c.HANDOFF_COOLDOWN_S + c.JOB_SWEEP_INTERVAL_S + 2.0)
+    monkeypatch.setattr(c, "JOB_SWEEP_INTERVAL_S", 1e9)
+    assert not handed_on(c.HANDOFF_COOLDOWN_S + 4.0)
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -230,7 +230,7 @@
     world.nodes[old].crash(0.2)
     world.nodes[old].code = production()
     world.clock.at(PEACE_S, world.peace)
-    world.clock.run(END_S - c.MOVE_HOLD_S - 10.0)
+    world.clock.run(END_S - c.MOVE_RESERVATION_S - 10.0)
     unanswered = outcomes(world).get(MoveOutcome.NO_ANSWER, 0)
     assert unanswered <= 3 * 6, "each of six jobs is asked for at doubling pauses"
     set_options(world, moves_paused=1)
--- a/tests/test_old_words.py
+++ b/tests/test_old_words.py
@@ -78,7 +78,9 @@
     e = leading()
     e.handle([HeartbeatReceived(1, report(1))], NOW, 0.0)
     e.fleet.leader_since = NOW - 100
-    e.fleet.deletions.pending["vm-1"] = PendingDeletion(NOW - c.CORDON_S, ScaleInReason(why), True)
+    e.fleet.deletions.pending["vm-1"] = PendingDeletion(
+        NOW - c.DELETION_CORDON_S, ScaleInReason(why), True
+    )
     e.fleet.cloud.paused_until = NOW + 5  # the cloud is down; meanwhile the machine goes on
     for seq in range(2, 6):
         e.handle([HeartbeatReceived(seq, report(seq))], NOW + seq, 0.0)
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -443,9 +443,9 @@
 
     mean = means((row.machine_type.cpus, row.load) for row in rows)
     plan = fleet.planner.plan(rows, mean, read, 100)
-    assert reads <= c.MOVE_SOURCES
-    assert plan.comparisons <= c.MOVE_SOURCES * c.MOVE_TASKS * 2 * c.MOVE_DESTINATIONS
-    assert len(plan.proposals) == c.MOVE_SOURCES
+    assert reads <= c.MOVE_SOURCES_MAX
+    assert plan.comparisons <= c.MOVE_SOURCES_MAX * c.MOVE_JOBS_MAX * 2 * c.MOVE_DESTINATIONS_MAX
+    assert len(plan.proposals) == c.MOVE_SOURCES_MAX
 
 
 # --- placement ---------------------------------------------------------------
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -396,7 +396,7 @@
     e.replica.put(TEAMS + "red", {"term": 5, "shares": {"n0": [2, 0], "n1": [4, 0]}}, 2)
     e.replica.advance(2)
     e.quota_allocation.clear_caches()
-    for _ in range(c.CROWDED + 1):
+    for _ in range(c.WAITING_CALLS_THRESHOLD + 1):
         e.client.submit(Transaction({}, [Put("ad/x", 1)]), Priority.STEP, lambda reply: None)
     return e, job
 
--- a/tests/test_short_arrays.py
+++ b/tests/test_short_arrays.py
@@ -88,7 +88,7 @@
 ) -> None:
     """Eight at a time, it takes the tasks of an array faster than any sound machine."""
     assert failed_starts(8) <= 24  # three times what fits it
-    monkeypatch.setattr(c, "ERRORS_OF_JOBS", 10**9)
+    monkeypatch.setattr(c, "FAULTY_MACHINE_JOBS_MIN", 10**9)
     assert failed_starts(8) > 24
 
 
@@ -99,12 +99,12 @@
     def over_s() -> float:
         settings = standin_deployment.settings("n0", ["n0", "n1", "n2"])
         engine = Controller(settings, "x", random.Random(1))
-        lapse_s = LEASE_S * (1 + c.CLOCK_DRIFT) + c.LAPSE_MARGIN_S
+        lapse_s = LEASE_S * (1 + c.CLOCK_DRIFT) + c.LEASE_EXPIRY_MARGIN_S
         return engine.runtime.lease_ttl_s * (1 + c.CLOCK_DRIFT) + lapse_s
 
     assert over_s() < CANCEL_S
-    assert LEASE_S + c.CANCEL_DELETE_S < CANCEL_S
-    monkeypatch.setattr(c, "GRANT_S", 600.0)
+    assert LEASE_S + c.CANCEL_DELETE_LEAD_S < CANCEL_S
+    monkeypatch.setattr(c, "CONTROLLER_LEASE_S", 600.0)
     assert over_s() < CANCEL_S  # shortened by what a cancellation has
     monkeypatch.setattr(c, "CANCEL_RESERVE_S", -3.0)
     assert over_s() > CANCEL_S
--- a/tests/unit/api/test_open_requests.py
+++ b/tests/unit/api/test_open_requests.py
@@ -39,7 +39,7 @@
 def test_a_request_without_an_answer_is_refused_at_its_deadline() -> None:
     runtime, requests = build()
     requests.admit(1)
-    runtime.now += constants.REQUEST_DEADLINE_S - 0.01
+    runtime.now += constants.REQUEST_TIMEOUT_S - 0.01
     requests.refuse_expired()
     assert replies(runtime) == []
     runtime.now += 0.01
@@ -56,7 +56,7 @@
 
 def test_requests_beyond_the_bound_are_refused_to_be_repeated() -> None:
     runtime, requests = build()
-    assert all(requests.admit(number) for number in range(constants.PENDING_USERS_MAX))
-    assert not requests.admit(constants.PENDING_USERS_MAX)
+    assert all(requests.admit(number) for number in range(constants.PENDING_REQUESTS_MAX))
+    assert not requests.admit(constants.PENDING_REQUESTS_MAX)
     assert replies(runtime) == [(429, {"error": "too many requests"}, {"Retry-After": "1"})]
-    assert len(requests) == constants.PENDING_USERS_MAX
+    assert len(requests) == constants.PENDING_REQUESTS_MAX
--- a/tests/unit/fleet/test_deletions.py
+++ b/tests/unit/fleet/test_deletions.py
@@ -59,7 +59,7 @@
     fixture = Fixture()
     fixture.deletions.cordon("vm-1", ScaleInReason.IDLE)
     assert fixture.cordons == [("vm-1", "idle")]
-    fixture.runtime.now += constants.CORDON_S - 0.1
+    fixture.runtime.now += constants.DELETION_CORDON_S - 0.1
     fixture.deletions.delete_due()
     assert fixture.cloud.deleted == []
     fixture.runtime.now += 0.1
@@ -74,7 +74,7 @@
     fixture = Fixture()
     fixture.deletions.cordon("vm-1", ScaleInReason.IDLE)
     fixture.is_empty = False
-    fixture.runtime.now += constants.CORDON_S
+    fixture.runtime.now += constants.DELETION_CORDON_S
     fixture.deletions.delete_due()
     assert fixture.cloud.deleted == [] and not fixture.deletions.pending
     assert fixture.cordons[-1] == ("vm-1", NO_CORDON)
--- a/tests/unit/fleet/test_offers.py
+++ b/tests/unit/fleet/test_offers.py
@@ -22,7 +22,7 @@
     offers.mark_unavailable(in_a)
     assert offers.cheapest(job, 1) == in_b
     assert offers.cheapest(job, 1, zone="a") is None
-    runtime.now += constants.NO_CAPACITY_S
+    runtime.now += constants.NO_CAPACITY_BACKOFF_S
     assert offers.cheapest(job, 1) == in_a
 
 
--- a/tests/unit/membership/test_heartbeats.py
+++ b/tests/unit/membership/test_heartbeats.py
@@ -55,5 +55,5 @@
     assert heartbeats.has_leader_failed()
     heartbeats.on_peer(ControllerHeartbeat("n1", 0.1))
     assert not heartbeats.has_leader_failed()
-    heartbeats.on_peer(ControllerHeartbeat("n1", constants.HEARTBEAT_SERVED_S))
+    heartbeats.on_peer(ControllerHeartbeat("n1", constants.STORE_UNREACHABLE_TIMEOUT_S))
     assert heartbeats.has_leader_failed()
--- a/tests/unit/rebalancing/test_move_planning.py
+++ b/tests/unit/rebalancing/test_move_planning.py
@@ -112,7 +112,7 @@
     parts.runtime.now += 11.1
     parts.planning.tick()
     assert set(parts.calls[1]["skip"]) == {"vm-1"}
-    parts.runtime.now += constants.MOVE_BLOCKED_S
+    parts.runtime.now += constants.MOVE_SOURCE_BACKOFF_S
     parts.planning.tick()
     assert set(parts.calls[2]["skip"]) == set()
 
--- a/tests/unit/scheduling/test_handoff.py
+++ b/tests/unit/scheduling/test_handoff.py
@@ -44,7 +44,7 @@
     received = job(crates=4)
     received.handoff_target = HandoffTarget("n0", "x")
     handoff.on_job_owned(received)
-    runtime.now += constants.HANDOFF_EVERY_S
+    runtime.now += constants.HANDOFF_COOLDOWN_S
     assert handoff.choose_target(received, [machine("n1", 4)], 4, {}) is None
     runtime.now += 0.1
     assert handoff.choose_target(received, [machine("n1", 4)], 4, {}) == "n1"
--- a/tests/unit/scheduling/test_moves.py
+++ b/tests/unit/scheduling/test_moves.py
@@ -152,18 +152,18 @@
     for number in (1, 2, 3):
         requester.request(PROPOSAL)
         assert parts.sent[-1] == ("n1", MoveRequested(order(number)))
-        parts.runtime.now += constants.MOVE_HOLD_S + constants.MOVE_LOOK_EVERY_S
+        parts.runtime.now += constants.MOVE_RESERVATION_S + constants.MOVE_CHECK_INTERVAL_S
         requester.tick()
         ended_at = parts.runtime.now
         while parts.cooldowns.is_cooling_down("job-1"):
             parts.runtime.now += 1.0
         cooldowns_s.append(parts.runtime.now - ended_at)
-    assert cooldowns_s == [constants.MOVE_RETRY_S * factor for factor in (1, 2, 4)]
+    assert cooldowns_s == [constants.MOVE_BACKOFF_S * factor for factor in (1, 2, 4)]
     assert requester.outcomes == {MoveOutcome.NO_ANSWER: 3} and not requester.requested
 
 
 def test_a_job_cools_down_after_its_move_and_hardly_after_one_that_drains() -> None:
-    for is_draining, cooldown_s in ((False, 60.0), (True, constants.DRAIN_REST_S)):
+    for is_draining, cooldown_s in ((False, 60.0), (True, constants.DRAIN_MOVE_COOLDOWN_S)):
         parts = Parts()
         parts.is_draining = is_draining
         requester = parts.requester()
@@ -205,7 +205,7 @@
     parts.reservations.hold(order(), parts.job.spec)
     owner.on_requested(order(number=2))
     assert parts.sent == [("n0", MoveEnded(order(number=2), MoveOutcome.BUSY))]
-    parts.runtime.now += constants.MOVE_HOLD_S
+    parts.runtime.now += constants.MOVE_RESERVATION_S
     owner.tick()
     assert not parts.index.move_reservations
 
--- a/tests/unit/scheduling/test_preemption.py
+++ b/tests/unit/scheduling/test_preemption.py
@@ -100,7 +100,7 @@
     cluster.preemption.expire_claims()
     assert cluster.preemption.claimed_machines == {"vm-0": "job-9"}
     if ending == "time":
-        cluster.runtime.now += constants.CLAIM_S
+        cluster.runtime.now += constants.PREEMPTION_RESERVATION_S
     elif ending == "placed":
         cluster.preemption.release_claims("job-9", [StepReservation("vm-0", HIGH.spec, 1)])
     else:
--- a/tests/unit/scheduling/test_queue_order.py
+++ b/tests/unit/scheduling/test_queue_order.py
@@ -45,9 +45,11 @@
 
 def test_a_job_that_waits_too_long_is_served_first_in_its_rank_and_later_before_all() -> None:
     order = queue_order(QuotaUsage())
-    ageing = order.sort_key(job("job-1", submitted=1000.0 - constants.AGED_S - 1))
+    ageing = order.sort_key(job("job-1", submitted=1000.0 - constants.AGEING_THRESHOLD_S - 1))
     assert ageing.guarantee is GuaranteeClass.WITHIN_GUARANTEE and ageing.missed_limits == AGEING
-    overdue = order.sort_key(job("job-2", 1000.0 - constants.OVERDUE_S - 1, rank="best_effort"))
+    overdue = order.sort_key(
+        job("job-2", 1000.0 - constants.OVERDUE_THRESHOLD_S - 1, rank="best_effort")
+    )
     assert overdue.guarantee is GuaranteeClass.OVERDUE
     assert overdue < ageing < order.sort_key(job("job-3", rank="standard"))
 
--- a/tests/unit/workers/test_command_reconciler.py
+++ b/tests/unit/workers/test_command_reconciler.py
@@ -25,7 +25,7 @@
     parts.intake.ingest(heartbeat(1))
     assert commands(parts, pushed=True) == [wire.Command(wire.LAUNCH, *KEY)]
     assert commands(parts) == []
-    parts.runtime.now += constants.LAUNCH_AGAIN_S
+    parts.runtime.now += constants.LAUNCH_RETRY_DELAY_S
     assert commands(parts) == [wire.Command(wire.LAUNCH, *KEY)]
 
 
--- a/tests/unit/workers/test_lease_expiry.py
+++ b/tests/unit/workers/test_lease_expiry.py
@@ -28,7 +28,7 @@
     worker, expiry = parts.table.rows[MACHINE], lease_expiry(parts)
     worker.lease.renewable_until = 110.0  # later than the last heartbeat
     lease_s = parts.runtime.settings.cluster.workers.lease_s
-    ends_at = 110.0 + lease_s * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN_S
+    ends_at = 110.0 + lease_s * (1 + constants.CLOCK_DRIFT) + constants.LEASE_EXPIRY_MARGIN_S
     parts.membership.view_confirmed_at = ends_at
     parts.runtime.now = ends_at - 0.01
     expiry.check(worker, expiry.lease_bound_s())
