--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -20,7 +20,7 @@
 from appledock.core.capacity.summary import PartitionSummary
 from appledock.core.commands import AdminRequest
 from appledock.core.effects import Response
-from appledock.core.records.capacity import AGREED_FRACTIONS, AgreedFractions
+from appledock.core.records.capacity import AGREED_FRACTIONS_KEY, AgreedFractions
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.rate_limiter import Priority
@@ -176,13 +176,13 @@
             change.request_id,
             change.fractions,
             self._partitions.agreed_fractions(),
-            None if deadline_s is None else self._runtime.wall + deadline_s,
+            None if deadline_s is None else self._runtime.wall_time + deadline_s,
         ).encode()
 
         def on_outcome(outcome: StoreOutcome) -> None:
             match outcome:
                 case Committed():
-                    self._replica.put(AGREED_FRACTIONS, record, outcome.revision)
+                    self._replica.put(AGREED_FRACTIONS_KEY, record, outcome.revision)
                     self._respond_applied(request)
                 case Conflict() | UnknownOutcome():
                     self._read_and_respond(request, change)
@@ -190,7 +190,7 @@
                     self._respond_unavailable(request)
 
         self._client.submit(
-            Transaction({AGREED_FRACTIONS: version}, [Put(AGREED_FRACTIONS, record)]),
+            Transaction({AGREED_FRACTIONS_KEY: version}, [Put(AGREED_FRACTIONS_KEY, record)]),
             Priority.USER,
             on_outcome,
             constants.REQUEST_TIMEOUT_S,
@@ -201,7 +201,7 @@
         return agreed is not None and agreed.request_id == change.request_id
 
     def _agreed_version(self) -> int:
-        return self._replica.capacity.version(AGREED_FRACTIONS)
+        return self._replica.capacity.version(AGREED_FRACTIONS_KEY)
 
     def _read_and_respond(self, request: AdminRequest, change: FractionChange) -> None:
         """Another change came first, or the outcome of this one is unknown: read the record."""
@@ -213,7 +213,7 @@
                 self._respond_conflict(request, change)
 
         self._reader.read_keys(
-            [AGREED_FRACTIONS], on_read, lambda: self._respond_unavailable(request)
+            [AGREED_FRACTIONS_KEY], on_read, lambda: self._respond_unavailable(request)
         )
 
     def _respond_conflict(self, request: AdminRequest, change: FractionChange) -> None:
--- a/appledock/core/api/job_cancellation.py
+++ b/appledock/core/api/job_cancellation.py
@@ -15,7 +15,7 @@
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
@@ -89,17 +89,17 @@
     def _commit(self, request_id: int, job: Job) -> None:
         """Write the cancellation: the job is over with it if none of its tasks is unsettled."""
         cancelled = job.copy()
-        cancelled.cancelled, cancelled.cancelled_at = True, self._runtime.wall
+        cancelled.cancelled, cancelled.cancelled_at = True, self._runtime.wall_time
         is_over = not job.attempts
-        cancellation = Transaction({JOBS + job.id: job.version})
+        cancellation = Transaction({JOBS_PREFIX + job.id: job.version})
         if is_over:
             cancellation.writes = [
-                Delete(JOBS + job.id),
-                Put(FINAL + job.id, {"state": wire.CANCELLED}),
+                Delete(JOBS_PREFIX + job.id),
+                Put(FINAL_PREFIX + job.id, {"state": wire.CANCELLED}),
             ]
         else:
             record = self._codec.encode(self._codec.drop_needless_types(cancelled))
-            cancellation.writes = [Put(JOBS + job.id, record)]
+            cancellation.writes = [Put(JOBS_PREFIX + job.id, record)]
 
         def on_outcome(outcome: StoreOutcome) -> None:
             match outcome:
@@ -116,8 +116,8 @@
     def _apply(self, job: Job, revision: int, *, is_over: bool) -> None:
         """Take the committed cancellation into the replica, and tell the peers."""
         if is_over:
-            self._replica.put(FINAL + job.id, {"state": wire.CANCELLED}, revision)
-            self._replica.drop(JOBS + job.id, revision)
+            self._replica.put(FINAL_PREFIX + job.id, {"state": wire.CANCELLED}, revision)
+            self._replica.drop(JOBS_PREFIX + job.id, revision)
         else:
             job.version = revision
             self._replica.set_job(job)
--- a/appledock/core/api/job_records.py
+++ b/appledock/core/api/job_records.py
@@ -6,7 +6,7 @@
 
 from appledock import constants
 from appledock.core.runtime import Runtime
-from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
 
@@ -40,9 +40,9 @@
                 else:
                     on_read()
 
-            self._reader.read_keys([FINAL + job_id], finish, on_failed)
+            self._reader.read_keys([FINAL_PREFIX + job_id], finish, on_failed)
 
-        self._reader.read_keys([JOBS + job_id], read_final, on_failed)
+        self._reader.read_keys([JOBS_PREFIX + job_id], read_final, on_failed)
 
 
 class DependencyOutcomes:
--- a/appledock/core/api/settings_api.py
+++ b/appledock/core/api/settings_api.py
@@ -18,7 +18,7 @@
     validate,
 )
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import SETTINGS
+from appledock.core.store.keys import SETTINGS_KEY
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
@@ -82,13 +82,13 @@
                     self._on_committed(changed, outcome.revision)
                     self._responder.answer(request, self.read())
                 case Conflict():
-                    self._reader.read_keys([SETTINGS])
+                    self._reader.read_keys([SETTINGS_KEY])
                     self._responder.refuse(request, 409, "the settings were changed meanwhile")
                 case _:
                     self._responder.refuse(request, 503, STORE_UNAVAILABLE)
 
         self._client.submit(
-            Transaction({SETTINGS: version}, [Put(SETTINGS, changed)]),
+            Transaction({SETTINGS_KEY: version}, [Put(SETTINGS_KEY, changed)]),
             Priority.USER,
             on_outcome,
             constants.REQUEST_TIMEOUT_S,
@@ -115,6 +115,6 @@
 
     def _on_committed(self, changed: dict[str, Any], revision: int) -> None:
         """The change takes effect here at once; the watch brings it a second time."""
-        self._replica.put(SETTINGS, changed, revision)
+        self._replica.put(SETTINGS_KEY, changed, revision)
         self._operator_settings.apply(self._replica.stored_settings.value)
         self._reconcile_queue.placement_due = True
--- a/appledock/core/api/status_polls.py
+++ b/appledock/core/api/status_polls.py
@@ -16,7 +16,7 @@
 from appledock.core.api.open_requests import STORE_UNAVAILABLE, OpenRequests
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Committed, Conflict, StoreOutcome, Transaction
@@ -148,9 +148,9 @@
                 rest.append(request)
                 continue
             job = self._replica.jobs.get(job_id)
-            conditions[JOBS + job_id] = job.version if job else 0
+            conditions[JOBS_PREFIX + job_id] = job.version if job else 0
             if job is None:
-                conditions[FINAL + job_id] = 0
+                conditions[FINAL_PREFIX + job_id] = 0
             batch.append(request)
         self._polls = rest
         return batch, conditions
@@ -165,12 +165,12 @@
         """The versions were compared at the revision; those of the failed keys are old."""
         for request in batch:
             job_id = request.job_id
-            if JOBS + job_id in failed or FINAL + job_id in failed:
+            if JOBS_PREFIX + job_id in failed or FINAL_PREFIX + job_id in failed:
                 self.read(request)
             elif job_id in self._replica.dependencies.waiting_jobs:
                 self.answer_at_revision(request, revision)
             else:
-                self.answer(request, is_absence_confirmed=FINAL + job_id in conditions)
+                self.answer(request, is_absence_confirmed=FINAL_PREFIX + job_id in conditions)
 
     def answer_at_revision(self, request: PendingRequest, revision: int) -> None:
         """Answer once the watch has brought the replica up to the revision.
--- a/appledock/core/api/submission.py
+++ b/appledock/core/api/submission.py
@@ -15,7 +15,7 @@
 from appledock.core.records.job import HandoffTarget, Job
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
@@ -126,10 +126,11 @@
 
     def _create(self, request_id: int, spec: wire.JobSpec) -> None:
         """Write the job's record on condition that the job neither exists nor has ended."""
-        job = Job(spec, self._runtime.wall)
+        job = Job(spec, self._runtime.wall_time)
         job.handoff_target = self._choose_first_owner(job)
         creation = Transaction(
-            {JOBS + spec.id: 0, FINAL + spec.id: 0}, [Put(JOBS + spec.id, self._codec.encode(job))]
+            {JOBS_PREFIX + spec.id: 0, FINAL_PREFIX + spec.id: 0},
+            [Put(JOBS_PREFIX + spec.id, self._codec.encode(job))],
         )
 
         def on_outcome(outcome: StoreOutcome) -> None:
--- a/appledock/core/api/submission_check.py
+++ b/appledock/core/api/submission_check.py
@@ -57,7 +57,7 @@
         tasks = 1 if spec.kind == wire.ARRAY else spec.tasks
         if not demand_of(spec, tasks).fits_in(limit_of(team)):
             return ABOVE_TEAM_LIMIT
-        record = wire.encode(self._codec.encode(Job(spec, self._runtime.wall)))
+        record = wire.encode(self._codec.encode(Job(spec, self._runtime.wall_time)))
         if len(record) > constants.DESCRIPTION_SHARE * self._client.max_value_bytes:
             # Guards against a job that waits for ever: its record has no room for an attempt.
             return DESCRIPTION_TOO_LONG
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -101,7 +101,7 @@
     def _stop_checkpointing_after_deadline(self) -> None:
         """Stop own tasks with checkpoints once the deadline of the last change has passed."""
         agreed = self._replica.capacity.agreed_fractions
-        if agreed is None or agreed.stop_at is None or self._runtime.wall < agreed.stop_at:
+        if agreed is None or agreed.stop_at is None or self._runtime.wall_time < agreed.stop_at:
             return
         for machine, _ in self._machines_being_handed_over():
             for job_id, tasks in self._checkpointing_tasks(machine).items():
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -122,7 +122,7 @@
         Never raises: bad input or a bug in one part is logged, and the rest of the batch and its
         effects are kept.
         """
-        self._runtime.now, self._runtime.wall = now, wall
+        self._runtime.now, self._runtime.wall_time = now, wall
         if not self._is_started:
             self._workers.on_start()
             self._is_started = True
@@ -236,7 +236,7 @@
         changes = self._replica.changes
         if changes.view:
             self._act_on_view_change()
-        if self._replica.capacity.changed:
+        if self._replica.capacity.changed_machines:
             self._act_on_partition_changes()
         if changes.settings:
             self._act_on_settings_change()
@@ -263,7 +263,7 @@
 
     def _act_on_partition_changes(self) -> None:
         """Machines were assigned to other capacity partitions, or drained."""
-        changed_machines = self._replica.capacity.changed
+        changed_machines = self._replica.capacity.changed_machines
         self._capacity_index.mark_each_changed(changed_machines)
         changed_machines.clear()
         self._reconcile_queue.placement_due = True
--- a/appledock/core/fleet/catalogue.py
+++ b/appledock/core/fleet/catalogue.py
@@ -14,7 +14,7 @@
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import CATALOGUE
+from appledock.core.store.keys import CATALOGUE_KEY
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Committed, Put, StoreOutcome, Transaction
@@ -109,13 +109,13 @@
 
         def on_outcome(outcome: StoreOutcome) -> None:
             if isinstance(outcome, Committed):
-                self._replica.put(CATALOGUE, value, outcome.revision)
+                self._replica.put(CATALOGUE_KEY, value, outcome.revision)
             else:
                 retry_at = self._runtime.now + constants.CATALOGUE_WRITE_RETRY_DELAY_S
                 self._next_read_at = min(self._next_read_at, retry_at)
 
         self._client.submit(
-            Transaction({CATALOGUE: version}, [Put(CATALOGUE, value)]),
+            Transaction({CATALOGUE_KEY: version}, [Put(CATALOGUE_KEY, value)]),
             Priority.PROGRESS,
             on_outcome,
         )
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -72,7 +72,7 @@
         _, deadline_at = self._replica.dependencies.inherited_priority(job)
         has_deadline = deadline_at < job.submitted_at + constants.NO_DEADLINE_S
         return self._objectives.has_wait_limit(job.spec) or (
-            has_deadline and self._runtime.wall < deadline_at
+            has_deadline and self._runtime.wall_time < deadline_at
         )
 
     def _is_due(self, job: Job) -> bool:
--- a/appledock/core/fleet/idle_reserve.py
+++ b/appledock/core/fleet/idle_reserve.py
@@ -98,7 +98,7 @@
     def on_job_changed(self, job: Job) -> None:
         """A record changed: perhaps a service has arrived."""
         if job.spec.service and job.id not in self._arrivals:
-            age_s = max(0.0, self._runtime.wall - job.submitted_at)
+            age_s = max(0.0, self._runtime.wall_time - job.submitted_at)
             self._arrivals[job.id] = ServiceArrival(self._runtime.now - age_s, job.spec)
 
     def target(self) -> ReserveTarget:
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -102,7 +102,9 @@
         known = self._known.get(job.id)
         if known is None:
             now = self._runtime.now
-            age_s = max(0.0, self._runtime.wall - job.cancelled_at) if job.cancelled_at else 0.0
+            age_s = (
+                max(0.0, self._runtime.wall_time - job.cancelled_at) if job.cancelled_at else 0.0
+            )
             known = self._known[job.id] = KnownCancellation(now, now - age_s)
         return known
 
--- a/appledock/core/jobs/cancellation_dissemination.py
+++ b/appledock/core/jobs/cancellation_dissemination.py
@@ -12,7 +12,7 @@
 from appledock.core.messages import JobCancelled
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
-from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX
 from appledock.core.store.replica import Replica
 
 
@@ -41,10 +41,10 @@
         """Take a committed record into the replica; there the newest version wins."""
         job_id, version = message.job, message.version
         if message.record is not None:
-            self._replica.put(JOBS + job_id, message.record, version)
+            self._replica.put(JOBS_PREFIX + job_id, message.record, version)
         else:
-            self._replica.put(FINAL + job_id, {"state": wire.CANCELLED}, version)
-            self._replica.drop(JOBS + job_id, version)
+            self._replica.put(FINAL_PREFIX + job_id, {"state": wire.CANCELLED}, version)
+            self._replica.drop(JOBS_PREFIX + job_id, version)
 
     def _message(self, job_id: str, job: Job | None, revision: int) -> JobCancelled:
         record = self._codec.encode(job) if job is not None else None
--- a/appledock/core/jobs/team_record_writer.py
+++ b/appledock/core/jobs/team_record_writer.py
@@ -8,7 +8,7 @@
 from appledock.core.quota.allocation import QuotaAllocation
 from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import TEAMS
+from appledock.core.store.keys import TEAMS_PREFIX
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
@@ -44,8 +44,10 @@
 
     def write(self, team: str, record: TeamAllocation, priority: Priority) -> None:
         """Write a team's record, conditional on its version."""
-        transaction = Transaction(self._fencing_conditions(), [Put(TEAMS + team, record.encode())])
-        transaction.conditions[TEAMS + team] = record.version
+        transaction = Transaction(
+            self._fencing_conditions(), [Put(TEAMS_PREFIX + team, record.encode())]
+        )
+        transaction.conditions[TEAMS_PREFIX + team] = record.version
         quota_write = self._quota_allocation.begin_record_write(team, record)
 
         def on_outcome(outcome: StoreOutcome) -> None:
@@ -55,7 +57,7 @@
                 case Committed():
                     self._quota_allocation.on_record_committed(team, record, outcome.revision)
                 case Conflict() | UnknownOutcome():
-                    self._reader.read_keys([TEAMS + team])
+                    self._reader.read_keys([TEAMS_PREFIX + team])
                 case _:
                     pass
 
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -25,7 +25,7 @@
 from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import FINAL, JOBS, TEAMS
+from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX, TEAMS_PREFIX
 from appledock.core.store.rate_limiter import Priority, QueuedCall
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
@@ -215,21 +215,21 @@
         self, job: Job, new: Job, change: RecordUpdate | JobEnd, team_record: TeamAllocation | None
     ) -> Transaction:
         transaction = Transaction(self._fencing_conditions())
-        transaction.conditions[JOBS + job.id] = job.version
+        transaction.conditions[JOBS_PREFIX + job.id] = job.version
         match change:
             case JobEnd(state):
                 transaction.writes += [
-                    Delete(JOBS + job.id),
-                    Put(FINAL + job.id, {"state": state.value}),
+                    Delete(JOBS_PREFIX + job.id),
+                    Put(FINAL_PREFIX + job.id, {"state": state.value}),
                 ]
             case RecordUpdate():
                 record = self._codec.encode(self._codec.drop_needless_types(new))
-                transaction.writes.append(Put(JOBS + job.id, record))
+                transaction.writes.append(Put(JOBS_PREFIX + job.id, record))
             case _:
                 assert_never(change)
         if team_record is not None:
-            transaction.conditions[TEAMS + job.spec.team] = team_record.version
-            transaction.writes.append(Put(TEAMS + job.spec.team, team_record.encode()))
+            transaction.conditions[TEAMS_PREFIX + job.spec.team] = team_record.version
+            transaction.writes.append(Put(TEAMS_PREFIX + job.spec.team, team_record.encode()))
         return transaction
 
     # --- outcomes ---------------------------------------------------------
@@ -257,8 +257,8 @@
             _log_step(write)
         match write.change:
             case JobEnd(state):
-                self._replica.put(FINAL + job_id, {"state": state.value}, revision)
-                self._replica.drop(JOBS + job_id, revision)
+                self._replica.put(FINAL_PREFIX + job_id, {"state": state.value}, revision)
+                self._replica.drop(JOBS_PREFIX + job_id, revision)
                 log.info("job ended: job=%s state=%s", job_id, state)
             case RecordUpdate():
                 write.new.version = revision
@@ -281,8 +281,8 @@
                 return constants.RETRY_DELAY_MIN_S * random()
             case UnknownOutcome():
                 # It may be applied, now or later: read before acting on either.
-                team_keys = [TEAMS + job.spec.team] if write.team_record else []
-                self._reader.read_keys([JOBS + job.id, *team_keys])
+                team_keys = [TEAMS_PREFIX + job.spec.team] if write.team_record else []
+                self._reader.read_keys([JOBS_PREFIX + job.id, *team_keys])
             case Rejected():
                 # Too large, most likely: it may fit now that the client's limit is lower. If
                 # not, try seldom, since each attempt uses up the rate limit of the others.
--- a/appledock/core/membership/format_upgrade.py
+++ b/appledock/core/membership/format_upgrade.py
@@ -8,7 +8,7 @@
 from appledock.core.membership.membership import Membership
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import FORMAT, MEMBERS
+from appledock.core.store.keys import FORMAT_KEY, MEMBERS_PREFIX
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
@@ -77,10 +77,13 @@
         transaction = Transaction(
             {
                 **self._membership.fencing_conditions(),
-                FORMAT: replica.record_format.version,
-                **{MEMBERS + node: member.version for node, member in replica.members.items()},
+                FORMAT_KEY: replica.record_format.version,
+                **{
+                    MEMBERS_PREFIX + node: member.version
+                    for node, member in replica.members.items()
+                },
             },
-            [Put(FORMAT, record)],
+            [Put(FORMAT_KEY, record)],
         )
 
         def on_outcome(outcome: StoreOutcome) -> None:
@@ -88,7 +91,7 @@
             self._next_attempt_at = self._runtime.now + constants.MEMBERSHIP_RETRY_DELAY_S
             match outcome:
                 case Committed():
-                    replica.put(FORMAT, record, outcome.revision)
+                    replica.put(FORMAT_KEY, record, outcome.revision)
                     log.info(
                         "record format raised: format=%d members=%d",
                         self._newest_format,
--- a/appledock/core/membership/joining.py
+++ b/appledock/core/membership/joining.py
@@ -11,7 +11,7 @@
 from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import MEMBERS, VIEW
+from appledock.core.store.keys import MEMBERS_PREFIX, VIEW_KEY
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
@@ -115,10 +115,10 @@
                 self._retry_later()
                 return
             if isinstance(outcome, Row):
-                self._replica.put(VIEW, outcome.value, outcome.version)
+                self._replica.put(VIEW_KEY, outcome.value, outcome.version)
             self._read_predecessor()
 
-        self._client.submit(GetKey(VIEW), Priority.LEASE, on_outcome)
+        self._client.submit(GetKey(VIEW_KEY), Priority.LEASE, on_outcome)
 
     def _read_predecessor(self) -> None:
         node = self._membership.node
@@ -133,7 +133,7 @@
                 case _:
                     self._retry_later()
 
-        self._client.submit(GetKey(MEMBERS + node), Priority.LEASE, on_outcome)
+        self._client.submit(GetKey(MEMBERS_PREFIX + node), Priority.LEASE, on_outcome)
 
     def _commit(self, predecessor: Predecessor) -> None:
         """Write the member key, attached to the lease, and a new view in one transaction.
@@ -152,10 +152,13 @@
             "format": self._newest_format,
         }
         transaction = Transaction(
-            {MEMBERS + membership.node: predecessor.version, VIEW: view.version if view else 0},
+            {
+                MEMBERS_PREFIX + membership.node: predecessor.version,
+                VIEW_KEY: view.version if view else 0,
+            },
             [
-                Put(MEMBERS + membership.node, member, membership.lease),
-                Put(VIEW, new_view.encode()),
+                Put(MEMBERS_PREFIX + membership.node, member, membership.lease),
+                Put(VIEW_KEY, new_view.encode()),
             ],
         )
         sent_at = self._runtime.now
@@ -163,8 +166,8 @@
         def on_outcome(outcome: StoreOutcome) -> None:
             match outcome:
                 case Committed():
-                    self._replica.put(MEMBERS + membership.node, member, outcome.revision)
-                    self._replica.put(VIEW, new_view.encode(), outcome.revision)
+                    self._replica.put(MEMBERS_PREFIX + membership.node, member, outcome.revision)
+                    self._replica.put(VIEW_KEY, new_view.encode(), outcome.revision)
                     self._on_committed(new_view, predecessor, sent_at)
                 case Conflict():
                     # With a way out if reading fails: else joining would never go on after
--- a/appledock/core/membership/lease_renewal.py
+++ b/appledock/core/membership/lease_renewal.py
@@ -6,7 +6,7 @@
 from appledock.core.membership.membership import Membership
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import VIEW
+from appledock.core.store.keys import VIEW_KEY
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
@@ -88,7 +88,7 @@
             membership = self._membership
             if not isinstance(outcome, Row) or incarnation != membership.incarnation:
                 return
-            self._replica.put(VIEW, outcome.value, outcome.version)
+            self._replica.put(VIEW_KEY, outcome.value, outcome.version)
             if membership.view is None or outcome.version != membership.view.version:
                 return
             if membership.is_member():
@@ -96,4 +96,4 @@
             else:
                 membership.on_lost("excluded from the view")
 
-        self._client.submit(GetKey(VIEW), Priority.LEASE, on_outcome)
+        self._client.submit(GetKey(VIEW_KEY), Priority.LEASE, on_outcome)
--- a/appledock/core/membership/membership.py
+++ b/appledock/core/membership/membership.py
@@ -25,7 +25,7 @@
 from appledock import constants
 from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
-from appledock.core.store.keys import MEMBERS, VIEW
+from appledock.core.store.keys import MEMBERS_PREFIX, VIEW_KEY
 from appledock.core.store.replica import Replica
 
 log = logging.getLogger(__name__)
@@ -130,8 +130,8 @@
         """
         assert self.view is not None
         return {
-            VIEW: self.view.version,
-            MEMBERS + self.node: self._replica.members[self.node].version,
+            VIEW_KEY: self.view.version,
+            MEMBERS_PREFIX + self.node: self._replica.members[self.node].version,
         }
 
     # --- transitions ------------------------------------------------------
--- a/appledock/core/membership/view_changes.py
+++ b/appledock/core/membership/view_changes.py
@@ -12,7 +12,7 @@
 from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import VIEW
+from appledock.core.store.keys import VIEW_KEY
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
@@ -120,7 +120,9 @@
         self._is_changing = True
         view = self._next_view(members)
         sent_at = self._runtime.now
-        transaction = Transaction(self._membership.fencing_conditions(), [Put(VIEW, view.encode())])
+        transaction = Transaction(
+            self._membership.fencing_conditions(), [Put(VIEW_KEY, view.encode())]
+        )
 
         def on_outcome(outcome: StoreOutcome) -> None:
             self._is_changing = False
@@ -129,7 +131,7 @@
                 case Committed():
                     # Committed against the version before: none newer existed when it was sent.
                     self._membership.on_view_confirmed(sent_at)
-                    self._replica.put(VIEW, view.encode(), outcome.revision)
+                    self._replica.put(VIEW_KEY, view.encode(), outcome.revision)
                     log.info(
                         "view changed: term=%d leader=%s members=%s",
                         view.term,
--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -46,7 +46,7 @@
 from appledock.core.records.membership_view import View
 from appledock.core.records.team_allocation import ResourceShare, TeamAllocation
 from appledock.core.runtime import Runtime
-from appledock.core.store.keys import TEAMS
+from appledock.core.store.keys import TEAMS_PREFIX
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import StoreOutcome
 
@@ -279,7 +279,7 @@
     def on_record_committed(self, team: str, record: TeamAllocation, revision: int) -> None:
         """Our write of the team's record was executed at the revision."""
         self._own_versions[team] = revision
-        self._replica.put(TEAMS + team, record.encode(), revision)
+        self._replica.put(TEAMS_PREFIX + team, record.encode(), revision)
         self.clear_caches_of(team)
 
 
--- a/appledock/core/records/capacity.py
+++ b/appledock/core/records/capacity.py
@@ -13,9 +13,9 @@
 
 log = logging.getLogger(__name__)
 
-CAPACITY = constants.KEY_PREFIX + "live/capacity/"
-AGREED_FRACTIONS = CAPACITY + "agreed"
-OWNERSHIP_PREFIX = CAPACITY + "held/"
+CAPACITY_PREFIX = constants.KEY_PREFIX + "live/capacity/"
+AGREED_FRACTIONS_KEY = CAPACITY_PREFIX + "agreed"
+OWNERSHIP_PREFIX = CAPACITY_PREFIX + "held/"
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
         self.agreed_fractions: AgreedFractions | None = None
         self.buckets: dict[int, OwnershipBucket] = {}
         """number -> ownership record"""
-        self.changed: set[str] = set()
+        self.changed_machines: set[str] = set()
         """machines whose owner has changed"""
 
     def bucket(self, number: int) -> OwnershipBucket:
@@ -73,7 +73,7 @@
 
     def version(self, key: str) -> int:
         """The version of a record as last read; 0: it does not exist."""
-        if key == AGREED_FRACTIONS:
+        if key == AGREED_FRACTIONS_KEY:
             return self.agreed_fractions.version if self.agreed_fractions is not None else 0
         return self.bucket(_bucket_number(key)).version
 
@@ -84,18 +84,18 @@
         counts as empty.
         """
         try:
-            if key == AGREED_FRACTIONS:
+            if key == AGREED_FRACTIONS_KEY:
                 self.agreed_fractions = decode_agreed_fractions(value, version)
             else:
                 self._set_bucket(_bucket_number(key), decode_bucket(value, version))
         except (AttributeError, KeyError, TypeError, ValueError):
             log.exception("malformed capacity record: key=%s", key)
-            if key != AGREED_FRACTIONS:
+            if key != AGREED_FRACTIONS_KEY:
                 self._set_bucket(_bucket_number(key), OwnershipBucket(version))
 
     def drop(self, key: str) -> None:
         """Take in that a record was deleted."""
-        if key == AGREED_FRACTIONS:
+        if key == AGREED_FRACTIONS_KEY:
             self.agreed_fractions = None
         else:
             self._set_bucket(_bucket_number(key), OwnershipBucket())
@@ -105,7 +105,7 @@
         self.buckets[number] = bucket
         for machine in old.keys() | bucket.owners.keys():
             if old.get(machine) != bucket.owners.get(machine):
-                self.changed.add(machine)
+                self.changed_machines.add(machine)
 
 
 def _bucket_number(key: str) -> int:
--- a/appledock/core/runtime.py
+++ b/appledock/core/runtime.py
@@ -29,7 +29,7 @@
         self.rng = rng
         self.now = 0.0
         """steady clock, s"""
-        self.wall = 0.0
+        self.wall_time = 0.0
         """time of day, s since the epoch"""
         self.teams: dict[str, TeamLimits] = {team.name: team for team in settings.cluster.teams}
         workers = settings.cluster.workers
--- a/appledock/core/scheduling/moves/requester.py
+++ b/appledock/core/scheduling/moves/requester.py
@@ -124,7 +124,7 @@
 
     def _record(self, order: MoveOrder, outcome: str) -> None:
         self.outcomes[outcome] += 1
-        self.ended.append(EndedMove(order, self._runtime.wall, outcome))
+        self.ended.append(EndedMove(order, self._runtime.wall_time, outcome))
         log.info(
             "move ended: job=%s task=%d destination=%s outcome=%s",
             order.job,
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -48,7 +48,7 @@
 
     def is_step_rate_limited(self) -> bool:
         """Do steps wait for the store's rate limit?"""
-        return self._limiter.count_waiting(Priority.STEP) > constants.WAITING_CALLS_THRESHOLD
+        return self._limiter.count_queued_up_to(Priority.STEP) > constants.WAITING_CALLS_THRESHOLD
 
     def is_service_rate_limited(self) -> bool:
         """Do steps of services wait for the store's rate limit?
@@ -56,7 +56,7 @@
         Then handing one off for image locality costs others more than it saves: two writes
         in place of one.
         """
-        return self._limiter.count_waiting(Priority.URGENT) > constants.WAITING_CALLS_THRESHOLD
+        return self._limiter.count_queued_up_to(Priority.URGENT) > constants.WAITING_CALLS_THRESHOLD
 
     def batching_window_s(self) -> float:
         """Seconds until batch jobs are placed again."""
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -63,7 +63,7 @@
 
     def on_dependencies_met(self, job_id: str) -> None:
         """All dependencies of the job are met; only the first call for a job counts."""
-        self._ready_at.setdefault(job_id, self._runtime.wall)
+        self._ready_at.setdefault(job_id, self._runtime.wall_time)
 
     def forget(self, job_id: str) -> None:
         """Drop what is kept of a job that is over."""
@@ -81,7 +81,7 @@
         """
         rank, inherited_deadline_at = self._replica.dependencies.inherited_priority(job)
         since = self.waiting_since(job)
-        waited_s = self._runtime.wall - since
+        waited_s = self._runtime.wall_time - since
         if self._is_ageing(job, waited_s):
             is_overdue = waited_s > constants.OVERDUE_THRESHOLD_S
             guarantee = GuaranteeClass.OVERDUE if is_overdue else GuaranteeClass.WITHIN_GUARANTEE
@@ -130,7 +130,7 @@
         Under overload this serves first the jobs that can still meet all their limits, then
         those that can meet some.
         """
-        complete_at = self._runtime.wall + job.spec.estimate_s
+        complete_at = self._runtime.wall_time + job.spec.estimate_s
         return sum(complete_at > limit_at for limit_at in limits_at)
 
 
--- a/appledock/core/store/keys.py
+++ b/appledock/core/store/keys.py
@@ -4,17 +4,17 @@
 
 from appledock import constants
 
-LIVE = constants.KEY_PREFIX + "live/"
-JOBS = LIVE + "jobs/"
-TEAMS = LIVE + "teams/"
-MEMBERS = LIVE + "members/"
-VIEW = LIVE + "view"
-CATALOGUE = LIVE + "catalogue"
-SETTINGS = LIVE + "settings"
-FORMAT = LIVE + "format"
-FINAL = constants.KEY_PREFIX + "final/"
+LIVE_PREFIX = constants.KEY_PREFIX + "live/"
+JOBS_PREFIX = LIVE_PREFIX + "jobs/"
+TEAMS_PREFIX = LIVE_PREFIX + "teams/"
+MEMBERS_PREFIX = LIVE_PREFIX + "members/"
+VIEW_KEY = LIVE_PREFIX + "view"
+CATALOGUE_KEY = LIVE_PREFIX + "catalogue"
+SETTINGS_KEY = LIVE_PREFIX + "settings"
+FORMAT_KEY = LIVE_PREFIX + "format"
+FINAL_PREFIX = constants.KEY_PREFIX + "final/"
 
 
 def key_kind(key: str) -> str:
     """`jobs`, `teams`, `members`, `view`, `final` ...: what a key keeps."""
-    return key.removeprefix(LIVE).removeprefix(constants.KEY_PREFIX).partition("/")[0]
+    return key.removeprefix(LIVE_PREFIX).removeprefix(constants.KEY_PREFIX).partition("/")[0]
--- a/appledock/core/store/rate_limiter.py
+++ b/appledock/core/store/rate_limiter.py
@@ -31,7 +31,7 @@
     """completed tasks of jobs that go on"""
 
 
-HEAD_START_S = {
+PRIORITY_DELAY_S = {
     Priority.URGENT: 0.0,
     Priority.FINAL: constants.FINAL_WRITE_DELAY_S,
     Priority.STEP: constants.STEP_WRITE_DELAY_S,
@@ -90,7 +90,7 @@
 
     requests: TokenBucket
     writes: TokenBucket
-    own_write_rate: float = 0.0
+    guaranteed_write_rate: float = 0.0
     """writes/s that this controller may always make"""
     max_write_rate: float = 0.0
     """writes/s never planned beyond"""
@@ -98,7 +98,7 @@
     """writes/s sent lately"""
     has_new_calls: bool = False
     """has a call been added since the queues were last gone through?"""
-    served_at: float = 0.0
+    dispatched_at: float = 0.0
     """when that was"""
     waited_s: float = 0.0
     """time since then, or since no call waited"""
@@ -141,16 +141,16 @@
     def on_rate_limited(self) -> None:
         """The store refused writes as too many: reduce the rate."""
         self.writes.rate = max(
-            self.own_write_rate, self.writes.rate * constants.WRITE_RATE_DECREASE_FACTOR
+            self.guaranteed_write_rate, self.writes.rate * constants.WRITE_RATE_DECREASE_FACTOR
         )
         self.writes.level = min(self.writes.level, 0.0)
 
     def on_peer_write_rate(self, peer_rate: float, planned_rate: float) -> None:
         """The peers write at `peer_rate`: all together keep to `planned_rate` (writes/s)."""
-        self.max_write_rate = max(self.own_write_rate, planned_rate - peer_rate)
+        self.max_write_rate = max(self.guaranteed_write_rate, planned_rate - peer_rate)
         self.writes.rate = min(self.writes.rate, self.max_write_rate)
 
-    def count_waiting(self, priority: Priority) -> int:
+    def count_queued_up_to(self, priority: Priority) -> int:
         """Number of calls of this priority or a more urgent one that wait."""
         return sum(len(queue) for queue in self.queues[: priority + 1])
 
@@ -175,7 +175,7 @@
         if not self._is_turn_due(now):
             return DueCalls([], [])
         waited_s, self.waited_s = self.waited_s, 0.0
-        self.has_new_calls, self.served_at = False, now
+        self.has_new_calls, self.dispatched_at = False, now
         due = DueCalls([], [])
         is_write_held_back = False
         for call in self._take_in_order():
@@ -201,7 +201,7 @@
 
     def _is_turn_due(self, now: float) -> bool:
         """Time fills the buckets, but not within a few milliseconds."""
-        return self.has_new_calls or now >= self.served_at + constants.CALL_DISPATCH_INTERVAL_S
+        return self.has_new_calls or now >= self.dispatched_at + constants.CALL_DISPATCH_INTERVAL_S
 
     def _take_in_order(self) -> list[QueuedCall]:
         """Take out all calls that wait, in the order in which they are served.
@@ -213,7 +213,7 @@
         first = [call for queue in self.queues[: Priority.URGENT] for call in queue]
         rest = sorted(
             (call for queue in self.queues[Priority.URGENT :] for call in queue),
-            key=lambda call: call.queued_at + HEAD_START_S[call.priority],
+            key=lambda call: call.queued_at + PRIORITY_DELAY_S[call.priority],
         )
         for queue in self.queues:
             queue.clear()
--- a/appledock/core/store/reader.py
+++ b/appledock/core/store/reader.py
@@ -8,7 +8,7 @@
 from appledock import constants, wire
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import LIVE
+from appledock.core.store.keys import LIVE_PREFIX
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
@@ -117,7 +117,7 @@
                 self._finish_loading(rows, revision)
 
         self._client.submit(
-            ListKeys(LIVE, after, constants.STORE_LIST_LIMIT), Priority.LEASE, on_outcome
+            ListKeys(LIVE_PREFIX, after, constants.STORE_LIST_LIMIT), Priority.LEASE, on_outcome
         )
 
     def _finish_loading(self, rows: list[wire.Row], revision: int) -> None:
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -14,13 +14,22 @@
 from typing import Any, NamedTuple
 
 from appledock import constants
-from appledock.core.records.capacity import CAPACITY, CapacityRecords
+from appledock.core.records.capacity import CAPACITY_PREFIX, CapacityRecords
 from appledock.core.records.dependencies import DependencyGraph
 from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.records.membership_view import Member, View
 from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.records.versioned import Versioned
-from appledock.core.store.keys import CATALOGUE, FINAL, FORMAT, JOBS, MEMBERS, SETTINGS, TEAMS, VIEW
+from appledock.core.store.keys import (
+    CATALOGUE_KEY,
+    FINAL_PREFIX,
+    FORMAT_KEY,
+    JOBS_PREFIX,
+    MEMBERS_PREFIX,
+    SETTINGS_KEY,
+    TEAMS_PREFIX,
+    VIEW_KEY,
+)
 from appledock.core.store.replica_changes import ReplicaChanges
 from appledock.wire import Row
 
@@ -85,39 +94,43 @@
     def _build_kinds(self) -> dict[str, RecordKind]:
         """Prefix, or whole key of a kind with one record -> what is done with its records."""
         return {
-            JOBS: RecordKind(
+            JOBS_PREFIX: RecordKind(
                 lambda name: self.jobs[name].version if name in self.jobs else 0,
                 lambda _name, value, version: self._store_job(decode_job(value, version)),
                 self._remove_job,
                 lambda: self.jobs,
             ),
-            FINAL: RecordKind(
+            FINAL_PREFIX: RecordKind(
                 lambda _name: 0, lambda name, value, _: self.add_final(name, value["state"])
             ),
-            MEMBERS: RecordKind(
+            MEMBERS_PREFIX: RecordKind(
                 lambda name: self.members[name].version if name in self.members else 0,
                 self._store_member,
                 self._remove_member,
                 lambda: self.members,
             ),
-            TEAMS: RecordKind(
+            TEAMS_PREFIX: RecordKind(
                 lambda name: self.allocations[name].version if name in self.allocations else 0,
                 self._store_allocation,
                 self._remove_allocation,
                 lambda: self.allocations,
             ),
-            VIEW: RecordKind(lambda _name: self.view.version if self.view else 0, self._store_view),
-            CATALOGUE: RecordKind(lambda _name: self.catalogue.version, self._store_catalogue),
-            SETTINGS: RecordKind(
+            VIEW_KEY: RecordKind(
+                lambda _name: self.view.version if self.view else 0, self._store_view
+            ),
+            CATALOGUE_KEY: RecordKind(lambda _name: self.catalogue.version, self._store_catalogue),
+            SETTINGS_KEY: RecordKind(
                 lambda _name: self.stored_settings.version,
                 lambda _name, value, version: self._set_settings(Versioned(dict(value), version)),
                 lambda _name: self._set_settings(Versioned({})),
             ),
-            FORMAT: RecordKind(lambda _name: self.record_format.version, self._store_format),
-            CAPACITY: RecordKind(
-                lambda name: self.capacity.version(CAPACITY + name),
-                lambda name, value, version: self.capacity.put(CAPACITY + name, value, version),
-                lambda name: self.capacity.drop(CAPACITY + name),
+            FORMAT_KEY: RecordKind(lambda _name: self.record_format.version, self._store_format),
+            CAPACITY_PREFIX: RecordKind(
+                lambda name: self.capacity.version(CAPACITY_PREFIX + name),
+                lambda name, value, version: self.capacity.put(
+                    CAPACITY_PREFIX + name, value, version
+                ),
+                lambda name: self.capacity.drop(CAPACITY_PREFIX + name),
             ),
         }
 
@@ -179,8 +192,8 @@
 
     def set_job(self, job: Job) -> None:
         """Take over a job record that this controller has just committed."""
-        key = JOBS + job.id
-        if job.version > self._newest_version(key, self._kinds[JOBS], job.id):
+        key = JOBS_PREFIX + job.id
+        if job.version > self._newest_version(key, self._kinds[JOBS_PREFIX], job.id):
             self._store_job(job)
 
     def add_final(self, job_id: str, state: str) -> None:
@@ -324,7 +337,7 @@
                     del self.attempts_by_machine[machine]
 
 
-PREFIXES = (JOBS, FINAL, TEAMS, MEMBERS, CAPACITY)
+PREFIXES = (JOBS_PREFIX, FINAL_PREFIX, TEAMS_PREFIX, MEMBERS_PREFIX, CAPACITY_PREFIX)
 """of the kinds with more than one record"""
 
 
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -20,7 +20,7 @@
 from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import JOBS
+from appledock.core.store.keys import JOBS_PREFIX
 from appledock.core.store_calls import StoreRequest, Transaction
 from appledock.core.workers import Worker, Workers
 from appledock.core.workers.command_reconciler import CommandReconciler
@@ -113,7 +113,7 @@
             request.conditions = {
                 key: version
                 for key, version in request.conditions.items()
-                if not (key.startswith(JOBS) and version)
+                if not (key.startswith(JOBS_PREFIX) and version)
             }
         return SUBMIT(self, request, *rest)
 
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -20,7 +20,7 @@
 from appledock.core.controller import Controller
 from appledock.core.fleet import Fleet
 from appledock.core.scheduling.placement_pass import PlacementPass
-from appledock.core.store.keys import FINAL, TEAMS
+from appledock.core.store.keys import FINAL_PREFIX, TEAMS_PREFIX
 from appledock.core.workers import Workers
 from tests.standins import deployment
 from tests.standins.world import World
@@ -173,17 +173,17 @@
 def writes_by_class(world: World) -> tuple[dict[str, WritesOfClass], int]:
     """Writes for the jobs that are over, by class, and those of the teams' records."""
     result: dict[str, WritesOfClass] = {}
-    over = {job for job in world.judge.jobs if FINAL + job in world.state.rows}
+    over = {job for job in world.judge.jobs if FINAL_PREFIX + job in world.state.rows}
     teams = 0
     for event in world.state.history:
         key = event.get("set") or event["drop"]
-        teams += key.startswith(TEAMS)
+        teams += key.startswith(TEAMS_PREFIX)
         job = key.rpartition("/")[2]
         if job not in over:
             continue
         spec = world.judge.jobs[job]
         row = result.setdefault(str(spec["berth"]), WritesOfClass())
-        if key.startswith(FINAL):
+        if key.startswith(FINAL_PREFIX):
             row.jobs += 1
             row.ends += 1
         elif "drop" in event:
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -463,6 +463,11 @@
 class PresentCode(BaselineCode):
     """The code of this checkout: the one adapter that follows its names."""
 
+    KEYS: ClassVar[dict[str, str]] = {
+        "LIVE": "LIVE_PREFIX",
+        "FINAL": "FINAL_PREFIX",
+        "FORMAT": "FORMAT_KEY",
+    }
     MODULES: ClassVar[dict[str, str]] = {
         **BaselineCode.MODULES,
         "jobs": "core.records.job",
@@ -593,7 +598,7 @@
         return int(number.agent_epoch), int(number.seq)
 
     def key_prefix(self, name: str) -> str:
-        return str(getattr(self.keys, name))
+        return str(getattr(self.keys, self.KEYS[name]))
 
     def view_type(self) -> Any:
         return self.views.View
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -18,7 +18,7 @@
 from appledock.core.fleet.machine_list import MachineListReader
 from appledock.core.membership.membership import MembershipState
 from appledock.core.records.job import Job
-from appledock.core.store.keys import VIEW
+from appledock.core.store.keys import VIEW_KEY
 from appledock.net.http import Answer, Server
 from appledock.net.peers import frame
 from appledock.settings import Settings
@@ -140,7 +140,7 @@
 def owner_of_all() -> Controller:
     """An engine that owns 4,000 workers with eight tasks each."""
     e = engine()
-    e.replica.put(VIEW, {"term": 5, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
+    e.replica.put(VIEW_KEY, {"term": 5, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
     e.replica.put("ad/live/members/n0", {"incarnation": "x.1", "lease": 1}, 1)
     e.replica.changes.view = False
     e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
@@ -201,7 +201,7 @@
     e.view_requests.overrides = dict(wanted)
     view = e.membership_protocol.next_view({"n0": "x.1"})
     assert set(view.overrides) == set(wanted)
-    e.replica.put(VIEW, view.encode(), 2)
+    e.replica.put(VIEW_KEY, view.encode(), 2)
     gone = sorted(wanted)[:100]
     e.workers.mark_deleted(gone)
     e.view_requests.overrides = {}
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -12,7 +12,7 @@
 from appledock.core.effects import Effect, Response
 from appledock.core.records.dependencies import DependencyGraph
 from appledock.core.records.job import Attempt, Job
-from appledock.core.store.keys import FINAL, FORMAT, JOBS
+from appledock.core.store.keys import FINAL_PREFIX, FORMAT_KEY, JOBS_PREFIX
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import GetKey, NotExecuted, Transaction, UnknownOutcome
 from tests.standins.chains import (
@@ -290,7 +290,7 @@
     world.clock.run(60.0)
     assert world.judge.final["job-000777"][0] == "withdrawn"
     assert world.judge.broken == []
-    assert not any(key.startswith(JOBS) for key in world.state.rows)
+    assert not any(key.startswith(JOBS_PREFIX) for key in world.state.rows)
 
 
 def test_a_cancellation_answered_with_done_lets_the_rest_go_on() -> None:
@@ -308,7 +308,7 @@
 # --- submissions ------------------------------------------------------------
 def ready_engine() -> Any:
     e = engine()
-    e.replica.put(FORMAT, {"format": 2}, 1)
+    e.replica.put(FORMAT_KEY, {"format": 2}, 1)
     return e
 
 
@@ -348,10 +348,10 @@
     e = ready_engine()
     effects = e.handle([SubmitJob(1, spec(tethers=["job-7"]))], 100.0, 0.0)
     (read,) = calls(effects, GetKey)
-    assert read.request == GetKey(JOBS + "job-7")
+    assert read.request == GetKey(JOBS_PREFIX + "job-7")
     effects = e.handle([StoreReply(read.call_id, wire.Missing(5))], 100.0, 0.0)
     (read,) = calls(effects, GetKey)
-    assert read.request == GetKey(FINAL + "job-7")
+    assert read.request == GetKey(FINAL_PREFIX + "job-7")
     effects = e.handle([StoreReply(read.call_id, wire.Missing(5))], 100.0, 0.0)
     assert not replies(effects)  # it may have been accepted itself, long ago
     effects = e.handle([Tick()], 100.2, 0.0)
@@ -373,7 +373,7 @@
     (read,) = calls(effects, GetKey)
     effects = e.handle([StoreReply(read.call_id, wire.Missing(7))], 100.2, 0.0)
     (read,) = calls(effects, GetKey)
-    assert read.request == GetKey(FINAL + "job-000001")
+    assert read.request == GetKey(FINAL_PREFIX + "job-000001")
     row = wire.Row(read.request.key, {"state": wire.CANCELLED}, 6)
     (reply,) = replies(e.handle([StoreReply(read.call_id, row)], 100.3, 0.0))
     assert (reply.status, reply.body.state) == (200, wire.CANCELLED)
@@ -416,11 +416,13 @@
         "job-2"
     )
     effects = e.handle([Tick()], 100.1, 0.0)
-    read = next(x for x in calls(effects, GetKey) if x.request.key.startswith(JOBS))
+    read = next(x for x in calls(effects, GetKey) if x.request.key.startswith(JOBS_PREFIX))
     effects = e.handle([StoreReply(read.call_id, wire.Missing(9))], 100.2, 0.0)
-    read = next(x for x in calls(effects, GetKey) if x.request == GetKey(FINAL + "job-1"))
+    read = next(x for x in calls(effects, GetKey) if x.request == GetKey(FINAL_PREFIX + "job-1"))
     e.handle(
-        [StoreReply(read.call_id, wire.Row(FINAL + "job-1", {"state": "done"}, 2))], 100.3, 7.0
+        [StoreReply(read.call_id, wire.Row(FINAL_PREFIX + "job-1", {"state": "done"}, 2))],
+        100.3,
+        7.0,
     )
     assert "job-2" in e.replica.queued_jobs
     assert e.queue_order.waiting_since(e.replica.jobs["job-2"]) == 7.0  # not its submission
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -13,7 +13,7 @@
 from appledock.core.controller import Controller
 from appledock.core.effects import Effect, PeerSend
 from appledock.core.fleet import PendingDeletion, ScaleInReason
-from appledock.core.store.keys import CATALOGUE
+from appledock.core.store.keys import CATALOGUE_KEY
 from appledock.core.store_calls import Transaction
 from tests.test_launches import NOW, leading, report
 
@@ -94,12 +94,12 @@
             for call in queue
             if isinstance(call.request, Transaction)
         ]
-        puts = [put for plan in plans for put in plan.writes if put.key == CATALOGUE]
+        puts = [put for plan in plans for put in plan.writes if put.key == CATALOGUE_KEY]
         for queue in e.client.limiter.queues:
             queue.clear()
         if puts:
             version = e.replica.catalogue.version + 1
-            e.replica.put(CATALOGUE, json.loads(wire.encode(puts[0].value)), version)
+            e.replica.put(CATALOGUE_KEY, json.loads(wire.encode(puts[0].value)), version)
         return bool(puts)
 
     assert written([kind])
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -24,7 +24,7 @@
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.scheduling.placement import Sampling
 from appledock.core.scheduling.victim_selection import Victim, select_victims
-from appledock.core.store.keys import JOBS, TEAMS
+from appledock.core.store.keys import JOBS_PREFIX, TEAMS_PREFIX
 from appledock.core.store.rate_limiter import Priority, QueuedCall, StoreRateLimiter, TokenBucket
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Put, Transaction
@@ -200,7 +200,7 @@
     assert [calls.index(x) for x in sent] == [4, 2, 3]
     sent, _ = b.take_due(0.5)
     assert [calls.index(x) for x in sent] == [1]
-    assert b.count_waiting(Priority.STEP) == 0 and b.count_queued() == 1
+    assert b.count_queued_up_to(Priority.STEP) == 0 and b.count_queued() == 1
 
 
 def test_rate_limiter_tries_for_more_and_gives_way() -> None:
@@ -227,7 +227,7 @@
     b.on_peer_write_rate(9.0, 20.0)
     assert b.writes.rate == b.max_write_rate == 11.0
     b.on_peer_write_rate(19.0, 20.0)
-    assert b.writes.rate == b.own_write_rate
+    assert b.writes.rate == b.guaranteed_write_rate
     b.take_due(10.0)
     user = call(Priority.USER, 1)
     b.add(user)
@@ -299,8 +299,8 @@
 
 def test_malformed_records_are_logged_and_left_out() -> None:
     replica = Replica()
-    replica.put(JOBS + "job-1", {"spec": 5}, 3)
-    replica.put(TEAMS + "red", [], 3)
+    replica.put(JOBS_PREFIX + "job-1", {"spec": 5}, 3)
+    replica.put(TEAMS_PREFIX + "red", [], 3)
     assert not replica.jobs and not replica.allocation_of("red").shares
 
 
@@ -308,10 +308,10 @@
     replica = Replica()
     job = Job(spec(), 0, 5)
     replica.set_job(job)
-    replica.put(JOBS + job.id, Job(spec(crates=9), 0).encode(), 4)
+    replica.put(JOBS_PREFIX + job.id, Job(spec(crates=9), 0).encode(), 4)
     assert replica.jobs[job.id].spec.tasks == 2
-    replica.drop(JOBS + job.id, 8)
-    replica.put(JOBS + job.id, job.encode(), 7)
+    replica.drop(JOBS_PREFIX + job.id, 8)
+    replica.put(JOBS_PREFIX + job.id, job.encode(), 7)
     assert not replica.jobs
 
 
@@ -329,7 +329,7 @@
 
 def test_jobs_that_can_meet_their_deadline_go_first() -> None:
     e = engine()
-    e.runtime.wall = 100.0
+    e.runtime.wall_time = 100.0
     hopeful = Job(spec(id="job-1", crates=9, sail_s=60.0, eta_s=30.0), 80.0)
     quick = Job(spec(id="job-2", crates=1, sail_s=60.0, eta_s=30.0), 80.0)
     late = Job(spec(id="job-3", crates=1, sail_s=20.0, eta_s=30.0), 50.0)
@@ -342,7 +342,7 @@
     aged = Job(spec(id="job-6", crates=90, sail_s=20.0, eta_s=30.0), 30.0)
     order = sorted([late, older, aged, service, quick], key=e.queue_order.sort_key)
     assert [job.id for job in order] == ["job-4", "job-6", "job-2", "job-5", "job-3"]
-    e.runtime.wall = 190.0
+    e.runtime.wall_time = 190.0
     assert e.queue_order.sort_key(aged) < e.queue_order.sort_key(service)
 
 
@@ -557,7 +557,7 @@
     """Passed round for minutes, a job of 32 tasks counted as begun with its first hand-off,
     and began after 323 s."""
     e = engine()
-    e.runtime.wall = 1000.0
+    e.runtime.wall_time = 1000.0
     young = Job(spec(id="job-000001", sail_s=500.0), 1000.0 - 5, 1)
     passed = Job(spec(id="job-000002", crates=9, sail_s=500.0), 1000.0 - 70, 1, last_step=3)
     assert e.queue_order.sort_key(passed) < e.queue_order.sort_key(young)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -7,7 +7,7 @@
 
 from appledock import wire
 from appledock.core.records.job import Job
-from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX
 from appledock.core.store.replica import Replica
 from tests.test_requests import spec
 
@@ -97,7 +97,7 @@
             need in model.ended for need in above(model, name, set())
         )
     for need in sorted(replica.dependencies.unknown_outcomes):
-        replica.put(FINAL + need, {"state": model.ended[need]}, 1000)
+        replica.put(FINAL_PREFIX + need, {"state": model.ended[need]}, 1000)
     return replica
 
 
@@ -147,18 +147,18 @@
             model.cancelled.discard(name)
             # Both changes have one revision, and their order is not stated.
             if data.draw(st.booleans()):
-                replica.put(FINAL + name, {"state": state}, revision)
-                replica.drop(JOBS + name, revision)
+                replica.put(FINAL_PREFIX + name, {"state": state}, revision)
+                replica.drop(JOBS_PREFIX + name, revision)
             else:
-                replica.drop(JOBS + name, revision)
-                replica.put(FINAL + name, {"state": state}, revision)
+                replica.drop(JOBS_PREFIX + name, revision)
+                replica.put(FINAL_PREFIX + name, {"state": state}, revision)
         elif what == "anew":
             replica = started_anew(model)
             revision = 1000 + revision
         for need in sorted(
             replica.dependencies.unknown_outcomes
         ):  # ended before this controller started
-            replica.put(FINAL + need, {"state": model.ended[need]}, revision)
+            replica.put(FINAL_PREFIX + need, {"state": model.ended[need]}, revision)
         compare(model, replica)
 
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -194,7 +194,7 @@
         node = next(node for name, node in told.world.nodes.items() if name != pulse["node"])
         code, controller = node.runs, node.engine
         controller.handle(
-            [code.peer_message(pulse)], controller.runtime.now, controller.runtime.wall
+            [code.peer_message(pulse)], controller.runtime.now, controller.runtime.wall_time
         )
         assert code.hears(controller, pulse["node"])
         assert {"kind": "pulse", **code.told_by(controller, pulse["node"])} == pulse
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -22,7 +22,7 @@
 from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.records.job import Attempt, Job, decode_job
 from appledock.core.scheduling.lost_launches import LostLaunchDetector
-from appledock.core.store.keys import JOBS, VIEW
+from appledock.core.store.keys import JOBS_PREFIX, VIEW_KEY
 from appledock.core.store_calls import Transaction
 from appledock.core.workers import Worker, Workers
 from appledock.core.workers.heartbeat_intake import HeartbeatIntake
@@ -72,7 +72,7 @@
     for step in range(400):
         world.clock.run(30.0 + step / 10)
         for key, row in world.state.rows.items():
-            for place in decode_job(row[0], row[1]).attempts if key.startswith(JOBS) else ():
+            for place in decode_job(row[0], row[1]).attempts if key.startswith(JOBS_PREFIX) else ():
                 if place.machine == victim and (key, place.attempt_number) not in seen:
                     seen.add((key, place.attempt_number))
                     late += step > 120  # later than 12 s, one lease
@@ -120,7 +120,7 @@
         used |= {
             place.machine
             for key, row in world.state.rows.items()
-            if key.startswith(JOBS)
+            if key.startswith(JOBS_PREFIX)
             for place in decode_job(row[0], row[1]).attempts
         }
     assert world.judge.broken == []
@@ -139,7 +139,7 @@
     """An engine that acts under a view in which `n1` owns the machine `vm-x`."""
     e = engine()
     e.replica.put(
-        VIEW, {"term": 5, "members": {"n0": "x.1", "n1": "y", "n2": "z"}, "leader": "n0"}, 1
+        VIEW_KEY, {"term": 5, "members": {"n0": "x.1", "n1": "y", "n2": "z"}, "leader": "n0"}, 1
     )
     e.replica.changes.view = False
     e.membership.state, e.membership.incarnation = MembershipState.JOINED, "x.1"
@@ -390,7 +390,7 @@
         for x in effects
         if isinstance(x, StoreCall) and isinstance(x.request, Transaction)
     ]
-    puts = [put.value for plan in plans for put in plan.writes if put.key == JOBS + job_id]
+    puts = [put.value for plan in plans for put in plan.writes if put.key == JOBS_PREFIX + job_id]
     assert len(puts) == 1
     assert 5 < len(puts[0]["open"]) < 60
     assert len(wire.encode(puts[0])) <= e.client.max_value_bytes
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -5,7 +5,7 @@
 from appledock import wire
 from appledock.core.commands import Command, StoreReply, Tick
 from appledock.core.effects import StoreCall
-from appledock.core.store.keys import VIEW
+from appledock.core.store.keys import VIEW_KEY
 from appledock.core.store_calls import (
     Acknowledged,
     GetKey,
@@ -35,7 +35,7 @@
                     replies.append(StoreReply(call.call_id, wire.Grant(7)))
                 elif isinstance(call.request, Transaction) and not conflicts:
                     conflicts += 1  # another controller joined a moment before
-                    replies.append(StoreReply(call.call_id, wire.Conflict([VIEW], 5)))
+                    replies.append(StoreReply(call.call_id, wire.Conflict([VIEW_KEY], 5)))
                 elif isinstance(call.request, Transaction):
                     replies.append(StoreReply(call.call_id, wire.Committed(6)))
                 elif conflicts and not refused:
--- a/tests/test_launches.py
+++ b/tests/test_launches.py
@@ -10,7 +10,7 @@
 from appledock.core.effects import Effect, Response, WorkerCall
 from appledock.core.membership.membership import MembershipState
 from appledock.core.records.job import Attempt, Job
-from appledock.core.store.keys import MEMBERS, VIEW
+from appledock.core.store.keys import MEMBERS_PREFIX, VIEW_KEY
 from tests.test_requests import engine, spec
 
 NOW = 200.0
@@ -20,8 +20,8 @@
     """The only member of its view, with authority, and one machine that reports."""
     e = engine()
     e.reader.watching = True
-    e.replica.put(MEMBERS + "n0", {"incarnation": "x.1", "lease": 1}, 1)
-    e.replica.put(VIEW, {"term": 1, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
+    e.replica.put(MEMBERS_PREFIX + "n0", {"incarnation": "x.1", "lease": 1}, 1)
+    e.replica.put(VIEW_KEY, {"term": 1, "members": {"n0": "x.1"}, "leader": "n0"}, 1)
     e.replica.advance(9)
     member = e.membership
     member.state, member.incarnation, member.lease = MembershipState.JOINED, "x.1", 1
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -123,7 +123,7 @@
     e.replica.set_job(
         Job(
             spec(owner="red", crates=2),
-            e.runtime.wall,
+            e.runtime.wall_time,
             5,
             handoff_target=HandoffTarget("n0", "x.1"),
         )
@@ -152,7 +152,7 @@
                     }
                 )
             )
-        seen += e.handle(batch, e.runtime.now + c.TICK_S, e.runtime.wall + c.TICK_S)
+        seen += e.handle(batch, e.runtime.now + c.TICK_S, e.runtime.wall_time + c.TICK_S)
     writes = [
         write
         for effect in seen
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -18,7 +18,7 @@
 from appledock.core.scheduling.moves import MoveOutcome, Moves
 from appledock.core.scheduling.moves.job_owner import JobOwner
 from appledock.core.scheduling.placement import PlacedTasks
-from appledock.core.store.keys import JOBS
+from appledock.core.store.keys import JOBS_PREFIX
 from appledock.rebalancing.settings import Rebalancing
 from tests.guards import silence_settles
 from tests.standins import machines
@@ -424,4 +424,4 @@
     }
     assert outcomes(world)[MoveOutcome.DONE] > 0
     assert kinds <= {"jobs", "teams", "members", "view", "catalogue", "settings", "format", "final"}
-    assert any(key.startswith(JOBS) for key in world.state.rows)
+    assert any(key.startswith(JOBS_PREFIX) for key in world.state.rows)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -14,7 +14,7 @@
 from appledock.core.controller import Controller
 from appledock.core.effects import Effect, Response, StoreCall
 from appledock.core.records.job import Job
-from appledock.core.store.keys import FINAL, FORMAT, JOBS, TEAMS
+from appledock.core.store.keys import FINAL_PREFIX, FORMAT_KEY, JOBS_PREFIX, TEAMS_PREFIX
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store_calls import GetKey, NotExecuted, Transaction, WatchKeys
 from tests.standins.deployment import settings
@@ -151,7 +151,7 @@
     assert not any(isinstance(x, Response) for x in effects)
     effects = e.handle([Tick()], 100.2, 0.0)
     proof = next(x for x in calls(effects, Transaction) if not x.request.writes)
-    assert set(proof.request.conditions) == {JOBS + asked.id, FINAL + asked.id}
+    assert set(proof.request.conditions) == {JOBS_PREFIX + asked.id, FINAL_PREFIX + asked.id}
     effects = e.handle([StoreReply(proof.call_id, wire.Committed(1))], 100.3, 0.0)
     (reply,) = (x for x in effects if isinstance(x, Response))
     assert reply.status == 422
@@ -189,7 +189,7 @@
     e.handle([CancelJob(1, "job-000001")], 100.0, 0.0)
     effects = e.handle([Tick()], 100.1, 0.0)
     first = calls(effects, GetKey)
-    assert [x.request for x in first] == [GetKey(JOBS + "job-000001")] or not first
+    assert [x.request for x in first] == [GetKey(JOBS_PREFIX + "job-000001")] or not first
 
 
 def test_end_seen_in_one_event_list_is_remembered() -> None:
@@ -199,8 +199,8 @@
     effects = e.handle([Tick()], 101.0, 0.0)
     (watch,) = calls(effects, WatchKeys)
     events = [
-        wire.Event(7, delete=JOBS + "job-000001"),
-        wire.Event(7, put=FINAL + "job-000001", value={"state": "done"}),
+        wire.Event(7, delete=JOBS_PREFIX + "job-000001"),
+        wire.Event(7, put=FINAL_PREFIX + "job-000001", value={"state": "done"}),
     ]
     e.handle([StoreReply(watch.call_id, wire.Watched(7, events))], 101.1, 0.0)
     effects = e.handle([GetJobState(5, "job-000001")], 101.2, 0.0)
@@ -221,7 +221,7 @@
 def test_conflicts_are_counted_by_kind_of_key() -> None:
     e = engine()
     e.client.submit(
-        Transaction({TEAMS + "red": 1, FINAL + "job-1": 0}),
+        Transaction({TEAMS_PREFIX + "red": 1, FINAL_PREFIX + "job-1": 0}),
         Priority.USER,
         lambda reply: None,
     )
@@ -238,13 +238,13 @@
     """The job's open record is read and is there. Before its final one is read and is not,
     the job ends, and the read of another request shows that the open record is gone."""
     (read,) = calls(effects, GetKey)
-    assert read.request == GetKey(JOBS + job)
+    assert read.request == GetKey(JOBS_PREFIX + job)
     record = wire.encode(Job(spec(id=job), 0.0, 5).encode())
-    row = wire.Row(JOBS + job, msgspec.json.decode(record), 5)
+    row = wire.Row(JOBS_PREFIX + job, msgspec.json.decode(record), 5)
     effects = e.handle([StoreReply(read.call_id, row)], 100.3, 0.0)
     (read,) = calls(effects, GetKey)
-    assert read.request == GetKey(FINAL + job)
-    e.replica.drop(JOBS + job, 7)
+    assert read.request == GetKey(FINAL_PREFIX + job)
+    e.replica.drop(JOBS_PREFIX + job, 7)
     return e.handle([StoreReply(read.call_id, wire.Missing(6))], 100.4, 0.0)
 
 
@@ -252,10 +252,10 @@
     """Nobody was told anything; both records are read once more."""
     assert not [x for x in effects if isinstance(x, Response)]
     (read,) = calls(effects, GetKey)
-    assert read.request == GetKey(JOBS + job)
+    assert read.request == GetKey(JOBS_PREFIX + job)
     effects = e.handle([StoreReply(read.call_id, wire.Missing(8))], 100.5, 0.0)
     (read,) = calls(effects, GetKey)
-    row = wire.Row(FINAL + job, {"state": wire.CANCELLED}, 7)
+    row = wire.Row(FINAL_PREFIX + job, {"state": wire.CANCELLED}, 7)
     return e.handle([StoreReply(read.call_id, row)], 100.6, 0.0)
 
 
@@ -270,7 +270,7 @@
     e.replica.set_job(Job(spec(), 0.0, 3))
     e.handle([GetJobState(1, "job-000001")], 100.0, 0.0)
     (proof,) = calls(e.handle([Tick()], 100.2, 0.0), Transaction)
-    conflict = wire.Conflict([JOBS + "job-000001"], 5)
+    conflict = wire.Conflict([JOBS_PREFIX + "job-000001"], 5)
     effects = e.handle([StoreReply(proof.call_id, conflict)], 100.25, 0.0)
     effects = interleaved(e, effects, "job-000001")
     assert status_of(read_again(e, effects, "job-000001")) == [200]
@@ -285,8 +285,8 @@
 
 def test_a_need_that_ends_while_it_is_read_was_accepted_all_the_same() -> None:
     e = engine()
-    e.replica.put(FORMAT, {"format": 2}, 1)
+    e.replica.put(FORMAT_KEY, {"format": 2}, 1)
     effects = e.handle([SubmitJob(1, spec(tethers=["job-7"]))], 100.2, 0.0)
     effects = interleaved(e, effects, "job-7")
     (creation,) = calls(read_again(e, effects, "job-7"), Transaction)
-    assert [write.key for write in creation.request.writes] == [JOBS + "job-000001"]
+    assert [write.key for write in creation.request.writes] == [JOBS_PREFIX + "job-000001"]
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,7 +9,7 @@
 
 from appledock.core.membership.format_upgrade import RecordFormatUpgrade
 from appledock.core.records.dependencies import DependencyGraph
-from appledock.core.store.keys import FORMAT
+from appledock.core.store.keys import FORMAT_KEY
 from tests.standins.chains import spec
 from tests.standins.deployment import NEXT
 from tests.standins.rollout import (
@@ -42,7 +42,7 @@
     world = play(1, trouble, before=before())
     assert verdict(world) == []
     assert {node.runs for node in world.nodes.values()} == {present()}
-    assert world.state.rows[FORMAT][0] == {"format": 2}
+    assert world.state.rows[FORMAT_KEY][0] == {"format": 2}
     chained = [job for job in world.judge.accepted if job.startswith("job-9")]
     assert sum(world.judge.final[job][0] == "done" for job in chained) >= 11
 
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -18,7 +18,7 @@
 from appledock.core.capacity.machine_usage import MachineUsage
 from appledock.core.capacity.partition_map import PartitionMap
 from appledock.core.membership.format_upgrade import RecordFormatUpgrade
-from appledock.core.records.capacity import CAPACITY
+from appledock.core.records.capacity import CAPACITY_PREFIX
 from tests.standins.sharing import (
     CHANGE_S,
     IN_FORCE_S,
@@ -136,7 +136,7 @@
     target = apportion(len(world.cloud.workers), {"sealing": 0.25, "front": 0.75})
     assert world.holders() == target
     assert len(world.used["sealing"]) <= target["sealing"]
-    records = [row for key, row in world.state.rows.items() if key.startswith(CAPACITY)]
+    records = [row for key, row in world.state.rows.items() if key.startswith(CAPACITY_PREFIX)]
     assert sum(row[0].get("request") == "r1" for row in records) == 1
 
 
@@ -295,7 +295,7 @@
     nothing = world.change("n0", "withdraw", request="r")
     world.clock.run(world.clock.now + 0.1)
     assert nothing[0][0] == 400
-    assert f"{CAPACITY}agreed" not in world.state.rows
+    assert f"{CAPACITY_PREFIX}agreed" not in world.state.rows
 
 
 def test_a_change_while_the_state_service_is_silent_gets_503_and_nothing_is_half_applied() -> None:
@@ -305,7 +305,7 @@
     world.clock.run(world.clock.now + 6.0)
     assert answers[0][0] == 503
     world.clock.run(world.clock.now + 30.0)
-    assert f"{CAPACITY}agreed" not in world.state.rows
+    assert f"{CAPACITY_PREFIX}agreed" not in world.state.rows
     assert world.holders() == {"sealing": 6, "front": 6}
 
 
@@ -494,7 +494,7 @@
     world.clock.run(40.0)
     assert lacking.engine.partitions.enabled is False
     assert not any(node.engine.partitions.is_in_force() for node in world.nodes.values())
-    assert not any(key.startswith(CAPACITY) for key in world.state.rows)
+    assert not any(key.startswith(CAPACITY_PREFIX) for key in world.state.rows)
     lacking.crash(0.5)
     world.clock.run(70.0)
     assert world.in_force() and sum(world.holders().values()) == MACHINES
@@ -517,7 +517,7 @@
     world = Shared(15, None)
     world.job(1, "red", tasks=2)
     world.clock.run(40.0)
-    assert not any(key.startswith(CAPACITY) for key in world.state.rows)
+    assert not any(key.startswith(CAPACITY_PREFIX) for key in world.state.rows)
     assert all(node.engine.replica.record_format.value == 2 for node in world.nodes.values())
     rooms = [
         room
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -20,7 +20,7 @@
 from appledock.core.quota.resources import Resources
 from appledock.core.records.job import Attempt, HandoffTarget, Job, decode_job
 from appledock.core.records.team_allocation import TeamAllocation
-from appledock.core.store.keys import JOBS, MEMBERS, TEAMS, VIEW
+from appledock.core.store.keys import JOBS_PREFIX, MEMBERS_PREFIX, TEAMS_PREFIX, VIEW_KEY
 from appledock.core.store.rate_limiter import Priority
 from appledock.core.store_calls import (
     Committed,
@@ -58,10 +58,10 @@
         ] = []
         self.late: list[tuple[Transaction, dict[str, Any]]] = []
         self.busy: set[tuple[str, str]] = set()
-        self.write({VIEW: self._view(NODES, 1)})
+        self.write({VIEW_KEY: self._view(NODES, 1)})
         for number in range(12):
             job = Job(spec(id=f"job-{number:06d}", crates=40, cores=float(1 + number % 2)), 0.0)
-            self.write({JOBS + job.id: job.encode()})
+            self.write({JOBS_PREFIX + job.id: job.encode()})
 
     def _view(self, members: list[str], term: int) -> dict[str, Any]:
         return {"term": term, "members": dict.fromkeys(members, "i"), "leader": members[0]}
@@ -74,7 +74,9 @@
 
     def used(self) -> float:
         jobs = [
-            decode_job(value, 1) for key, (value, _) in self.rows.items() if key.startswith(JOBS)
+            decode_job(value, 1)
+            for key, (value, _) in self.rows.items()
+            if key.startswith(JOBS_PREFIX)
         ]
         return sum(job.open_task_count * job.spec.cpus for job in jobs)
 
@@ -151,15 +153,15 @@
     ) -> None:
         e = self.engines[name]
         assert e.replica.view is not None
-        plan = Transaction({VIEW: e.replica.view.version})
+        plan = Transaction({VIEW_KEY: e.replica.view.version})
         values: dict[str, Any] = {}
         if job is not None and new is not None:
-            plan.conditions[JOBS + job.id] = job.version
-            values[JOBS + job.id] = new.encode()
+            plan.conditions[JOBS_PREFIX + job.id] = job.version
+            values[JOBS_PREFIX + job.id] = new.encode()
             self.busy.add((name, job.id))
         if record is not None:
-            plan.conditions[TEAMS + "red"] = record.version
-            values[TEAMS + "red"] = record.encode()
+            plan.conditions[TEAMS_PREFIX + "red"] = record.version
+            values[TEAMS_PREFIX + "red"] = record.encode()
         if job is not None and new is not None:
             quota_write = e.quota_allocation.begin_step(job, new, record)
         else:
@@ -222,10 +224,12 @@
             elif draw < 0.96 and self.late:
                 self.apply(*self.late.pop(rng.randrange(len(self.late))))
             elif draw < 0.98:
-                self.read(name, TEAMS + "red")
+                self.read(name, TEAMS_PREFIX + "red")
             elif draw < 0.99:
                 members = rng.sample(NODES, rng.randint(1, 3))
-                self.write({VIEW: self._view(sorted(members), self.rows[VIEW][0]["term"] + 1)})
+                self.write(
+                    {VIEW_KEY: self._view(sorted(members), self.rows[VIEW_KEY][0]["term"] + 1)}
+                )
             used = self.used()
             self.peak = max(self.peak, used)
             if used > LIMIT + 1e-6:
@@ -238,7 +242,7 @@
     assert all(model.play() for model in models)
     # The model does something: steps are made, under several views, near the limit.
     assert sum(len(model.log) for model in models) > 2000
-    assert sum(model.rows[VIEW][0]["term"] for model in models) > 100
+    assert sum(model.rows[VIEW_KEY][0]["term"] for model in models) > 100
     assert max(model.peak for model in models) == LIMIT
 
 
@@ -301,7 +305,7 @@
         job = Job(spec(id=job_id, crates=9, cores=2.0), 0.0, 2 + number)
         e.replica.set_job(job)
         jobs.append(job)
-    e.replica.put(TEAMS + "red", {"term": 5, "shares": {"n0": [4, 0], "n1": [20, 0]}}, 4)
+    e.replica.put(TEAMS_PREFIX + "red", {"term": 5, "shares": {"n0": [4, 0], "n1": [20, 0]}}, 4)
     e.replica.advance(9)
     e.quota_allocation.clear_caches()
     return e, jobs[0], jobs[1]
@@ -339,7 +343,7 @@
 def test_a_share_read_ahead_of_the_watch_allows_nothing() -> None:
     """It may have grown with a job handed to us that the watch has yet to show."""
     e, first, _ = sharing()
-    e.replica.put(TEAMS + "red", {"term": 5, "shares": {"n0": [24, 0]}}, 12)
+    e.replica.put(TEAMS_PREFIX + "red", {"term": 5, "shares": {"n0": [24, 0]}}, 12)
     e.quota_allocation.clear_caches()
     assert e.quota_allocation.admitted_tasks(first, first.copy()) == 0
     assert e.quota_allocation.plan(first, grown(first, 4), "n0") == NotPossible()
@@ -353,7 +357,7 @@
     e.replica.set_job(held := grown(first, 3))
     held.version = 8
     e.replica.set_job(held)
-    e.replica.put(VIEW, {"term": 6, "members": {"n0": "x.1", "n2": "z"}, "leader": "n0"}, 9)
+    e.replica.put(VIEW_KEY, {"term": 6, "members": {"n0": "x.1", "n2": "z"}, "leader": "n0"}, 9)
     e.quota_allocation.on_view()
     change = e.quota_allocation.plan(second, grown(second, 2), "n0")
     assert isinstance(change, RecordChange)
@@ -367,7 +371,7 @@
     """A hundred services of sixteen teams came at once: each controller wrote each
     team's record before its second step there, and arrays took the machines meanwhile."""
     e, first, _ = sharing()
-    e.replica.put(VIEW, {"term": 6, "members": {"n0": "x.1", "n1": "y"}, "leader": "n0"}, 9)
+    e.replica.put(VIEW_KEY, {"term": 6, "members": {"n0": "x.1", "n1": "y"}, "leader": "n0"}, 9)
     e.quota_allocation.on_view()
     change = e.quota_allocation.plan(first, grown(first, 1), "n0")
     assert isinstance(change, RecordChange)
@@ -388,12 +392,12 @@
     """A controller whose steps wait for their writes, with a job of which two tasks run."""
     e = owner_of_nothing()
     e.membership.incarnation = "x.1"
-    e.replica.put(MEMBERS + "n0", {"incarnation": "x.1", "lease": 1}, 1)
+    e.replica.put(MEMBERS_PREFIX + "n0", {"incarnation": "x.1", "lease": 1}, 1)
     name = next(f"job-{i:06d}" for i in range(99) if e.replica.owner_of(f"job-{i:06d}") == "n0")
     running = [Attempt("vm-1", 1, 1, 5, False, {0, 1})]
     job = Job(spec(id=name, crates=6, owner="red"), 0.0, 2, last_step=1, attempts=running)
     e.replica.set_job(job)
-    e.replica.put(TEAMS + "red", {"term": 5, "shares": {"n0": [2, 0], "n1": [4, 0]}}, 2)
+    e.replica.put(TEAMS_PREFIX + "red", {"term": 5, "shares": {"n0": [2, 0], "n1": [4, 0]}}, 2)
     e.replica.advance(2)
     e.quota_allocation.clear_caches()
     for _ in range(c.WAITING_CALLS_THRESHOLD + 1):
@@ -418,11 +422,11 @@
     bench a team used 304 of its 300 cores."""
     e, job = crowded_owner()
     assert e.step_writer.hand_off(job, "n1")
-    assert written_keys(e) == [[JOBS + job.id, TEAMS + "red"]]
+    assert written_keys(e) == [[JOBS_PREFIX + job.id, TEAMS_PREFIX + "red"]]
 
 
 def test_a_share_is_raised_by_itself_while_steps_wait_for_writes() -> None:
     e, job = crowded_owner()
     assert not e.job_writer.commit(job, grown(job, 3), Priority.STEP)
-    assert written_keys(e) == [[TEAMS + "red"]]
+    assert written_keys(e) == [[TEAMS_PREFIX + "red"]]
     assert e.reconcile_queue.pending_reasons[job.id] == "team record under way"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,7 +14,7 @@
 from appledock.core.membership.format_upgrade import NEWEST_FORMAT
 from appledock.core.records.job import Attempt, Job
 from appledock.core.records.membership_view import View
-from appledock.core.store.keys import FORMAT, JOBS, MEMBERS, VIEW
+from appledock.core.store.keys import FORMAT_KEY, JOBS_PREFIX, MEMBERS_PREFIX, VIEW_KEY
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Rejected, Transaction
 from appledock.settings import SettingsError, parse
@@ -85,7 +85,7 @@
     world = rollout(seed, *faults)
     assert verdict(world) == []
     assert {node.runs for node in world.nodes.values()} == {present()}
-    assert world.state.rows[FORMAT][0] == {"format": 2}
+    assert world.state.rows[FORMAT_KEY][0] == {"format": 2}
     assert world.state.too_large == 0
     assert (
         sum(
@@ -134,16 +134,16 @@
         world.clock.at(15.0 + number, lambda one=one: world.submit(one))
     for step in range(35):
         world.clock.run(14.0 + step)
-        assert FORMAT not in world.state.rows
+        assert FORMAT_KEY not in world.state.rows
         for key, row in world.state.rows.items():
-            assert not key.startswith(JOBS) or not {"groups", "bits"} & set(row[0])
+            assert not key.startswith(JOBS_PREFIX) or not {"groups", "bits"} & set(row[0])
     world.clock.run(70.0)
     assert world.nodes[world.names[2]].runs is production()
-    assert FORMAT not in world.state.rows
+    assert FORMAT_KEY not in world.state.rows
     world.nodes[world.names[2]].code = present()
     world.nodes[world.names[2]].crash(0.5)
     world.clock.run(150.0)
-    assert world.state.rows[FORMAT][0] == {"format": 2}
+    assert world.state.rows[FORMAT_KEY][0] == {"format": 2}
     assert world.judge.broken == [] and world.unfinished() == []
 
 
@@ -193,7 +193,7 @@
         {"handoff": ("n1", "x.1")},
     ):
         record = json.loads(wire.encode(old_job(**changes).encode()))
-        key = JOBS + record["spec"]["id"]
+        key = JOBS_PREFIX + record["spec"]["id"]
         assert present().rewrite(key, record, 1) == record
         # And what we write in their format they read as we do.
         assert production().rewrite(key, present().rewrite(key, record, 1)) == record
@@ -203,17 +203,17 @@
     old, members = production(), {"n0": "a.1", "n1": "b.1", "n2": "c.2"}
     view = View(7, members, "n1", {"vm-000003": ["n2", "c.2"]}, {"n0": "a.1"})
     theirs = old.replica.Replica()
-    theirs.put(VIEW, json.loads(wire.encode(view.encode())), 5)
+    theirs.put(VIEW_KEY, json.loads(wire.encode(view.encode())), 5)
     ours = Replica()
-    ours.put(VIEW, json.loads(wire.encode(theirs.view.encode())), 5)
+    ours.put(VIEW_KEY, json.loads(wire.encode(theirs.view.encode())), 5)
     assert ours.view is not None and ours.view.encode() == view.encode()
     for number in range(200):
         assert theirs.owner_of(f"vm-{number:06d}") == ours.owner_of(f"vm-{number:06d}")
-    theirs.put(MEMBERS + "n0", {"incarnation": "a.1", "lease": 3, "format": 2}, 6)
+    theirs.put(MEMBERS_PREFIX + "n0", {"incarnation": "a.1", "lease": 3, "format": 2}, 6)
     assert theirs.members["n0"].incarnation == "a.1"
-    ours.put(MEMBERS + "n0", {"incarnation": "a.1", "lease": 3}, 6)
+    ours.put(MEMBERS_PREFIX + "n0", {"incarnation": "a.1", "lease": 3}, 6)
     assert ours.members["n0"].record_format == 1
-    theirs.put(FORMAT, {"format": 2}, 8)  # unknown to it, and without effect
+    theirs.put(FORMAT_KEY, {"format": 2}, 8)  # unknown to it, and without effect
 
 
 def test_unknown_messages_and_fields_of_peers_are_ignored_by_both() -> None:
@@ -293,7 +293,7 @@
     e = owner_of_nothing()
     e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
     e.membership.incarnation = "x.1"
-    e.replica.put(MEMBERS + "n0", {"incarnation": "x.1", "lease": 1}, 1)
+    e.replica.put(MEMBERS_PREFIX + "n0", {"incarnation": "x.1", "lease": 1}, 1)
     for number in range(9):
         if e.replica.owner_of(f"vm-{number:06d}") == "n0":
             e.workers.ingest_heartbeat(report(f"vm-{number:06d}", 1))
@@ -305,9 +305,9 @@
         worker.reachability.last_heartbeat_at = worker.reachability.last_healthy_at = e.runtime.now
     written = [
         write.value
-        for call in calls(e.handle([], e.runtime.now + 0.2, e.runtime.wall), Transaction)
+        for call in calls(e.handle([], e.runtime.now + 0.2, e.runtime.wall_time), Transaction)
         for write in call.request.writes
-        if getattr(write, "key", "") == JOBS + name
+        if getattr(write, "key", "") == JOBS_PREFIX + name
     ]
     assert written and len(wire.encode(written[0])) <= 1740
     assert written[0]["open"] and written[0]["spec"]["types"] == ["h4"]
@@ -319,7 +319,7 @@
     e = owner_of_nothing()
     e.machine_types.update({"h4": wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a", "b"])})
     e.membership.incarnation = "x.1"
-    e.replica.put(MEMBERS + "n0", {"incarnation": "x.1", "lease": 1}, 1)
+    e.replica.put(MEMBERS_PREFIX + "n0", {"incarnation": "x.1", "lease": 1}, 1)
     for number in range(60):
         if e.replica.owner_of(f"vm-{number:06d}") == "n0":
             e.workers.ingest_heartbeat(report(f"vm-{number:06d}", 1))
@@ -340,11 +340,11 @@
                 e.runtime.now
             )
         e.membership.lease_renewed_at = e.membership.view_confirmed_at = e.runtime.now
-        for call in calls(e.handle([], e.runtime.now + 0.2, e.runtime.wall), Transaction):
+        for call in calls(e.handle([], e.runtime.now + 0.2, e.runtime.wall_time), Transaction):
             plan = call.request
-            if any(getattr(write, "key", "") == JOBS + name for write in plan.writes):
+            if any(getattr(write, "key", "") == JOBS_PREFIX + name for write in plan.writes):
                 tries.append(e.runtime.now)
-                e.handle([StoreReply(call.call_id, Rejected())], e.runtime.now, e.runtime.wall)
+                e.handle([StoreReply(call.call_id, Rejected())], e.runtime.now, e.runtime.wall_time)
                 bounds.add(e.client.max_value_bytes)
     assert 3 <= len(tries) <= 8
     gaps = [later - earlier for earlier, later in zip(tries, tries[1:], strict=False)]
@@ -358,5 +358,5 @@
     world = World(12)
     world.clock.run(5.0)
     assert {
-        row[0]["format"] for key, row in world.state.rows.items() if key.startswith(MEMBERS)
+        row[0]["format"] for key, row in world.state.rows.items() if key.startswith(MEMBERS_PREFIX)
     } == {NEWEST_FORMAT}
--- a/tests/unit/api/test_settings_api.py
+++ b/tests/unit/api/test_settings_api.py
@@ -16,7 +16,7 @@
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import SETTINGS
+from appledock.core.store.keys import SETTINGS_KEY
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Committed, Conflict, GetKey, Put, Transaction, UnknownOutcome
@@ -66,7 +66,7 @@
     parts = Parts()
     (call,) = parts.change({"settings": {"sample": 7}})
     assert isinstance(call, StoreCall)
-    assert call.request == Transaction({SETTINGS: 0}, [Put(SETTINGS, {"sample": 7})])
+    assert call.request == Transaction({SETTINGS_KEY: 0}, [Put(SETTINGS_KEY, {"sample": 7})])
     parts.runtime.resolve(StoreReply(call.call_id, Committed(3)))
     (response,) = parts.runtime.take_effects()
     assert response == Response(1, 200, parts.api.read(), None)
@@ -77,13 +77,13 @@
 def test_a_change_made_meanwhile_is_a_conflict_and_the_settings_are_read_again() -> None:
     parts = Parts()
     (call,) = parts.change({"settings": {"sample": 7}, "version": 2})
-    parts.runtime.resolve(StoreReply(call.call_id, Conflict([SETTINGS], 5)))
+    parts.runtime.resolve(StoreReply(call.call_id, Conflict([SETTINGS_KEY], 5)))
     parts.client.flush()
     response, read = sorted(
         parts.runtime.take_effects(), key=lambda effect: isinstance(effect, StoreCall)
     )
     assert response == Response(1, 409, {"error": "the settings were changed meanwhile"}, None)
-    assert read.request == GetKey(SETTINGS) and not parts.reconcile_queue.placement_due
+    assert read.request == GetKey(SETTINGS_KEY) and not parts.reconcile_queue.placement_due
 
 
 def test_an_unknown_outcome_is_answered_with_when_to_try_again() -> None:
--- a/tests/unit/api/test_status_polls.py
+++ b/tests/unit/api/test_status_polls.py
@@ -15,7 +15,7 @@
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import FINAL, JOBS
+from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Committed, StoreOutcome, Transaction
@@ -70,14 +70,14 @@
     polls.poll(1, "job-1")
     polls.poll(2, "job-2")
     (call,) = polls.calls()
-    conditions = {JOBS + "job-1": 7, JOBS + "job-2": 0, FINAL + "job-2": 0}
+    conditions = {JOBS_PREFIX + "job-1": 7, JOBS_PREFIX + "job-2": 0, FINAL_PREFIX + "job-2": 0}
     assert call.request == Transaction(conditions, [])
     assert polls.replies(call, Committed(9)) == {1: 200, 2: 404}
 
 
 def test_a_final_state_is_answered_without_a_read() -> None:
     polls = Polls()
-    polls.replica.put(FINAL + "job-1", {"state": "done"}, 3)
+    polls.replica.put(FINAL_PREFIX + "job-1", {"state": "done"}, 3)
     polls.poll(1, "job-1")
     assert [type(effect) for effect in polls.runtime.take_effects()] == [Response]
     assert polls.calls() == []
--- a/tests/unit/capacity/test_drains.py
+++ b/tests/unit/capacity/test_drains.py
@@ -25,7 +25,7 @@
 
     def __init__(self, checkpoint_s: float = 5.0, stop_at: float | None = None) -> None:
         self.runtime = Runtime(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1))
-        self.runtime.now, self.runtime.wall = 100.0, 1000.0
+        self.runtime.now, self.runtime.wall_time = 100.0, 1000.0
         replica = Replica()
         replica.view = View(3, {"n0": "x"}, "n0")
         attempt = Attempt(MACHINE, 1, 1, 3, False, {0})
@@ -59,7 +59,7 @@
     parts = Parts(stop_at=1010.0)
     parts.drainer.drain_own_jobs()
     assert parts.stopped == []
-    parts.runtime.wall = 1010.0
+    parts.runtime.wall_time = 1010.0
     parts.drainer.drain_own_jobs()
     assert parts.stopped == [(parts.job.id, MACHINE, {0})]
 
--- a/tests/unit/membership/test_membership.py
+++ b/tests/unit/membership/test_membership.py
@@ -9,7 +9,7 @@
 from appledock import constants
 from appledock.core.membership.membership import Membership, MembershipState
 from appledock.core.runtime import Runtime
-from appledock.core.store.keys import MEMBERS, VIEW
+from appledock.core.store.keys import MEMBERS_PREFIX, VIEW_KEY
 from appledock.core.store.replica import Replica
 from tests.test_requests import settings
 
@@ -31,9 +31,9 @@
 
 def put_view(replica: Replica, membership: Membership, version: int, **changes: object) -> None:
     member = {"incarnation": membership.incarnation, "lease": 7}
-    replica.put(MEMBERS + "n0", member, version)
+    replica.put(MEMBERS_PREFIX + "n0", member, version)
     view = {"term": version, "members": {"n0": membership.incarnation}, "leader": "n0", **changes}
-    replica.put(VIEW, view, version)
+    replica.put(VIEW_KEY, view, version)
     replica.advance(version)
 
 
@@ -80,6 +80,6 @@
 
 def test_scheduling_writes_are_conditional_on_view_and_own_member_key() -> None:
     membership, _, replica = joined()
-    assert membership.fencing_conditions() == {VIEW: 5, MEMBERS + "n0": 5}
+    assert membership.fencing_conditions() == {VIEW_KEY: 5, MEMBERS_PREFIX + "n0": 5}
     put_view(replica, membership, version=8)
-    assert membership.fencing_conditions() == {VIEW: 8, MEMBERS + "n0": 8}
+    assert membership.fencing_conditions() == {VIEW_KEY: 8, MEMBERS_PREFIX + "n0": 8}
--- a/tests/unit/quota/test_allocation.py
+++ b/tests/unit/quota/test_allocation.py
@@ -11,7 +11,7 @@
 from appledock.core.quota.usage import QuotaUsage
 from appledock.core.records.job import Attempt, HandoffTarget, Job
 from appledock.core.runtime import Runtime
-from appledock.core.store.keys import TEAMS, VIEW
+from appledock.core.store.keys import TEAMS_PREFIX, VIEW_KEY
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Committed
 from tests.standins.deployment import settings
@@ -29,8 +29,8 @@
 def replica() -> Replica:
     """The team's limit of 24 CPUs is allocated to two controllers, 6 CPUs are to nobody."""
     replica = Replica()
-    replica.put(VIEW, {"term": 1, "members": {"n0": "a", "n1": "b"}, "leader": "n0"}, 1)
-    replica.put(TEAMS + "red", {"term": 1, "shares": {"n0": [6, 0], "n1": [12, 0]}}, 2)
+    replica.put(VIEW_KEY, {"term": 1, "members": {"n0": "a", "n1": "b"}, "leader": "n0"}, 1)
+    replica.put(TEAMS_PREFIX + "red", {"term": 1, "shares": {"n0": [6, 0], "n1": [12, 0]}}, 2)
     replica.advance(2)
     return replica
 
--- a/tests/unit/scheduling/test_queue_order.py
+++ b/tests/unit/scheduling/test_queue_order.py
@@ -26,7 +26,7 @@
 
 def queue_order(quota: QuotaUsage, *objectives: Objective) -> QueueOrder:
     runtime = Runtime(settings("n0", ["n0"]), "x", random.Random(1))
-    runtime.wall = 1000.0
+    runtime.wall_time = 1000.0
     return QueueOrder(runtime, Replica(), quota, ServiceLevelObjectives(objectives))
 
 
--- a/tests/unit/store/test_reader.py
+++ b/tests/unit/store/test_reader.py
@@ -9,7 +9,7 @@
 from appledock.core.effects import StoreCall
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.keys import FINAL, JOBS, MEMBERS
+from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX, MEMBERS_PREFIX
 from appledock.core.store.reader import StateReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
@@ -53,11 +53,11 @@
     parts.reader.tick()
     [first] = parts.calls()
     assert isinstance(first.request, ListKeys) and first.request.after is None
-    parts.answer(first, Rows([wire.Row(MEMBERS + "n0", MEMBER, 3)], 7, True))
+    parts.answer(first, Rows([wire.Row(MEMBERS_PREFIX + "n0", MEMBER, 3)], 7, True))
     [second] = parts.calls()
-    assert isinstance(second.request, ListKeys) and second.request.after == MEMBERS + "n0"
+    assert isinstance(second.request, ListKeys) and second.request.after == MEMBERS_PREFIX + "n0"
     assert parts.loaded_count == 0 and not parts.reader.loaded
-    parts.answer(second, Rows([wire.Row(MEMBERS + "n1", MEMBER, 9)], 11, False))
+    parts.answer(second, Rows([wire.Row(MEMBERS_PREFIX + "n1", MEMBER, 9)], 11, False))
     assert parts.loaded_count == 1 and set(parts.replica.members) == {"n0", "n1"}
     parts.reader.tick()
     [watch] = parts.calls()
@@ -79,14 +79,14 @@
 def test_keys_are_read_one_after_the_other_up_to_the_first_failure() -> None:
     parts = Parts()
     events: list[str] = []
-    keys = [JOBS + "job-1", FINAL + "job-1"]
+    keys = [JOBS_PREFIX + "job-1", FINAL_PREFIX + "job-1"]
     parts.reader.read_keys(keys, lambda: events.append("read"), lambda: events.append("failure"))
     [first] = parts.calls()
-    assert first.request == GetKey(JOBS + "job-1")
+    assert first.request == GetKey(JOBS_PREFIX + "job-1")
     parts.answer(first, Missing())
     [second] = parts.calls()
-    assert second.request == GetKey(FINAL + "job-1") and events == []
-    parts.answer(second, Row(FINAL + "job-1", {"state": wire.DONE}, 5))
+    assert second.request == GetKey(FINAL_PREFIX + "job-1") and events == []
+    parts.answer(second, Row(FINAL_PREFIX + "job-1", {"state": wire.DONE}, 5))
     assert events == ["read"] and parts.replica.final_states == {"job-1": wire.DONE}
     parts.reader.read_keys(keys, lambda: events.append("read"), lambda: events.append("failure"))
     [third] = parts.calls()
--- a/tests/unit/test_engine.py
+++ b/tests/unit/test_engine.py
@@ -16,7 +16,7 @@
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
-from appledock.core.store.keys import FINAL
+from appledock.core.store.keys import FINAL_PREFIX
 from appledock.core.store.replica import Replica
 from tests.standins.deployment import settings
 from tests.test_requests import spec
@@ -53,7 +53,7 @@
     assert effects == [Response(4, 500, {"error": "internal error"})]
     parts.fakes["user_requests"].open_requests.discard.assert_called_once_with(4)
     parts.fakes["workers"].on_heartbeat.assert_called_once()
-    assert (parts.runtime.now, parts.runtime.wall) == (1.0, 2.0)
+    assert (parts.runtime.now, parts.runtime.wall_time) == (1.0, 2.0)
 
 
 def test_a_timer_that_fails_does_not_stop_the_others() -> None:
@@ -88,6 +88,6 @@
     assert parts.reconcile_queue.jobs == {"job-1", "job-2"}
     assert parts.reconcile_queue.placement_due and not parts.replica.changes.jobs
     parts.fakes["queue_order"].on_dependencies_met.assert_not_called()
-    parts.replica.put(FINAL + "job-1", {"state": "done"}, 4)
+    parts.replica.put(FINAL_PREFIX + "job-1", {"state": "done"}, 4)
     parts.engine.handle([], 1.5, 2.5)
     parts.fakes["queue_order"].on_dependencies_met.assert_called_once_with("job-2")
