--- a/appledock/core/cloud_calls.py
+++ b/appledock/core/cloud_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the cloud as values: one type for each request, and how calls end."""
+"""Calls to the cloud as values: one type for each request, and the outcomes of calls."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ListMachineTypes:
-    """Read which machine types the cloud offers."""
+    """Read of the machine types that the cloud offers."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListMachines:
-    """Read one page of the machines that exist, from behind the machine `after`."""
+    """Read of one page of the list of machines.
+
+    `after` is the last machine of the previous page; None asks for the first page.
+    """
 
     after: str | None
     limit: int
@@ -23,14 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RentMachines:
-    """Scale out; idempotent by the name of the request, which must never be reused."""
+    """Scale-out request.
+
+    The cloud uses the name of the request as an idempotency key, so no name is used twice.
+    """
 
     rental: wire.Rent
 
 
 @dataclass(frozen=True, slots=True)
 class DeleteMachines:
-    """Scale in; names that the cloud does not know are ignored."""
+    """Scale-in request; the cloud ignores names of unknown machines."""
 
     machines: list[str]
 
@@ -39,13 +45,14 @@
 
 
 class CloudOutcome(enum.StrEnum):
-    """How a call to the cloud ended."""
+    """Outcome of a call to the cloud."""
 
     OK = "ok"
     REFUSED = "refused"
-    """not executed; it can be made again"""
+    """The call was not executed and can be retried."""
     NO_CAPACITY = "full"
+    """The cloud has no machines of this kind to rent at present."""
     INVALID = "invalid"
-    """never executed"""
+    """The cloud rejected the request: it was not executed, and a retry would be rejected again."""
     UNKNOWN = "unknown"
-    """no answer: it may have been executed, or may yet be"""
+    """No usable answer arrived: the call may have been executed, or may still be."""
--- a/appledock/core/commands.py
+++ b/appledock/core/commands.py
@@ -1,8 +1,8 @@
-"""Commands: everything that enters the core, each as one type.
+"""Commands: all inputs of the core, with one type for each kind of input.
 
-The adapters turn requests, answers, messages and timers into commands; `Command` is the closed
-union of them. A `request_id` names the request that a `Response` has to answer, a `call_id` the
-call whose answer a reply carries.
+The adapters convert requests, answers, messages and timers to commands; `Command` is the closed
+union of all types. A `request_id` identifies the request that a `Response` has to answer, a
+`call_id` the call to which a reply belongs.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class SubmitJob:
-    """A user submits a job; the request is idempotent by the job's id."""
+    """A user submits a job; the job's id serves as the idempotency key."""
 
     request_id: int
     spec: wire.JobSpec
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class HeartbeatReceived:
-    """A worker sent its heartbeat with status and waits for commands."""
+    """A worker sent its heartbeat with its status and waits for commands."""
 
     request_id: int
     report: wire.Report
@@ -52,40 +52,40 @@
 
 @dataclass(slots=True)
 class HealthRequest:
-    """The platform asks whether this controller can take requests."""
+    """The platform asks whether this controller can serve requests."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class AdminRequest:
-    """A request of the administration API, already split into its parts."""
+    """A request to the administration API, split into its parts."""
 
     request_id: int
     method: str
     path: tuple[str, ...]
-    """the path's segments below the API's prefix"""
+    """Segments of the path after the prefix of the API."""
     body: Any = None
-    """decoded JSON, not checked yet; None: the request had no body"""
+    """Decoded JSON, not validated yet; None if the request had no body."""
 
 
 # --- answers to calls -----------------------------------------------------
 
 
 class WorkerOutcome(enum.StrEnum):
-    """How a direct call to a worker ended."""
+    """Outcome of a direct call to a worker."""
 
     OK = "ok"
     STALE = "stale"
-    """refused by a newer fencing token or agent epoch"""
+    """The worker refused the call, because it knows a newer fencing token or agent epoch."""
     NOT_SENT = "not_sent"
     UNKNOWN = "unknown"
-    """no answer: the commands may have been executed, or may yet be"""
+    """No usable answer arrived: the commands may have been executed, or may still be."""
 
 
 @dataclass(slots=True)
 class StoreReply:
-    """How a call to the key-value store ended."""
+    """Outcome of a call to the key-value store."""
 
     call_id: int
     outcome: StoreOutcome
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True)
 class CloudReply:
-    """How a call to the cloud ended, with its answer if there is one."""
+    """Outcome of a call to the cloud, with the data of the answer if there are any."""
 
     call_id: int
     outcome: CloudOutcome
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class WorkerReply:
-    """How a direct call to a worker ended, with the worker's status if it sent one."""
+    """Outcome of a direct call to a worker, with the worker's status if it sent one."""
 
     call_id: int
     outcome: WorkerOutcome
@@ -119,19 +119,19 @@
     """A peer sent a message."""
 
     message: dict[str, Any]
-    """decoded JSON; not checked, since the peer may be of another version"""
+    """Decoded JSON, not validated: the peer may run another version."""
 
 
 @dataclass(slots=True)
 class PeerConnected:
-    """The connection to a peer was opened, for the first time or again."""
+    """The connection to a peer was opened or reopened."""
 
     name: str
 
 
 @dataclass(slots=True)
 class Tick:
-    """Time to look at the timers."""
+    """Periodic command on which the core runs the timers that are due."""
 
 
 UserRequest = SubmitJob | GetJobState | CancelJob
--- a/appledock/core/effects.py
+++ b/appledock/core/effects.py
@@ -1,8 +1,8 @@
-"""Effects: everything that the core asks of its surroundings, each as one type.
+"""Effects: all outputs of the core, with one type for each kind of output.
 
-The core performs no I/O. It returns effects in the order in which the adapters have to carry them
-out; `Effect` is the closed union of them. Each call is answered by a reply with its `call_id`, also
-if it failed.
+The core performs no I/O. It returns effects, and the adapters carry them out in that order;
+`Effect` is the closed union of all types. Each call is answered by a reply with the same `call_id`,
+even if the call failed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """The answer to a request, as HTTP status, JSON body and further headers."""
+    """Answer to a request: HTTP status, JSON body and additional headers."""
 
     request_id: int
     status: int
@@ -46,31 +46,31 @@
 
 @dataclass(slots=True)
 class WorkerCall:
-    """Commands sent straight to a worker, or a request for its status."""
+    """A direct call to a worker, with commands or with a request for its status."""
 
     call_id: int
     address: str
-    """host and port"""
+    """Host and port of the worker."""
     orders: wire.Orders | None
-    """None: only its status is asked for"""
+    """Commands for the worker; None to request only its status."""
     timeout_s: float
 
 
 @dataclass(slots=True)
 class PeerSend:
-    """A message to one peer, or to all; it may be lost."""
+    """A message to one peer or to all peers; the message may be lost."""
 
     message: Message
     to: str | None = None
-    """None: to all"""
+    """Name of the peer; None to send to all peers."""
 
 
 @dataclass(slots=True)
 class SetLogLevel:
-    """Change the level of the process's log."""
+    """A change of the log level of the process."""
 
     level: str
-    """error, info or debug"""
+    """One of error, info and debug."""
 
 
 Effect = Response | StoreCall | CloudCall | WorkerCall | PeerSend | SetLogLevel
--- a/appledock/core/messages.py
+++ b/appledock/core/messages.py
@@ -1,12 +1,12 @@
-"""Messages between the controllers: one type for each kind.
+"""Messages between the controllers: one type for each kind of message.
 
-Kinds and field names on the wire are a contract between versions. They are mapped to the names in
-the code here, and only here: `tag` is the kind, `name` that of a field. Kinds and fields that this
-version does not know are ignored; fields that an earlier version does not send have defaults that
-stand for its behaviour.
+Kinds and field names on the wire are a contract between versions. This module is the only place
+that maps them to the names in the code: `tag` is the kind of a message, `name` the name of a field.
+Unknown kinds and unknown fields are ignored. A field that an earlier version does not send has a
+default that corresponds to that version's behaviour.
 
-Any message may be lost, delayed or repeated. Ages in place of moments are sent because the
-controllers' clocks differ.
+Any message may be lost, delayed or repeated. Messages carry ages instead of timestamps, because
+the controllers' clocks differ.
 """
 
 from __future__ import annotations
@@ -25,40 +25,40 @@
 
 
 class WorkerHeartbeat(Struct, frozen=True, tag_field="kind", tag="worker"):
-    """A worker's heartbeat with its status, sent on whole."""
+    """A worker's complete heartbeat with its status, forwarded to the peers."""
 
     report: wire.Report
     healthy_age_s: float = field(name="well_s", default=0.0)
-    """since the worker was last healthy"""
+    """Seconds since the worker was last healthy."""
 
 
 class UnchangedHeartbeat(Struct, frozen=True, array_like=True):
-    """Number and ages of a worker's last heartbeat that showed nothing new."""
+    """Sequence number and ages of a worker's last heartbeat, whose status had not changed."""
 
     worker: str
     agent_epoch: int
     sequence_number: int
     heartbeat_age_s: float
-    """since the heartbeat was received"""
+    """Seconds since the heartbeat was received."""
     healthy_age_s: float
-    """since the worker was last healthy"""
+    """Seconds since the worker was last healthy."""
 
 
 class UnchangedHeartbeats(Struct, frozen=True, tag_field="kind", tag="alive"):
-    """Heartbeats that showed nothing new, in short."""
+    """Summary of the heartbeats whose status had not changed."""
 
     heartbeats: list[UnchangedHeartbeat] = field(name="workers")
 
 
 class AgentEpochExpired(Struct, frozen=True, tag_field="kind", tag="lapsed"):
-    """The worker's agent epoch, and all before it, are proven to have ended."""
+    """A proof that the worker's agent epoch and all earlier ones have ended."""
 
     worker: str
     agent_epoch: int = field(name="session")
 
 
 class MachinesDeleted(Struct, frozen=True, tag_field="kind", tag="gone"):
-    """Machines that no longer exist."""
+    """Notification that machines no longer exist."""
 
     machines: list[str]
 
@@ -67,7 +67,7 @@
 
 
 class StopTasks(Struct, frozen=True, tag_field="kind", tag="stop"):
-    """To the owner of a job: stop these tasks of it on the machine."""
+    """A request to the owner of a job to stop these tasks of the job on the machine."""
 
     job: str
     machine: str
@@ -75,61 +75,67 @@
 
 
 class JobCancelled(Struct, frozen=True, tag_field="kind", tag="cancelled"):
-    """A cancellation that was committed."""
+    """Notification that the cancellation of a job was committed."""
 
     job: str
     version: int
-    """of the job's record, as committed"""
+    """Version of the job's record as committed."""
     record: Any = None
-    """the open job's record, encoded; None: the cancellation ended the job"""
+    """Encoded record of the open job; None if the cancellation ended the job."""
 
 
 # --- fleet ----------------------------------------------------------------
 
 
 class MachinesRented(Struct, frozen=True, tag_field="kind", tag="rented"):
-    """Machines that were just rented."""
+    """Notification that machines were rented."""
 
     machines: list[str]
     machine_kind: tuple[str, str, bool] = field(name="type")
-    """machine type, zone, and whether they are spot instances"""
+    """Machine type, zone, and whether the machines are spot instances."""
 
 
 class MachineCordoned(Struct, frozen=True, tag_field="kind", tag="cordon"):
-    """No step may be placed on the machine, for this reason; without one, steps may again."""
+    """Notification that a machine was cordoned or uncordoned.
+
+    No step is placed on a cordoned machine.
+    """
 
     worker: str
     reason: str = field(name="why")
+    """Reason of the cordon; empty if the machine was uncordoned."""
 
 
 # --- controllers ----------------------------------------------------------
 
 
 class ControllerHeartbeat(Struct, frozen=True, tag_field="kind", tag="pulse"):
-    """That a controller is up, and its status."""
+    """Heartbeat of a controller with its status."""
 
     node: str
+    """Name of the sending controller."""
     store_answer_age_s: float = field(name="served_s")
-    """since the key-value store last answered it"""
+    """Seconds since the key-value store last answered the controller."""
     write_rate: float = field(name="writes", default=0.0)
-    """writes/s that it sends to the store"""
+    """Writes per second that the controller sends to the store."""
     reporting_fraction: float = field(name="reporting", default=1.0)
-    """part of its workers whose heartbeats reached it lately"""
+    """Fraction of the controller's workers whose heartbeats reached it recently."""
     owner_timeouts: dict[str, int] = field(name="vain", default={})
-    """owner -> workers that came to it after that owner had not answered them"""
+    """Owner -> number of workers that contacted the sender after a timeout at that owner."""
     is_service_rate_limited: bool = field(name="pressed", default=False)
-    """do steps of its services wait for the store's write rate?"""
+    """Whether steps of services wait for the write rate limit at the controller."""
 
 
 # --- moves of running tasks -----------------------------------------------
 
 
 class MoveOrder(Struct, frozen=True):
-    """A move of one running task, as its planner asked for it."""
+    """A move of one running task, as the controller that planned the move requested it."""
 
     planner: str
+    """Name of the controller that planned the move."""
     number: int
-    """of the planner's moves under this term"""
+    """Number of the move among those that the planner requested under this term."""
     term: int
     job: str
     task: int
@@ -137,23 +143,23 @@
     source: str
     destination: str
     load: float
-    """load of the destination, as far as the planner knows"""
+    """Load of the destination according to the planner."""
 
 
 class MoveRequested(Struct, frozen=True, tag_field="kind", tag="move"):
-    """To the destination's owner: reserve capacity for the task, and tell the job's owner."""
+    """A request to the destination's owner to reserve capacity and to notify the job's owner."""
 
     order: MoveOrder
 
 
 class MoveReserved(Struct, frozen=True, tag_field="kind", tag="move-held"):
-    """To the job's owner: capacity is reserved at the destination, the task may be stopped."""
+    """Notification to the job's owner that capacity is reserved, so the task may be stopped."""
 
     order: MoveOrder
 
 
 class MoveEnded(Struct, frozen=True, tag_field="kind", tag="move-ended"):
-    """To the planner and the destination's owner: how the move ended."""
+    """Notification to the planner and the destination's owner of how the move ended."""
 
     order: MoveOrder
     outcome: str
@@ -183,15 +189,15 @@
         MoveEnded,
     )
 }
-"""kind on the wire -> type. Converting to one type is ten times cheaper than converting to
-their union, which msgspec analyses anew in each call."""
+"""Kind on the wire -> message type. Conversion to a single type is ten times cheaper than to the
+union of all types, because msgspec analyses the union again in each call."""
 
 
 def decode(body: Any) -> Message | None:
-    """The message in a decoded JSON value; None if this version has no use for it.
+    """Convert a decoded JSON value to a message; return None for an unknown kind.
 
-    A malformed message of a known kind is logged and ignored: a peer must never be able to end
-    the process.
+    A malformed message of a known kind is logged, and None is returned as well: no message of a
+    peer may end the process.
     """
     kind = body.get("kind") if isinstance(body, dict) else None
     message_type = KINDS.get(kind) if isinstance(kind, str) else None
--- a/appledock/core/operator_settings.py
+++ b/appledock/core/operator_settings.py
@@ -1,4 +1,4 @@
-"""Settings that operators change while the cluster runs: declarations, checks, present values."""
+"""Settings that operators can change at run time: declarations, validation, current values."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingDeclaration:
-    """One setting of the operators: its default, range, unit and what it is for."""
+    """Default, range, unit and description of one setting."""
 
     default: float
     minimum: float
@@ -45,11 +45,15 @@
 
 
 class InvalidSettingError(ValueError):
-    """A value that cannot be taken; the text names the setting and what is allowed."""
+    """An invalid value; the message names the setting and the allowed values."""
 
 
 def validate(name: str, value: Any) -> float:
-    """The value of a setting; raises InvalidSettingError if it cannot be taken."""
+    """Return the value if it is valid for the setting.
+
+    Raises:
+        InvalidSettingError: the setting is unknown or the value is not allowed.
+    """
     declaration = DECLARATIONS.get(name)
     if declaration is None:
         known = ", ".join(sorted(DECLARATIONS))
@@ -65,7 +69,7 @@
 
 
 class OperatorSettings:
-    """The values in force, one by name: `settings["sample"]`."""
+    """Current values of the settings, accessed by name: `settings["sample"]`."""
 
     def __init__(self) -> None:
         self.values = self._defaults()
@@ -74,7 +78,7 @@
         return self.values[name]
 
     def apply(self, stored: dict[str, Any]) -> None:
-        """Take over the stored values; one that cannot be taken keeps its default."""
+        """Apply the stored values; a setting with an invalid value gets its default."""
         self.values = self._defaults()
         for name, value in stored.items():
             try:
--- a/appledock/core/store_calls.py
+++ b/appledock/core/store_calls.py
@@ -1,6 +1,6 @@
 """Calls to the key-value store as values: one type for each request and for each outcome.
 
-`GET`-like answers carry the structs of `appledock.wire`, whose fields have the names used here.
+Answers that carry data are the structs of `appledock.wire`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Put:
-    """Write a key; with `lease` it disappears when that lease expires."""
+    """Write of a key; with `lease`, the store deletes the key when that lease expires."""
 
     key: str
     value: Any
@@ -25,17 +25,17 @@
 
 @dataclass(slots=True)
 class Delete:
-    """Delete a key."""
+    """Deletion of a key."""
 
     key: str
 
 
 @dataclass(slots=True)
 class Transaction:
-    """A compare-and-swap over several keys: all writes are executed, or none is."""
+    """A compare-and-swap over several keys: either all writes are executed, or none is."""
 
     conditions: dict[str, int] = field(default_factory=dict)
-    """key -> version that it must have; 0: it must not exist"""
+    """Key -> version that the key must have; 0 if the key must not exist."""
     writes: list[Put | Delete] = field(default_factory=list)
 
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListKeys:
-    """One page of the keys under a prefix, from behind the key `after`."""
+    """Read of one page of the keys under a prefix; `after` is the last key of the previous page."""
 
     prefix: str
     after: str | None
@@ -57,7 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchKeys:
-    """Changes under a prefix after a revision; waits up to `wait_ms` for the first one."""
+    """Read of the changes under a prefix after a revision.
+
+    If there is none yet, the store waits for the first change for up to `wait_ms`.
+    """
 
     prefix: str
     after_revision: int
@@ -66,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantLease:
-    """A new lease."""
+    """Creation of a lease."""
 
     ttl_ms: int
 
@@ -80,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RevokeLease:
-    """End of a lease, and of the keys attached to it."""
+    """End of a lease, with deletion of the keys attached to it."""
 
     lease: int
 
@@ -91,46 +94,49 @@
 
 
 class NotExecutedReason(enum.StrEnum):
-    """Why a call was not executed."""
+    """Reason why a call was not executed."""
 
     NOT_SENT = "not sent"
-    """it found no connection, or no place in the queue of calls, or waited there too long"""
+    """There was no connection, or the queue was full, or the call expired in the queue."""
     RATE_LIMITED = "too fast"
-    """status 429"""
+    """The store answered with status 429."""
     UNAVAILABLE = "unavailable"
-    """status 503"""
+    """The store answered with status 503."""
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """Executed, and there is nothing more to say."""
+    """The call was executed; the answer carries no data."""
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryCompacted:
-    """The watch asked for changes that the store no longer keeps."""
+    """The store no longer keeps the changes that the watch asked for."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoSuchLease:
-    """The lease that a write was to be attached to has expired."""
+    """The lease to which a key was to be attached does not exist: it has expired."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The store took the call for malformed or too large; it is never executed."""
+    """The store rejected the call as malformed or too large.
+
+    It was not executed, and a retry would be rejected again.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class NotExecuted:
-    """The call was not executed and can be made again."""
+    """The call was not executed and can be retried."""
 
     reason: NotExecutedReason = NotExecutedReason.NOT_SENT
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownOutcome:
-    """No answer: the call may have been executed, or may yet be."""
+    """No usable answer arrived: the call may have been executed, or may still be."""
 
 
 StoreOutcome = (
