--- a/appledock/core/records/__init__.py
+++ b/appledock/core/records/__init__.py
@@ -1,1 +1,1 @@
-"""Stored records as typed values: jobs, their dependencies, ownership of machines."""
+"""Types of the stored records: jobs, dependencies, membership, quotas and machine ownership."""
--- a/appledock/core/records/attempt_groups.py
+++ b/appledock/core/records/attempt_groups.py
@@ -1,14 +1,16 @@
-"""The compact form of a job's open attempts and completed tasks in its record (format 2).
+"""Compact encoding of a job's open attempts and completed tasks in its record (format 2).
 
-Attempts of one step differ in machine and tasks only. They stand together in a group:
-agent epoch, attempt number, term, stopping, the common part of the machines' names with its
-number of digits, and one word for each machine:
+The attempts of one step differ only in machine and tasks. They are stored as a group, a list of
+agent epoch, attempt number, term, stopping, the common prefix of the machines' names, the number of
+digits after the prefix, and one entry for each machine, separated by spaces:
 
     MACHINE [BLOCK ...]      BLOCK: [SKIP] [.COUNT]      numbers in base 36
 
-A block is COUNT tasks in a row (one, if not said), SKIP (with its sign) after the end of
-the block before, or right after it. So a step that puts two tasks on each of ninety
-machines costs five bytes a machine instead of thirty-five.
+An entry contains no spaces. MACHINE is the number at the end of the machine's name. A block is a
+range of COUNT consecutive tasks (1 by default). SKIP, written with its sign, is the distance from
+the task after the previous block, which may be in the previous entry, to the first task of this
+block (0 by default). A step that places two tasks on each of ninety machines thus takes five bytes
+for each machine instead of thirty-five.
 """
 
 from __future__ import annotations
@@ -20,8 +22,8 @@
 
 from appledock.core.records.intervals import IntervalSet
 
-_NAME = re.compile(r"\A(.*?)([0-9]{1,9})\Z", re.DOTALL)
-_WORD = re.compile(
+_MACHINE_NAME = re.compile(r"\A(.*?)([0-9]{1,9})\Z", re.DOTALL)
+_ENTRY = re.compile(
     r"\A([0-9a-z]+)((?:[+-][0-9a-z]+)?(?:\.[0-9a-z]+)?"
     r"(?:[+-][0-9a-z]+(?:\.[0-9a-z]+)?)*)\Z"
 )
@@ -30,7 +32,7 @@
 
 
 class AttemptRow(NamedTuple):
-    """The fields of an attempt in the order of its class."""
+    """The fields of `Attempt`, in the same order."""
 
     machine: str
     agent_epoch: int
@@ -40,8 +42,8 @@
     tasks: set[int]
 
 
-class _Group(NamedTuple):
-    """What the attempts of a group have in common."""
+class _GroupKey(NamedTuple):
+    """The fields that all attempts of a group share."""
 
     agent_epoch: int
     attempt_number: int
@@ -49,11 +51,11 @@
     stopping: bool
     name_prefix: str
     digits: int
-    """of the number behind the prefix; -1: the names have no number"""
+    """Number of digits after the prefix; -1 if the names have no number."""
 
 
 def base36(number: int) -> str:
-    """Write `number` (0 or more) as int(text, 36) reads it."""
+    """Return the base-36 form of `number` (0 or more), which `int(text, 36)` reads."""
     text = ""
     while True:
         number, digit = divmod(number, 36)
@@ -62,66 +64,66 @@
             return text
 
 
-def _split(machine: str) -> tuple[str, int, int]:
-    """Prefix, number of digits and number of a name; -1 digits: the name has no number."""
-    match = _NAME.match(machine)
+def _split_machine_name(machine: str) -> tuple[str, int, int]:
+    """Return prefix, number of digits and number of a name; -1 digits if it has no number."""
+    match = _MACHINE_NAME.match(machine)
     if match is None:
         return machine, -1, 0
     return match[1], len(match[2]), int(match[2])
 
 
-def _group_of(row: AttemptRow) -> _Group:
-    prefix, digits, _ = _split(row.machine)
-    return _Group(row.agent_epoch, row.attempt_number, row.term, row.stopping, prefix, digits)
+def _group_key(row: AttemptRow) -> _GroupKey:
+    prefix, digits, _ = _split_machine_name(row.machine)
+    return _GroupKey(row.agent_epoch, row.attempt_number, row.term, row.stopping, prefix, digits)
 
 
 def pack_attempts(rows: list[AttemptRow]) -> list[list[Any]]:
-    """Pack attempts into groups; those without tasks are left out."""
+    """Pack attempts into groups; attempts without tasks are omitted."""
     ordered = sorted(
         (row for row in rows if row.tasks),
-        key=lambda row: (_group_of(row), min(row.tasks), row.machine),
+        key=lambda row: (_group_key(row), min(row.tasks), row.machine),
     )
     result = []
-    for group, members in groupby(ordered, key=_group_of):
-        words, end = [], -1
-        for row in members:
-            word, end = _pack_word(row, end)
-            words.append(word)
+    for group, group_rows in groupby(ordered, key=_group_key):
+        entries, end = [], -1
+        for row in group_rows:
+            entry, end = _pack_entry(row, end)
+            entries.append(entry)
         result.append(
-            [*group[:3], int(group.stopping), group.name_prefix, group.digits, " ".join(words)]
+            [*group[:3], int(group.stopping), group.name_prefix, group.digits, " ".join(entries)]
         )
     return result
 
 
-def _pack_word(row: AttemptRow, end: int) -> tuple[str, int]:
-    """The word of a machine whose blocks follow the task `end`, and its own last task."""
-    word = base36(_split(row.machine)[2])
+def _pack_entry(row: AttemptRow, end: int) -> tuple[str, int]:
+    """Return the entry of a machine and its last task; `end` is the last task before the entry."""
+    entry = base36(_split_machine_name(row.machine)[2])
     intervals = list(IntervalSet(sorted(row.tasks)).intervals())
     for index, (low, high) in enumerate(intervals):
         skip = low - end - 1
-        # One task right after the block before needs no word, unless another block follows,
-        # which would be taken for it.
+        # A single task right after `end` needs no text, because that is the default. If another
+        # block follows, the text is needed: the other block would be read as the first one.
         if skip or index or (len(intervals) > 1 and low == high):
-            word += ("+" if skip >= 0 else "-") + base36(abs(skip))
+            entry += ("+" if skip >= 0 else "-") + base36(abs(skip))
         if high > low:
-            word += "." + base36(high - low + 1)
+            entry += "." + base36(high - low + 1)
         end = high
-    return word, end
+    return entry, end
 
 
 def unpack_attempts(groups: list[list[Any]]) -> list[AttemptRow]:
-    """Unpack groups.
+    """Unpack groups of attempts.
 
     Raises:
-        ValueError or TypeError: they are malformed.
+        ValueError or TypeError: the groups are malformed.
     """
     rows = []
-    for agent_epoch, attempt_number, term, stopping, prefix, digits, words in groups:
+    for agent_epoch, attempt_number, term, stopping, prefix, digits, entries in groups:
         end = -1
-        for word in words.split(" "):
-            match = _WORD.match(word)
+        for entry in entries.split(" "):
+            match = _ENTRY.match(entry)
             if match is None:
-                raise ValueError(f"not an attempt: {word[:80]}")
+                raise ValueError(f"malformed entry of an attempt: {entry[:80]}")
             machine = prefix if digits < 0 else f"{prefix}{int(match[1], 36):0{digits}d}"
             tasks, end = _unpack_blocks(match[2], end)
             rows.append(
@@ -131,21 +133,21 @@
 
 
 def _unpack_blocks(blocks: str, end: int) -> tuple[set[int], int]:
-    """The tasks of the blocks, which follow the task `end`, and the last of them."""
+    """Return the tasks of the blocks and the last of them; `end` is the last task before them."""
     tasks: set[int] = set()
     for skip, count in _BLOCK.findall(blocks) if blocks else [("", "")]:
         if not skip and not count and blocks:
-            continue  # the empty match at the end
+            continue  # findall also matches the empty string at the end
         low = end + 1 + (int(skip, 36) if skip else 0)
         end = low + (int(count, 36) if count else 1) - 1
         if low < 0:
-            raise ValueError(f"not an attempt: {blocks[:80]}")
+            raise ValueError(f"malformed blocks of an attempt: {blocks[:80]}")
         tasks.update(range(low, end + 1))
     return tasks, end
 
 
 def pack_completed(completed: IntervalSet) -> dict[str, str]:
-    """Pack completed tasks: as ranges, or as a map of bits where that is shorter."""
+    """Pack completed tasks as ranges, or as a bitmap if that is shorter."""
     ranges = str(completed)
     highest = max((high for _, high in completed.intervals()), default=-1)
     if len(ranges) <= 8 or (highest + 8) // 8 * 4 / 3 + 4 >= len(ranges):
@@ -155,10 +157,10 @@
 
 
 def unpack_completed(record: dict[str, Any]) -> IntervalSet:
-    """Unpack the completed tasks of a record, in either form.
+    """Unpack the completed tasks of a record, which may be ranges or a bitmap.
 
     Raises:
-        ValueError or TypeError: they are malformed.
+        ValueError or TypeError: the completed tasks are malformed.
     """
     if "bits" not in record:
         return IntervalSet.parse(record.get("done", ""))
--- a/appledock/core/records/attempt_verdict.py
+++ b/appledock/core/records/attempt_verdict.py
@@ -1,4 +1,4 @@
-"""How an attempt of a task is proven to be over."""
+"""Result of an attempt of a task that is proven to have ended."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class AttemptVerdict(enum.StrEnum):
-    """What a worker, a lease or the cloud has proven of an attempt that is over."""
+    """Result of an ended attempt, as proven by a worker, by an expired lease or by the cloud."""
 
     DONE = "done"
-    """completed"""
+    """The task was completed."""
     FAILED = "error"
-    """ended with an error; counts as a failure of the job"""
+    """The task ended with an error, which counts as a failure of the job."""
     SETTLED = "settled"
-    """over without a result: it can be attempted again"""
+    """The attempt ended without a result, so the task can be attempted again."""
--- a/appledock/core/records/capacity.py
+++ b/appledock/core/records/capacity.py
@@ -1,4 +1,4 @@
-"""Stored records of the partitions of machines: agreed fractions, and the owner of each machine."""
+"""Stored records of capacity partitions: the agreed fractions and the owner of each machine."""
 
 from __future__ import annotations
 
@@ -20,19 +20,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AgreedFractions:
-    """The fractions of the pools' machines that operators agreed on last."""
+    """The fractions of each pool's machines that the operators agreed on last."""
 
     version: int
+    """Version of the key that stores the record."""
     request_id: str
-    """of the change that set them; the same request again has no further effect"""
+    """Id of the request that set the fractions; the same request has no effect a second time."""
     fractions: MachineFractions
     previous_fractions: MachineFractions
-    """those before the change"""
+    """Fractions before the last change."""
     stop_at: float | None
-    """time of day from which tasks with checkpoints may be stopped for the change, s"""
+    """Time of day from which tasks with checkpoints may be stopped for the change, in seconds."""
 
     def encode(self) -> dict[str, Any]:
-        """The stored record; its version is the store's."""
+        """Encode the record for the store, which holds the version itself."""
         return {
             "request": self.request_id,
             "shares": self.fractions,
@@ -42,45 +43,49 @@
 
 
 def decode_agreed_fractions(record: dict[str, Any], version: int) -> AgreedFractions:
-    """The fractions of a record; raises KeyError, TypeError or AttributeError if malformed."""
+    """Decode a stored record.
+
+    Raises:
+        KeyError, TypeError or AttributeError: the record is malformed.
+    """
     return AgreedFractions(
         version, record["request"], record["shares"], record["before"], record.get("stop_at")
     )
 
 
 class CapacityRecords:
-    """The records under one prefix, as last read."""
+    """The records under `CAPACITY_PREFIX` as last read."""
 
     def __init__(self) -> None:
         self.agreed_fractions: AgreedFractions | None = None
         self.buckets: dict[int, OwnershipBucket] = {}
-        """number -> ownership record"""
+        """Number of a bucket -> its ownership record."""
         self.changed_machines: set[str] = set()
-        """machines whose owner has changed"""
+        """Machines whose owner has changed; the engine empties the set."""
 
     def bucket(self, number: int) -> OwnershipBucket:
-        """An ownership record; empty if it was never written."""
+        """Return an ownership record, which is empty if it was never written."""
         return self.buckets.get(number) or OwnershipBucket()
 
     def ownership_of(self, machine: str) -> Ownership | None:
-        """The machine's owner; None if it was never assigned."""
+        """Return the owner of a machine, or None if the machine was never assigned."""
         return self.bucket(bucket_of(machine)).owners.get(machine)
 
     def owned_machines(self) -> Iterator[tuple[str, Ownership]]:
-        """All machines in the ownership records, with their owners."""
+        """Iterate over all machines in the ownership records, with their owners."""
         for bucket in self.buckets.values():
             yield from bucket.owners.items()
 
     def version(self, key: str) -> int:
-        """The version of a record as last read; 0: it does not exist."""
+        """Return the version of a record as last read, or 0 if the record does not exist."""
         if key == AGREED_FRACTIONS_KEY:
             return self.agreed_fractions.version if self.agreed_fractions is not None else 0
         return self.bucket(_bucket_number(key)).version
 
     def put(self, key: str, value: Any, version: int) -> None:
-        """Take in a record as it is now.
+        """Store the current value of a record.
 
-        Malformed agreed fractions leave the known ones in place; a malformed ownership record
+        If agreed fractions are malformed, the previous ones are kept. A malformed ownership record
         counts as empty.
         """
         try:
@@ -94,7 +99,7 @@
                 self._set_bucket(_bucket_number(key), OwnershipBucket(version))
 
     def drop(self, key: str) -> None:
-        """Take in that a record was deleted."""
+        """Remove a record that was deleted from the store."""
         if key == AGREED_FRACTIONS_KEY:
             self.agreed_fractions = None
         else:
@@ -109,6 +114,6 @@
 
 
 def _bucket_number(key: str) -> int:
-    """Number of an ownership record; -1 for a key that only a later version knows."""
+    """Return the number of an ownership record; -1 for a key that only later versions know."""
     text = key.removeprefix(OWNERSHIP_PREFIX)
     return int(text) if text.isdecimal() else -1
--- a/appledock/core/records/dependencies.py
+++ b/appledock/core/records/dependencies.py
@@ -1,12 +1,13 @@
-"""The graph of dependencies between jobs, and what follows from it.
+"""Graph of the dependencies between jobs, with the readiness and priorities derived from it.
 
-Only the ids of its prerequisites stand in a job's description; nothing else of the graph is
-stored. `done` and `cancelled` never change, and neither does "was accepted", so readiness is
-derived: a job is ready once every prerequisite is known to be done; it is cancelled once one of
-them, directly or through others, is. What is not known counts as not ready.
+The only stored part of the graph is the list of prerequisites in each job's description. Readiness
+is derived from the states of the prerequisites, which is safe because `done` and `cancelled` are
+final and an accepted job stays accepted. A job is ready when every prerequisite is known to be
+done, and cancelled when a direct or indirect prerequisite is cancelled. A prerequisite in an
+unknown state counts as not done.
 
-The graph is kept up to date by change: what an end, a cancellation or a submission costs depends
-on the pipeline that it touches, not on how many pipelines there are.
+The graph is updated incrementally: the cost of the end, the cancellation or the submission of a job
+depends on the size of the job's pipeline, not on the number of pipelines.
 """
 
 from __future__ import annotations
@@ -19,44 +20,44 @@
 
 
 class InheritedPriority(NamedTuple):
-    """What a job has through those that depend on it."""
+    """Rank and deadline that a job gets from the jobs that depend on it."""
 
     rank: int
-    """the highest rank among the job and its dependents"""
+    """Highest rank among the job and its dependents."""
     deadline_at: float
-    """time of day, s: the earliest deadline that leaves time, by their estimates, for what comes
-    after the job"""
+    """Time of day, in seconds, by which the job must be complete so that its dependents can meet
+    their deadlines, according to their estimated run times."""
 
 
 class DependencyGraph:
-    """The open jobs that have prerequisites, and the outcomes of those."""
+    """Open jobs that have prerequisites, and the outcomes of the prerequisites."""
 
     def __init__(self) -> None:
         self.prerequisites: dict[str, tuple[str, ...]] = {}
-        """open job -> the jobs that it depends on directly"""
+        """Open job -> its direct prerequisites."""
         self.dependents: dict[str, set[str]] = {}
-        """job, open or not -> the open jobs that depend on it directly"""
+        """Job, open or not -> open jobs that directly depend on it."""
         self.outcomes: dict[str, str] = {}
-        """prerequisite that is over -> done or cancelled"""
+        """Prerequisite that has ended -> `done` or `cancelled`."""
         self.open_jobs: dict[str, Job] = {}
-        """open jobs that have prerequisites or dependents"""
+        """Open jobs that have prerequisites or dependents."""
         self.cancelled_jobs: set[str] = set()
-        """open jobs that are cancelled by their own record"""
+        """Open jobs that were cancelled themselves, according to their records."""
         self.waiting_jobs: set[str] = set()
-        """open jobs with a prerequisite that is not known to be done"""
+        """Open jobs with a prerequisite that is not known to be done."""
         self.cancelled_by_dependency: set[str] = set()
-        """open jobs that are cancelled because a prerequisite is"""
+        """Open jobs that are cancelled because a prerequisite is cancelled."""
         self.unknown_outcomes: set[str] = set()
-        """prerequisites that are neither open nor known to be over: to be read"""
+        """Prerequisites that are neither open nor known to have ended, and have to be read."""
         self.changed_jobs: set[str] = set()
-        """jobs whose readiness or cancellation has changed since this was last emptied"""
-        self._inherited: dict[str, InheritedPriority] = {}
+        """Jobs whose readiness or cancellation has changed; the replica empties the set."""
+        self._inherited_cache: dict[str, InheritedPriority] = {}
 
     # --- changes ----------------------------------------------------------
     def on_job_recorded(
         self, job: Job, open_jobs: dict[str, Job], final_states: dict[str, str]
     ) -> None:
-        """An open record is known, for the first time or changed."""
+        """Add an open job to the graph, or update it after a change of its record."""
         is_new = job.id not in self.prerequisites and bool(job.spec.needs)
         if is_new:
             self.prerequisites[job.id] = tuple(job.spec.needs or ())
@@ -65,12 +66,12 @@
             self.unknown_outcomes.discard(job.id)
             if job.cancelled and job.id not in self.cancelled_jobs:
                 self.cancelled_jobs.add(job.id)
-                self._check_dependents(job.id)
+                self._update_dependents(job.id)
         if is_new:
             for prerequisite in self.prerequisites[job.id]:
                 self._add_edge(job.id, prerequisite, open_jobs, final_states)
-            self._forget_inherited(job.id, self.prerequisites[job.id])
-            self._check(job.id)
+            self._invalidate_inherited(job.id, self.prerequisites[job.id])
+            self._update_state(job.id)
 
     def _add_edge(
         self,
@@ -90,11 +91,11 @@
             self.unknown_outcomes.add(prerequisite)
 
     def on_record_deleted(self, job_id: str) -> None:
-        """The open record is gone: the job is over."""
+        """Remove a job whose open record was deleted, which means that the job has ended."""
         prerequisites = self.prerequisites.pop(job_id, ())
         if job_id in self.dependents and job_id not in self.outcomes:
             self.unknown_outcomes.add(job_id)
-        self._forget_inherited(job_id, prerequisites)
+        self._invalidate_inherited(job_id, prerequisites)
         for prerequisite in prerequisites:
             self._remove_edge(job_id, prerequisite)
         self.open_jobs.pop(job_id, None)
@@ -115,17 +116,17 @@
             self.cancelled_jobs.discard(prerequisite)
 
     def on_job_ended(self, job_id: str, state: str) -> None:
-        """The job is over, done or cancelled."""
+        """Record the outcome of a job that has ended, either `done` or `cancelled`."""
         if job_id not in self.dependents:
             return
         self.outcomes[job_id] = state
         self.unknown_outcomes.discard(job_id)
-        self._check_dependents(job_id)
+        self._update_dependents(job_id)
 
     # --- readiness and cancellation ---------------------------------------
-    def _check_dependents(self, job_id: str) -> None:
+    def _update_dependents(self, job_id: str) -> None:
         for dependent in sorted(self.dependents.get(job_id, ())):
-            self._check(dependent)
+            self._update_state(dependent)
 
     def _is_cancelled(self, prerequisite: str) -> bool:
         outcome = self.outcomes.get(prerequisite)
@@ -133,25 +134,25 @@
             return outcome == wire.CANCELLED
         return prerequisite in self.cancelled_by_dependency or prerequisite in self.cancelled_jobs
 
-    def _check(self, job_id: str) -> None:
-        """Derive whether the job is ready or cancelled; its dependents too if that changed.
+    def _update_state(self, job_id: str) -> None:
+        """Update whether the job is ready or cancelled; a cancellation spreads to its dependents.
 
-        Pipelines may be long: no recursion.
+        The loop replaces a recursion, which would be too deep for long pipelines.
         """
-        to_check = [job_id]
-        while to_check:
-            name = to_check.pop()
-            self._check_waiting(name)
+        to_update = [job_id]
+        while to_update:
+            name = to_update.pop()
+            self._update_waiting(name)
             if name not in self.cancelled_by_dependency and any(
                 map(self._is_cancelled, self.prerequisites[name])
             ):
                 self.cancelled_by_dependency.add(name)
                 self.changed_jobs.add(name)
-                # It passes no priority on any more.
-                self._forget_inherited(name, self.prerequisites[name])
-                to_check += sorted(self.dependents.get(name, ()))
+                # A cancelled job no longer passes its priority to its prerequisites.
+                self._invalidate_inherited(name, self.prerequisites[name])
+                to_update += sorted(self.dependents.get(name, ()))
 
-    def _check_waiting(self, job_id: str) -> None:
+    def _update_waiting(self, job_id: str) -> None:
         is_waiting = bool(self.unfinished_prerequisites(job_id))
         if is_waiting == (job_id in self.waiting_jobs):
             return
@@ -170,9 +171,9 @@
         ]
 
     def has_unknown_outcome(self, job_id: str) -> bool:
-        """Is the outcome of a prerequisite, direct or through others, unknown?
+        """Return whether the outcome of a direct or indirect prerequisite is unknown.
 
-        Then the job may be cancelled, and users can be given no answer.
+        Then the job may be cancelled already, so its state cannot be reported to users yet.
         """
         seen, to_visit = {job_id}, [job_id]
         while to_visit:
@@ -186,23 +187,23 @@
 
     # --- inherited priority -----------------------------------------------
     def inherited_rank(self, job: Job) -> int:
-        """Return the job's rank, or the higher one of a job that depends on it."""
+        """Return the highest rank among the job and the jobs that depend on it."""
         return self.inherited_priority(job).rank
 
     def inherited_priority(self, job: Job) -> InheritedPriority:
-        """Return rank and deadline that the job has through its dependents."""
+        """Return the rank and the deadline that the job gets from its dependents."""
         if job.id not in self.dependents:
             return InheritedPriority(job.spec.rank, job.deadline_at())
-        known = self._inherited.get(job.id)
+        known = self._inherited_cache.get(job.id)
         if known is not None:
             return known
-        order = self._unranked_dependents(job.id)
+        order = self._dependents_without_priority(job.id)
         priorities = {}
         for name in order:
             member = job if name == job.id else self.open_jobs[name]
             priorities[name] = InheritedPriority(member.spec.rank, member.deadline_at())
-        # From the ends of the pipelines backwards, again until nothing changes: never more
-        # often than a pipeline is long, and the graph has no cycles.
+        # Repeat passes from the ends of the pipelines backwards until nothing changes. The graph
+        # has no cycles, so the number of passes is at most the length of the longest pipeline.
         is_changed = True
         while is_changed:
             is_changed = False
@@ -210,41 +211,41 @@
                 priority = self._inherit(name, priorities)
                 is_changed = is_changed or priority != priorities[name]
                 priorities[name] = priority
-        self._inherited.update(priorities)
+        self._inherited_cache.update(priorities)
         return priorities[job.id]
 
-    def _unranked_dependents(self, job_id: str) -> list[str]:
-        """The job and all that depend on it, as far as their priority is not known."""
+    def _dependents_without_priority(self, job_id: str) -> list[str]:
+        """Return the job and its direct and indirect dependents whose priority is not cached."""
         order, seen, to_visit = [], {job_id}, [job_id]
         while to_visit:
             name = to_visit.pop()
             order.append(name)
             for dependent in self.dependents.get(name, ()):
-                if dependent not in seen and dependent not in self._inherited:
+                if dependent not in seen and dependent not in self._inherited_cache:
                     seen.add(dependent)
                     to_visit.append(dependent)
         return order
 
     def _inherit(self, job_id: str, priorities: dict[str, InheritedPriority]) -> InheritedPriority:
-        """The job's priority, raised to that of its direct dependents."""
+        """Return the priority of the job, raised to the priorities of its direct dependents."""
         rank, deadline_at = priorities[job_id]
         for dependent in self.dependents.get(job_id, ()):
             if dependent in self.cancelled_by_dependency:
                 continue
-            inherited = priorities.get(dependent) or self._inherited[dependent]
+            inherited = priorities.get(dependent) or self._inherited_cache[dependent]
             estimate_s = self.open_jobs[dependent].spec.estimate_s
             rank = max(rank, inherited.rank)
             deadline_at = min(deadline_at, inherited.deadline_at - estimate_s)
         return InheritedPriority(rank, deadline_at)
 
-    def _forget_inherited(self, job_id: str, prerequisites: Iterable[str]) -> None:
-        """Forget what the job, and all that it depends on at any distance, inherited."""
-        self._inherited.pop(job_id, None)
+    def _invalidate_inherited(self, job_id: str, prerequisites: Iterable[str]) -> None:
+        """Drop the cached priorities of the job and its direct and indirect prerequisites."""
+        self._inherited_cache.pop(job_id, None)
         to_visit = list(prerequisites)
         seen = set(to_visit)
         while to_visit:
             name = to_visit.pop()
-            self._inherited.pop(name, None)
+            self._inherited_cache.pop(name, None)
             for prerequisite in self.prerequisites.get(name, ()):
                 if prerequisite not in seen:
                     seen.add(prerequisite)
--- a/appledock/core/records/intervals.py
+++ b/appledock/core/records/intervals.py
@@ -7,7 +7,7 @@
 
 
 class IntervalSet:
-    """Sorted, disjoint, closed intervals of integers; written `0-5,7,9-12`."""
+    """A set of integers, held as sorted, disjoint, closed intervals; text form `0-5,7,9-12`."""
 
     __slots__ = ("_highs", "_lows", "size")
 
@@ -20,7 +20,11 @@
 
     @classmethod
     def parse(cls, text: str) -> IntervalSet:
-        """Read the written form."""
+        """Parse the text form.
+
+        Raises:
+            ValueError: the text is malformed or its intervals are out of order.
+        """
         result = cls()
         for part in text.split(",") if text else ():
             low, _, high = part.partition("-")
@@ -73,7 +77,7 @@
         yield from zip(self._lows, self._highs, strict=True)
 
     def gaps(self, total: int) -> Iterator[tuple[int, int]]:
-        """Iterate over the closed intervals of 0..total-1 that are not in the set."""
+        """Iterate over the closed intervals of 0 to total - 1 that are not in the set."""
         start = 0
         for low, high in zip(self._lows, self._highs, strict=True):
             if low > start:
@@ -83,7 +87,7 @@
             yield start, total - 1
 
     def copy(self) -> IntervalSet:
-        """Make an independent copy."""
+        """Return an independent copy."""
         other = IntervalSet()
         other._lows, other._highs = self._lows[:], self._highs[:]
         other.size = self.size
--- a/appledock/core/records/job.py
+++ b/appledock/core/records/job.py
@@ -1,4 +1,4 @@
-"""Job records: what the key-value store keeps of one open job."""
+"""Records of open jobs in the key-value store, with their encoding and decoding."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Tasks that one step placed on one machine."""
+    """Tasks of a job that one step placed on one machine."""
 
     machine: str
     agent_epoch: int
-    """epoch of the machine's agent for which the step was made"""
+    """Epoch of the machine's agent at the time of the step."""
     attempt_number: int
-    """number of the step that placed the tasks"""
+    """Number of the step that placed the tasks."""
     term: int
-    """term of the view under which it was placed; launches carry it as fencing token"""
+    """Term of the view under which the step was made; launches carry it as the fencing token."""
     stopping: bool
-    """is it being stopped, for preemption, a move, a cordon or a drain?"""
+    """Whether the attempt is being stopped, for preemption, a move, a cordon or a drain."""
     tasks: set[int]
 
     def copy(self) -> Attempt:
-        """Make an independent copy."""
+        """Return an independent copy."""
         return Attempt(
             self.machine,
             self.agent_epoch,
@@ -46,9 +46,9 @@
 
 
 class HandoffTarget(NamedTuple):
-    """The process of a controller that a job was handed off to.
+    """The controller process that a job was handed off to.
 
-    It stops owning the job with its incarnation: a restarted controller is not meant.
+    The hand-off ends with this incarnation: a restarted controller does not own the job.
     """
 
     node: str
@@ -57,25 +57,25 @@
 
 @dataclass(slots=True)
 class Job:
-    """One open job as recorded, at the version of its key."""
+    """The record of one open job, with the version of its key."""
 
     spec: wire.JobSpec
     submitted_at: float
-    """time of day, s"""
+    """Time of day of the submission, in seconds."""
     version: int = 0
     last_step: int = 0
-    """number of the last step; it is also the attempt number of its tasks"""
+    """Number of the last step, which is also the attempt number of the tasks it placed."""
     completed_tasks: IntervalSet = field(default_factory=IntervalSet)
     attempts: list[Attempt] = field(default_factory=list)
     cancelled: bool = False
     cancelled_at: float = 0.0
-    """time of day of the cancellation, s; 0: not known"""
+    """Time of day of the cancellation, in seconds; 0 if unknown."""
     handoff_target: HandoffTarget | None = None
-    """owner of the job as long as it is a member; None: the owner is derived"""
+    """Owner of the job while that process is a member; None if the owner is derived."""
     consecutive_failures: int = 0
-    """tasks that failed since one last completed"""
+    """Number of tasks that failed since a task of the job last completed."""
     sealed_open_task_count: int = -1
-    """number of open tasks, counted once by `seal`; -1: not sealed"""
+    """Number of open tasks, counted once by `seal`; -1 if the record is not sealed."""
 
     @property
     def id(self) -> str:
@@ -83,25 +83,28 @@
         return self.spec.id
 
     def seal(self) -> None:
-        """Share the record as it stands: from now on it is copied, not changed."""
+        """Mark the record as immutable, since it is shared from now on.
+
+        Changes are made to a copy, so the number of open tasks is counted only once.
+        """
         self.sealed_open_task_count = sum(len(attempt.tasks) for attempt in self.attempts)
 
     @property
     def open_task_count(self) -> int:
-        """Tasks with an attempt that is not settled in this record."""
+        """Number of tasks with an attempt that this record does not show as ended."""
         if self.sealed_open_task_count >= 0:
             return self.sealed_open_task_count
         return sum(len(attempt.tasks) for attempt in self.attempts)
 
     @property
     def queued_task_count(self) -> int:
-        """Tasks that are neither completed nor open; none of a cancelled job."""
+        """Number of tasks that are neither completed nor open; 0 for a cancelled job."""
         if self.cancelled:
             return 0
         return self.spec.tasks - len(self.completed_tasks) - self.open_task_count
 
     def first_queued_tasks(self, limit: int) -> list[int]:
-        """Return the first tasks that are neither completed nor open."""
+        """Return the first `limit` tasks that are neither completed nor open."""
         open_tasks = {task for attempt in self.attempts for task in attempt.tasks}
         result: list[int] = []
         for low, high in self.completed_tasks.gaps(self.spec.tasks):
@@ -113,7 +116,7 @@
         return result
 
     def copy(self) -> Job:
-        """Make an independent copy, not sealed."""
+        """Return an independent copy that is not sealed."""
         return Job(
             self.spec,
             self.submitted_at,
@@ -128,16 +131,19 @@
         )
 
     def deadline_at(self) -> float:
-        """Time of day (s) by which the job should be complete; far away without a deadline."""
+        """Return the time of day by which the job should be complete, in seconds.
+
+        For a job without a deadline, the time is far in the future.
+        """
         if self.spec.deadline_s is None:
             return self.submitted_at + 1e9
         return self.submitted_at + self.spec.deadline_s
 
     def encode(self, format_: int = 1) -> dict[str, Any]:
-        """Encode the record in a format that every node of the cluster reads.
+        """Encode the record in a format that every node of the cluster can read.
 
-        Format 1 is that of the versions before dependencies; from 2 on, attempts stand in groups
-        (see `attempt_groups`, and `core/membership/format_upgrade` for the change of format).
+        Versions that do not know dependencies write format 1. From format 2 on, attempts are
+        stored in groups (see `attempt_groups`; `core/membership/format_upgrade` switches formats).
         """
         record: dict[str, Any] = {
             "spec": {
@@ -158,7 +164,7 @@
         return record
 
     def _encode_tasks(self) -> dict[str, Any]:
-        """Completed and open tasks as format 1 has them."""
+        """Encode completed and open tasks in format 1."""
         record: dict[str, Any] = {}
         if self.completed_tasks:
             record["done"] = str(self.completed_tasks)
@@ -177,7 +183,7 @@
         return record
 
     def _encode_tasks_in_groups(self) -> dict[str, Any]:
-        """Completed and open tasks as format 2 has them."""
+        """Encode completed and open tasks in format 2."""
         record: dict[str, Any] = {}
         record.update(pack_completed(self.completed_tasks))
         if self.attempts:
@@ -201,10 +207,10 @@
     """Decode a record of either format.
 
     Raises:
-        ValueError, KeyError or TypeError: it is malformed.
+        ValueError, KeyError or TypeError: the record is malformed.
     """
     handoff = record.get("to")
-    cancelled = record.get("cancelled", False)  # True: of a version that kept no time
+    cancelled = record.get("cancelled", False)  # True: written by a version without times
     return Job(
         wire.JobSpec(**record["spec"]),
         float(record["at"]),
@@ -235,6 +241,6 @@
 
 
 def split_task_name(name: str) -> tuple[str, int]:
-    """Split `job-1/3` into job id and task number; -1: the name belongs to no job."""
+    """Split a name such as `job-1/3` into job id and task number; -1 for any other name."""
     job, _, number = name.rpartition("/")
     return job, int(number) if number.isdigit() else -1
--- a/appledock/core/records/membership_view.py
+++ b/appledock/core/records/membership_view.py
@@ -1,7 +1,8 @@
-"""Who is a controller of the cluster: the membership view and the members' own records.
+"""Membership of the cluster's controllers: the membership view and the members' own records.
 
-A view is replaced by one compare-and-swap at a time, each with a higher term. Its owners are
-derived from it alone, so that all controllers that know a view agree on them.
+Each change of the view is one compare-and-swap that writes a view with a higher term. The owners of
+workers and jobs are derived from the view alone, so that all controllers that know the same view
+agree on them.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class ControllerInstance(NamedTuple):
-    """One process of a controller: a restarted node has another incarnation."""
+    """One process of a controller; a restarted controller has another incarnation."""
 
     node: str
     incarnation: str
@@ -20,22 +21,26 @@
 
 @dataclass(slots=True)
 class View:
-    """Members of the cluster; the term is the fencing token that workers compare."""
+    """Members of the cluster; workers compare the term as a fencing token."""
 
     term: int
     members: dict[str, str]
-    """node -> incarnation"""
+    """Node -> incarnation."""
     leader: str
     overrides: dict[str, ControllerInstance] = field(default_factory=dict)
-    """worker -> its owner, set where the worker cannot reach its derived owner"""
+    """Worker -> its owner, for workers that cannot reach their derived owner."""
     detached: dict[str, str] = field(default_factory=dict)
-    """node -> incarnation of members that workers cannot reach: they own nothing"""
+    """Node -> incarnation of members that own nothing, because workers cannot reach them."""
     version: int = 0
-    """of the key that stores the view"""
+    """Version of the key that stores the view."""
 
     @classmethod
     def decode(cls, value: Any, version: int) -> View:
-        """The view in a stored record; raises KeyError, TypeError, ValueError if malformed."""
+        """Decode a stored record.
+
+        Raises:
+            KeyError, TypeError or ValueError: the record is malformed.
+        """
         return cls(
             int(value["term"]),
             dict(value["members"]),
@@ -49,7 +54,7 @@
         )
 
     def encode(self) -> dict[str, Any]:
-        """The record as stored."""
+        """Encode the record for the store."""
         return {
             "term": self.term,
             "members": self.members,
@@ -59,11 +64,14 @@
         }
 
     def has_member(self, node: str, incarnation: str) -> bool:
-        """Is this process of the node a member?"""
+        """Return whether this process of the node is a member."""
         return self.members.get(node) == incarnation
 
     def attached_members(self) -> list[str]:
-        """The members that own workers and jobs: those not detached, or all if none is left."""
+        """Return the members that own workers and jobs.
+
+        These are the members that are not detached, or all members if every one is detached.
+        """
         return [
             node
             for node, incarnation in self.members.items()
@@ -71,14 +79,17 @@
         ] or list(self.members)
 
     def owner_of(self, name: str) -> str:
-        """Owner of a worker (or, without hand-off, of a job)."""
+        """Return the owner of a worker, or of a job that was not handed off."""
         override = self.overrides.get(name)
         if override and self.has_member(*override):
             return override.node
         return self.derived_owner(name)
 
     def derived_owner(self, name: str) -> str:
-        """Owner by rendezvous hashing: losing a member moves only what that member owned."""
+        """Return the owner by rendezvous hashing.
+
+        If a member is lost, only the workers and jobs that it owned get another owner.
+        """
         return max(
             self.attached_members(),
             key=lambda node: hashlib.blake2b(f"{node} {name}".encode(), digest_size=8).digest(),
@@ -87,16 +98,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A controller's own record; the store deletes it when the controller's lease expires."""
+    """A member's own record, which the store deletes when the member's lease expires."""
 
     incarnation: str
     lease: int
     version: int
-    """of the key that stores the record"""
+    """Version of the key that stores the record."""
     record_format: int = 1
-    """newest format of records that it reads and writes; members that say none: 1"""
+    """Newest format of records that the member reads and writes; 1 if its record has none."""
 
     @classmethod
     def decode(cls, value: Any, version: int) -> Member:
-        """The member in a stored record; raises KeyError, TypeError, ValueError if malformed."""
+        """Decode a stored record.
+
+        Raises:
+            KeyError, TypeError or ValueError: the record is malformed.
+        """
         return cls(value["incarnation"], value["lease"], version, int(value.get("format", 1)))
--- a/appledock/core/records/team_allocation.py
+++ b/appledock/core/records/team_allocation.py
@@ -1,4 +1,4 @@
-"""How a team's quota is divided among the controllers that own its jobs."""
+"""Division of a team's quota among the controllers that own the team's jobs."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ResourceShare(NamedTuple):
-    """What the jobs that one controller owns may hold together."""
+    """Limit on what all jobs of a team that one controller owns may hold together."""
 
     cpus: float
     gpus: float
@@ -15,20 +15,21 @@
 
 @dataclass(slots=True)
 class TeamAllocation:
-    """Division of one team's quota under one membership view."""
+    """Allocation of one team's quota to the controllers under one membership view."""
 
     version: int = 0
-    """of the key that stores the record"""
+    """Version of the key that stores the record."""
     term: int = 0
-    """of the view under which it was divided; 0: of none, so it is divided anew"""
+    """Term of the view for which the quota was divided; 0 if it must be divided again."""
     shares: dict[str, ResourceShare] = field(default_factory=dict)
-    """node -> what the jobs that it owns may hold"""
+    """Node -> its share of the quota."""
 
     @classmethod
     def decode(cls, value: Any, version: int) -> TeamAllocation:
-        """The allocation in a stored record; a record of another form has the term 0.
+        """Decode a stored record; a record in another form, without a term, gets term 0.
 
-        Raises TypeError, ValueError, IndexError or AttributeError if it is malformed.
+        Raises:
+            TypeError, ValueError, IndexError or AttributeError: the record is malformed.
         """
         return cls(
             version,
@@ -40,7 +41,7 @@
         )
 
     def encode(self) -> dict[str, Any]:
-        """The record as stored."""
+        """Encode the record for the store."""
         return {
             "term": self.term,
             "shares": {
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -70,13 +70,13 @@
 
 
 def test_tasks_that_do_not_wait_are_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    check = DependencyGraph._check
+    check = DependencyGraph._update_state
 
     def ready(self: DependencyGraph, job_id: str) -> None:
         check(self, job_id)
         self.waiting_jobs.clear()
 
-    monkeypatch.setattr(DependencyGraph, "_check", ready)
+    monkeypatch.setattr(DependencyGraph, "_update_state", ready)
     assert "too_early" in day(1).judge.kinds()
 
 
@@ -226,13 +226,13 @@
     with monkeypatch.context() as changed:
         changed.setattr(DependencyGraph, "_is_cancelled", lambda self, need: False)
         assert "orphaned" in cancelled_at_the_root(1, stages)[0].judge.kinds()
-    check = DependencyGraph._check
+    check = DependencyGraph._update_state
 
     def ready(self: DependencyGraph, job_id: str) -> None:
         check(self, job_id)
         self.waiting_jobs.clear()
 
-    monkeypatch.setattr(DependencyGraph, "_check", ready)
+    monkeypatch.setattr(DependencyGraph, "_update_state", ready)
     assert "too_early" in done_in_order(stages)[0].judge.kinds()
 
 
