--- a/appledock/core/store/__init__.py
+++ b/appledock/core/store/__init__.py
@@ -1,1 +1,1 @@
-"""The consensus-backed key-value store as this controller sees it: client, replica and reader."""
+"""Access to the consensus-backed key-value store: client, local replica and reader."""
--- a/appledock/core/store/client.py
+++ b/appledock/core/store/client.py
@@ -1,4 +1,4 @@
-"""Client of the key-value store: queues calls by priority and keeps to the rate limit."""
+"""Client of the key-value store, which queues calls by priority and respects the rate limits."""
 
 from __future__ import annotations
 
@@ -28,24 +28,24 @@
 
 
 class StoreClient:
-    """Sends calls as the rate limiter admits them and passes each outcome to its caller."""
+    """Sends the calls that the rate limiter admits, and passes outcomes to the callbacks."""
 
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
         state = runtime.settings.cluster.state
-        share = constants.STORE_RATE_BUDGET_SHARE / runtime.settings.cluster.size
+        rate_share = constants.STORE_RATE_BUDGET_SHARE / runtime.settings.cluster.size
         self.limiter = StoreRateLimiter(
-            TokenBucket(state.rps * share),
-            TokenBucket(state.write_rps * share),
-            state.write_rps * share,
+            TokenBucket(state.rps * rate_share),
+            TokenBucket(state.write_rps * rate_share),
+            state.write_rps * rate_share,
             state.write_rps * constants.WRITE_RATE_MAX_SHARE,
         )
         self.max_value_bytes = int(state.value_kb * 1024 * constants.VALUE_FILL_SHARE)
-        """largest value that is written"""
+        """Largest encoded value that is written, in bytes."""
         self.refusals: Counter[str] = Counter()
-        """why calls were refused -> how often, for the metrics"""
+        """Reason for which the store refused calls -> number of calls, for the metrics."""
         self.conflicts: Counter[str] = Counter()
-        """kind of key -> transactions that failed on it, for the metrics"""
+        """Kind of key -> number of failed conditions on such keys, for the metrics."""
 
     def submit(
         self,
@@ -54,9 +54,11 @@
         on_outcome: Callable[[StoreOutcome], None],
         expires_after_s: float = constants.QUEUE_TIMEOUT_S,
     ) -> QueuedCall | None:
-        """Queue a call; `on_outcome` is called in any case.
+        """Queue a call; `on_outcome` gets its outcome in every case.
 
-        None: the queue is full, and `on_outcome` has been told so.
+        Returns:
+            The queued call, or None if the queue is full. In the latter case `on_outcome` has been
+            called with `NotExecuted` already.
         """
         writes = len(request.writes) if isinstance(request, Transaction) else 0
         now = self.runtime.now
@@ -77,34 +79,38 @@
         return None
 
     def withdraw(self, call: QueuedCall) -> bool:
-        """Take a call back that still waits; its caller gets `NotExecuted`."""
+        """Remove a call from the queue and pass `NotExecuted` to its callback.
+
+        Returns:
+            Whether the call was still queued; otherwise nothing is done.
+        """
         if not self.limiter.withdraw(call):
             return False
         call.on_outcome(NotExecuted())
         return True
 
     def flush(self) -> None:
-        """Send the calls that the rate limit admits, and end those that waited too long."""
+        """Send the queued calls that the rate limits admit, and drop the expired ones."""
         due = self.limiter.take_due(self.runtime.now)
         for call in due.to_send:
             self._send(call)
         for call in due.expired:
             try:
                 call.on_outcome(NotExecuted())
-            except Exception:
-                log.exception("handling an expired call failed")  # the others still get theirs
+            except Exception:  # the callbacks of the other calls must still run
+                log.exception("handling an expired call failed")
 
     def _send(self, call: QueuedCall) -> None:
         def on_reply(reply: StoreReply) -> None:
-            self._count(call, reply.outcome)
-            if not self._retried(call, reply.outcome):
+            self._count_outcome(call, reply.outcome)
+            if not self._requeue_if_rate_limited(call, reply.outcome):
                 call.on_outcome(reply.outcome)
 
         self.runtime.call(
             lambda call_id: StoreCall(call_id, call.request, call.timeout_s), on_reply
         )
 
-    def _count(self, call: QueuedCall, outcome: StoreOutcome) -> None:
+    def _count_outcome(self, call: QueuedCall, outcome: StoreOutcome) -> None:
         match outcome:
             case Conflict():
                 self.conflicts.update(key_kind(key) for key in outcome.failed)
@@ -117,8 +123,12 @@
             case _:
                 pass
 
-    def _retried(self, call: QueuedCall, outcome: StoreOutcome) -> bool:
-        """Queue a write once more that met the rate limit: it was not executed."""
+    def _requeue_if_rate_limited(self, call: QueuedCall, outcome: StoreOutcome) -> bool:
+        """Queue a write again that the store refused because of the rate limit.
+
+        Returns:
+            Whether the call was queued again. It is not if it has expired.
+        """
         if outcome != NotExecuted(NotExecutedReason.RATE_LIMITED) or not call.writes:
             return False
         self.limiter.on_rate_limited()
@@ -128,9 +138,11 @@
         return True
 
     def _lower_value_limit(self, transaction: Transaction) -> None:
-        """Keep values below the largest one rejected, down to a floor, from now on.
+        """Lower the size limit of values below the largest value of a rejected transaction.
 
-        It met a limit that nobody announced. Sent again as it is, it would be rejected for ever.
+        The store's actual limit is smaller than the configured one. A value that is not made
+        smaller would be rejected on every retry. The limit never falls below
+        `VALUE_LIMIT_MIN_BYTES`.
         """
         largest = max(
             (
@@ -140,7 +152,7 @@
             ),
             default=0,
         )
-        bound = max(constants.VALUE_LIMIT_MIN_BYTES, int(largest * constants.VALUE_FILL_SHARE))
-        if bound < self.max_value_bytes:
-            log.warning("value limit lowered: rejected_bytes=%d limit_bytes=%d", largest, bound)
-            self.max_value_bytes = bound
+        limit = max(constants.VALUE_LIMIT_MIN_BYTES, int(largest * constants.VALUE_FILL_SHARE))
+        if limit < self.max_value_bytes:
+            log.warning("value limit lowered: rejected_bytes=%d limit_bytes=%d", largest, limit)
+            self.max_value_bytes = limit
--- a/appledock/core/store/keys.py
+++ b/appledock/core/store/keys.py
@@ -1,4 +1,4 @@
-"""Keys of the key-value store. All share one prefix, so that one watch delivers them in order."""
+"""Keys of the key-value store; all share one prefix, so that one watch shows changes in order."""
 
 from __future__ import annotations
 
@@ -16,5 +16,5 @@
 
 
 def key_kind(key: str) -> str:
-    """`jobs`, `teams`, `members`, `view`, `final` ...: what a key keeps."""
+    """Return the kind of record that a key stores, for example `jobs`, `view` or `final`."""
     return key.removeprefix(LIVE_PREFIX).removeprefix(constants.KEY_PREFIX).partition("/")[0]
--- a/appledock/core/store/rate_limiter.py
+++ b/appledock/core/store/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Rate limiter of the calls to the key-value store: token buckets and priorities."""
+"""Rate limiter for calls to the key-value store, with token buckets and priority queues."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 
 
 class Priority(IntEnum):
-    """Order in which waiting calls are served."""
+    """Priority of a queued call; lower values are served first."""
 
     LEASE = 0
-    """leases, joining, and the full listing after a start"""
+    """Leases, joining the cluster, and the full listing after a start."""
     VIEW = 1
-    """the membership view, the record format, and the watch"""
+    """Membership view, record format and watch."""
     USER = 2
-    """what a user's request waits for"""
+    """Calls that a user's request waits for."""
     URGENT = 3
-    """steps of services, and preemption"""
+    """Steps of services, preemption, and final states of jobs that other jobs depend on."""
     FINAL = 4
-    """ends of jobs"""
+    """Final states of other jobs."""
     STEP = 5
+    """Steps of arrays, and changes of machine ownership."""
     PROGRESS = 6
-    """completed tasks of jobs that go on"""
+    """Lists of completed tasks of jobs that have not ended, and the machine catalogue."""
 
 
 PRIORITY_DELAY_S = {
@@ -37,43 +38,43 @@
     Priority.STEP: constants.STEP_WRITE_DELAY_S,
     Priority.PROGRESS: constants.PROGRESS_WRITE_DELAY_S,
 }
-"""below users: priority -> time by which its calls are served later than urgent ones"""
+"""Priority below `USER` -> seconds by which its calls are delayed relative to urgent calls."""
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A token bucket that allows a burst of one second's worth."""
+    """A token bucket with a capacity of one second's worth of tokens, but at least one token."""
 
     rate: float
-    """tokens/s"""
+    """Tokens per second."""
     level: float = 0.0
-    """tokens; negative: taken in advance"""
+    """Number of tokens; negative if tokens were taken in advance."""
     refilled_at: float = 0.0
 
     def refill(self, now: float) -> None:
-        """Add the tokens of the time since the last refill."""
+        """Add the tokens for the time since the last refill."""
         self.level = min(max(self.rate, 1.0), self.level + (now - self.refilled_at) * self.rate)
         self.refilled_at = now
 
 
 @dataclass(slots=True)
 class QueuedCall:
-    """A call that waits for the rate limit."""
+    """A call that waits in the queue for the rate limits."""
 
     request: StoreRequest
     priority: Priority
     writes: int
-    """number of writes that it costs"""
+    """Number of write tokens that the call costs."""
     timeout_s: float
-    """how long its answer is waited for once it is sent"""
+    """Timeout of the call, in seconds after it is sent."""
     on_outcome: Callable[[StoreOutcome], None]
     expires_at: float
-    """not sent after this moment"""
+    """Time after which the call is no longer sent."""
     queued_at: float = 0.0
 
 
 class DueCalls(NamedTuple):
-    """The calls that one pass over the queues has taken out."""
+    """The calls that one pass over the queues removed from them."""
 
     to_send: list[QueuedCall]
     expired: list[QueuedCall]
@@ -81,39 +82,42 @@
 
 @dataclass(slots=True)
 class StoreRateLimiter:
-    """Queues of calls, one per priority, and the two token buckets that they draw from.
+    """Queues of calls, one for each priority, with token buckets for requests and for writes.
 
-    Each controller begins with its equal share of the writes. While writes wait
-    it tries for more, since the others may need less; a 429 takes it back
-    towards its share (additive increase, multiplicative decrease).
+    The write rate of a controller starts at an equal share of the store's write limit. While writes
+    wait, the rate rises, because the other controllers may need less than their shares. After an
+    answer with status 429 the rate falls towards the equal share (additive increase, multiplicative
+    decrease).
     """
 
     requests: TokenBucket
     writes: TokenBucket
     guaranteed_write_rate: float = 0.0
-    """writes/s that this controller may always make"""
+    """Writes per second below which the write rate never falls."""
     max_write_rate: float = 0.0
-    """writes/s never planned beyond"""
+    """Writes per second above which the write rate never rises."""
     recent_write_rate: float = 0.0
-    """writes/s sent lately"""
+    """Moving average of the writes per second that were sent."""
     has_new_calls: bool = False
-    """has a call been added since the queues were last gone through?"""
+    """Whether a call was added since the last pass over the queues."""
     dispatched_at: float = 0.0
-    """when that was"""
-    waited_s: float = 0.0
-    """time since then, or since no call waited"""
+    """Time of the last pass over the queues."""
+    waiting_s: float = 0.0
+    """Seconds since the last pass over the queues, or since the queues were last empty."""
     queues: list[deque[QueuedCall]] = field(default_factory=lambda: [deque() for _ in Priority])
 
     def count_queued(self) -> int:
-        """Number of calls that wait."""
+        """Return the number of queued calls."""
         return sum(len(queue) for queue in self.queues)
 
     def add(self, call: QueuedCall) -> bool:
-        """Queue a call; False if the queue is full.
+        """Queue a call.
 
-        Calls for leases, views and users are always taken.
+        The limit of the queue does not apply to calls for leases, views and users: otherwise
+        hundreds of queued steps would cause users' requests to be refused.
 
-        Guards against users turned away because hundreds of steps wait.
+        Returns:
+            Whether the call was queued; False if the queue is full.
         """
         if call.priority > Priority.USER:
             waiting = sum(len(queue) for queue in self.queues[Priority.URGENT :])
@@ -126,36 +130,45 @@
         return True
 
     def withdraw(self, call: QueuedCall) -> bool:
-        """Take a call back; False if it no longer waits."""
+        """Remove a call from its queue.
+
+        Returns:
+            Whether the call was still queued.
+        """
         queue = self.queues[call.priority]
-        for place, other in enumerate(queue):
+        for index, other in enumerate(queue):
             if other is call:
-                del queue[place]
+                del queue[index]
                 return True
         return False
 
     def requeue(self, call: QueuedCall) -> None:
-        """Put a call that was not executed back to the head of its queue."""
+        """Put a call that was not executed back at the head of its queue."""
         self.queues[call.priority].appendleft(call)
 
     def on_rate_limited(self) -> None:
-        """The store refused writes as too many: reduce the rate."""
+        """Reduce the write rate after the store refused a write because of its rate limit."""
         self.writes.rate = max(
             self.guaranteed_write_rate, self.writes.rate * constants.WRITE_RATE_DECREASE_FACTOR
         )
         self.writes.level = min(self.writes.level, 0.0)
 
     def on_peer_write_rate(self, peer_rate: float, planned_rate: float) -> None:
-        """The peers write at `peer_rate`: all together keep to `planned_rate` (writes/s)."""
+        """Limit the write rate so that all controllers together keep to `planned_rate`.
+
+        Args:
+            peer_rate: Writes per second that all peers together send.
+            planned_rate: Writes per second planned for all controllers together.
+        """
         self.max_write_rate = max(self.guaranteed_write_rate, planned_rate - peer_rate)
         self.writes.rate = min(self.writes.rate, self.max_write_rate)
 
     def count_queued_up_to(self, priority: Priority) -> int:
-        """Number of calls of this priority or a more urgent one that wait."""
+        """Return the number of queued calls of this priority and of all higher priorities."""
         return sum(len(queue) for queue in self.queues[: priority + 1])
 
     def has_spare_writes(self) -> bool:
-        """Does nothing wait for the limit, with most of a second's writes left?"""
+        """Return whether no call is queued and most of one second's write tokens are left."""
         return (
             not self.count_queued()
             and self.writes.level >= constants.SPARE_WRITES_SHARE * self.writes.rate
@@ -163,52 +176,56 @@
 
     # --- serving the queues -----------------------------------------------
     def take_due(self, now: float) -> DueCalls:
-        """Take out the calls that may be sent now, and those that waited too long.
+        """Remove and return the calls that may be sent now, and the calls that have expired.
 
-        A call that lacks writes holds back writes of lower priority, but not
-        reads: otherwise a large transaction would never get its turn.
+        A call that lacks write tokens blocks the writes behind it, because a large transaction
+        would otherwise never be sent. It does not block reads.
         """
-        self._advance_to(now)
+        self._advance_time(now)
         if not any(self.queues):
-            self.waited_s = 0.0
+            self.waiting_s = 0.0
             return DueCalls([], [])
-        if not self._is_turn_due(now):
+        if not self._is_dispatch_due(now):
             return DueCalls([], [])
-        waited_s, self.waited_s = self.waited_s, 0.0
+        waiting_s, self.waiting_s = self.waiting_s, 0.0
         self.has_new_calls, self.dispatched_at = False, now
         due = DueCalls([], [])
-        is_write_held_back = False
-        for call in self._take_in_order():
+        is_write_blocked = False
+        for call in self._drain_in_order():
             if call.expires_at <= now:
                 due.expired.append(call)
-            elif self._is_admitted(call, is_write_held_back):
+            elif self._is_admitted(call, is_write_blocked):
                 self._charge(call)
                 due.to_send.append(call)
             else:
-                is_write_held_back = is_write_held_back or bool(call.writes)
+                is_write_blocked = is_write_blocked or bool(call.writes)
                 self.queues[call.priority].append(call)
-        if is_write_held_back:
-            self._raise_write_rate(waited_s)
+        if is_write_blocked:
+            self._increase_write_rate(waiting_s)
         return due
 
-    def _advance_to(self, now: float) -> None:
-        """Let the time since the last refill count: tokens, rate sent lately, time waited."""
+    def _advance_time(self, now: float) -> None:
+        """Refill the buckets, decay the average write rate and update the waiting time."""
         elapsed_s = max(0.0, now - self.writes.refilled_at)
         self.recent_write_rate *= math.exp(-elapsed_s / constants.WRITE_RATE_TIME_CONSTANT_S)
-        self.waited_s += elapsed_s
+        self.waiting_s += elapsed_s
         self.requests.refill(now)
         self.writes.refill(now)
 
-    def _is_turn_due(self, now: float) -> bool:
-        """Time fills the buckets, but not within a few milliseconds."""
+    def _is_dispatch_due(self, now: float) -> bool:
+        """Return whether the queues should be processed now.
+
+        Without new calls they are processed at most every `CALL_DISPATCH_INTERVAL_S`, because the
+        buckets gain hardly any tokens in a shorter time.
+        """
         return self.has_new_calls or now >= self.dispatched_at + constants.CALL_DISPATCH_INTERVAL_S
 
-    def _take_in_order(self) -> list[QueuedCall]:
-        """Take out all calls that wait, in the order in which they are served.
+    def _drain_in_order(self) -> list[QueuedCall]:
+        """Remove and return all queued calls, in the order in which they are served.
 
-        Below users, priorities are a head start in time. Served strictly by priority, a
-        burst of services kept results from being recorded, and tasks that had long ended
-        were preempted once more.
+        Calls below `Priority.USER` are sorted by queueing time plus the delay of their priority.
+        With strict priorities, a burst of services kept results from being recorded, and tasks that
+        had ended long before were preempted again.
         """
         first = [call for queue in self.queues[: Priority.URGENT] for call in queue]
         rest = sorted(
@@ -219,34 +236,35 @@
             queue.clear()
         return first + rest
 
-    def _is_admitted(self, call: QueuedCall, is_write_held_back: bool) -> bool:
-        """Do the buckets let the call go? Calls for leases and views always go."""
+    def _is_admitted(self, call: QueuedCall, is_write_blocked: bool) -> bool:
+        """Return whether the buckets admit the call; leases and views are always admitted."""
         if call.priority <= Priority.VIEW:
             return True
         if self.requests.level < 1:
             return False
         if not call.writes:
             return True
-        return not is_write_held_back and self.writes.level >= self._required_writes(call)
+        return not is_write_blocked and self.writes.level >= self._required_write_level(call)
 
-    def _required_writes(self, call: QueuedCall) -> float:
-        """Level of the bucket of writes that the call needs.
+    def _required_write_level(self, call: QueuedCall) -> float:
+        """Return the level of the write bucket that the call needs.
 
-        Users wait for nobody: what they take is made up for by the rest, down to one
-        second's worth.
+        Users' writes are not delayed: they may take the tokens of up to one second in advance, and
+        the other writes then wait until the bucket is refilled. For any other call, the tokens of
+        one second are enough, because the bucket holds no more.
         """
         if call.priority == Priority.USER:
             return -self.writes.rate
         return min(call.writes, self.writes.rate)
 
     def _charge(self, call: QueuedCall) -> None:
-        """Take the call's tokens out of the buckets."""
+        """Remove the tokens of the call from the buckets."""
         self.requests.level -= 1
         self.writes.level -= call.writes
         self.recent_write_rate += call.writes / constants.WRITE_RATE_TIME_CONSTANT_S
 
-    def _raise_write_rate(self, waited_s: float) -> None:
-        """Additive increase, as far as the peers leave room."""
+    def _increase_write_rate(self, waiting_s: float) -> None:
+        """Increase the write rate additively, up to the limit that the peers' writes leave."""
         if self.writes.rate < self.max_write_rate:
-            raised_rate = self.writes.rate + waited_s * constants.WRITE_RATE_INCREASE_PER_S
-            self.writes.rate = min(self.max_write_rate, raised_rate)
+            increased_rate = self.writes.rate + waiting_s * constants.WRITE_RATE_INCREASE_PER_S
+            self.writes.rate = min(self.max_write_rate, increased_rate)
--- a/appledock/core/store/reader.py
+++ b/appledock/core/store/reader.py
@@ -1,4 +1,4 @@
-"""Reads the key-value store into the replica: one listing, then a watch, and single keys."""
+"""Reads the key-value store into the replica with a full listing, a watch and single reads."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class StateReader:
-    """Keeps the replica up to date; reads again what it is asked for."""
+    """Keeps the replica up to date, and reads single keys on request."""
 
     def __init__(
         self,
@@ -36,26 +36,26 @@
         replica: Replica,
         on_loaded: Callable[[], None],
     ) -> None:
-        """`on_loaded` is called each time when a full listing is in the replica."""
+        """Create a reader; `on_loaded` is called after each full listing."""
         self._runtime = runtime
         self._client = client
         self._replica = replica
         self._on_loaded = on_loaded
         self.loaded = False
-        """has everything been listed, and does the watch continue from there?"""
+        """Whether the full listing is complete; the watch then continues from its revision."""
         self.watching = False
-        """is a call of the watch under way?"""
+        """Whether a call of the watch is in progress."""
         self._is_loading = False
-        self._load_at = 0.0
-        self._watch_at = 0.0
+        self._next_load_at = 0.0
+        self._next_watch_at = 0.0
 
     def tick(self) -> None:
-        """Start the listing, or the watch behind it, when they are due."""
+        """Start the full listing or the next call of the watch when it is due."""
         now = self._runtime.now
-        if not self.loaded and not self._is_loading and now >= self._load_at:
+        if not self.loaded and not self._is_loading and now >= self._next_load_at:
             self._is_loading = True
             self._load_page(None, [], None)
-        if self.loaded and not self.watching and now >= self._watch_at:
+        if self.loaded and not self.watching and now >= self._next_watch_at:
             self._watch()
 
     # --- single keys ------------------------------------------------------
@@ -65,11 +65,11 @@
         on_read: Callable[[], None] | None = None,
         on_failure: Callable[[], None] | None = None,
     ) -> None:
-        """Read keys into the replica, one after the other; `on_read` is called at the end.
+        """Read keys into the replica one after the other, then call `on_read`.
 
-        `on_failure` is called instead if a key cannot be read; those behind it are not read.
-        The order matters: a job's open record is read before its final one. Read at the same
-        time, a job that ends in between shows in neither.
+        If a key cannot be read, the remaining keys are not read, and `on_failure` is called
+        instead. The order matters: callers read a job's open record before its final record. With
+        concurrent reads, a job that ends between them could appear in neither.
         """
         if not keys:
             if on_read is not None:
@@ -91,19 +91,20 @@
 
         self._client.submit(GetKey(key), Priority.USER, on_outcome)
 
-    # --- everything -------------------------------------------------------
+    # --- full listing and watch -------------------------------------------
     def _load_page(
         self, after: str | None, rows: list[wire.Row], first_revision: int | None
     ) -> None:
-        """List the keys behind `after`; `first_revision` is the revision of the first page.
+        """Request the page of keys that follow the key `after`.
 
-        The watch continues from there, so that changes made between two pages are not lost.
+        `first_revision` is the revision of the first page. The watch continues from that revision,
+        so that changes between two pages are not lost.
         """
 
         def on_outcome(page: StoreOutcome) -> None:
             if not isinstance(page, Rows):
                 self._is_loading = False
-                self._load_at = (
+                self._next_load_at = (
                     self._runtime.now
                     + constants.RETRY_DELAY_MIN_S
                     + self._runtime.rng.random() * 0.3
@@ -123,18 +124,18 @@
     def _finish_loading(self, rows: list[wire.Row], revision: int) -> None:
         self._replica.load(rows, revision)
         self._is_loading, self.loaded = False, True
-        self._watch_at = self._runtime.now
+        self._next_watch_at = self._runtime.now
         log.info("replica loaded: records=%d revision=%d", len(rows), revision)
         self._on_loaded()
 
     def _watch(self) -> None:
-        """Wait for changes after the revision that the replica has reached."""
+        """Request the changes after the revision that the replica has reached."""
         replica = self._replica
         self.watching = True
 
         def on_outcome(outcome: StoreOutcome) -> None:
             self.watching = False
-            self._watch_at = self._runtime.now + constants.WATCH_DELAY_S
+            self._next_watch_at = self._runtime.now + constants.WATCH_DELAY_S
             match outcome:
                 case Watched():
                     for event in outcome.events:
@@ -149,7 +150,7 @@
                     )
                     self.loaded = False
                 case _:
-                    self._watch_at = (
+                    self._next_watch_at = (
                         self._runtime.now
                         + constants.RETRY_DELAY_MIN_S
                         + self._runtime.rng.random() * 0.2
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -1,9 +1,8 @@
-"""Replica of the key-value store's records, kept up to date by one watch in order.
+"""Replica of the records in the key-value store, kept up to date by one ordered watch.
 
-All keys share one prefix, so that a change of the view and the steps committed
-before it are always seen in that order: whoever knows a view and has followed
-the changes up to it also knows every step that an earlier owner may have
-launched.
+All keys share one prefix, so that one watch shows a change of the view after all steps that were
+committed before it. A controller that has followed the changes up to a view therefore knows every
+step that an earlier owner may have launched.
 """
 
 from __future__ import annotations
@@ -36,96 +35,99 @@
 log = logging.getLogger(__name__)
 
 
-class RecordKind(NamedTuple):
-    """What the replica does with the keys of one kind; a name is the key without its prefix."""
+class RecordHandler(NamedTuple):
+    """Operations on the records of one kind, by name; the name is the key without its prefix."""
 
     version: Callable[[str], int]
-    """version of the record that is held; 0 if there is none"""
+    """Returns the version of the record in the replica, or 0 if there is none."""
     store: Callable[[str, Any, int], None]
-    """takes over a record (name, value, version)"""
+    """Stores a record, given its name, value and version."""
     remove: Callable[[str], None] = lambda _name: None
-    """forgets a record that was deleted"""
+    """Removes a record that was deleted."""
     names: Callable[[], Iterable[str]] = tuple
-    """the records that are forgotten if a full listing lacks them"""
+    """Returns the names of the records that are removed if a full listing does not contain them."""
 
 
 class Replica:
-    """Records by key: the newest version wins, whichever way and order they come in.
+    """The records of the key-value store, each in the newest version that was received.
 
-    A deletion is remembered until the watch has passed it, so that an older read that is
-    answered later does not bring the record back.
+    Records may come from the watch, from a read or from a commit, in any order. The revision of a
+    deletion is kept until the watch has passed it, so that the late answer to an older read does
+    not restore the record.
     """
 
     def __init__(self) -> None:
         self.revision = 0
-        """the watch has delivered every change up to here"""
+        """Revision up to which the watch has delivered all changes."""
         self.jobs: dict[str, Job] = {}
-        """the open jobs"""
+        """Id -> open job."""
         self.final_states: OrderedDict[str, str] = OrderedDict()
-        """job that is over -> how it ended; the latest ones only"""
+        """Job that has ended -> its final state; only the `FINAL_STATE_CACHE_MAX` latest ones."""
         self.allocations: dict[str, TeamAllocation] = {}
-        """team -> how its quota is divided"""
+        """Team -> allocation of its quota."""
         self.members: dict[str, Member] = {}
-        """node -> its own record"""
+        """Node -> its member record."""
         self.view: View | None = None
         self.catalogue: Versioned[list[Any]] = Versioned([])
-        """the machine types that any controller has seen last, as stored"""
+        """Machine types as the controllers stored them last."""
         self.stored_settings: Versioned[dict[str, Any]] = Versioned({})
-        """the operators' settings that differ from their defaults"""
+        """Operators' settings that differ from their defaults."""
         self.record_format = Versioned(1)
-        """format of stored records that all members write"""
+        """Format in which all members write records."""
         self.attempts_by_machine: dict[str, dict[str, list[Attempt]]] = {}
-        """machine -> job -> its unsettled attempts there"""
+        """Machine -> job -> open attempts of the job on the machine."""
         self.jobs_by_team: dict[str, set[str]] = {}
-        """team -> its open jobs"""
+        """Team -> ids of its open jobs."""
         self.cancelled_jobs: set[str] = set()
-        """open jobs that are cancelled by their own record"""
+        """Open jobs that were cancelled themselves, according to their records."""
         self.capacity = CapacityRecords()
         self.dependencies = DependencyGraph()
         self.queued_jobs: set[str] = set()
-        """open jobs with tasks that wait for a step, and for no other job"""
+        """Open jobs with queued tasks and without unfinished prerequisites."""
         self.changes = ReplicaChanges()
-        self._deleted_at: dict[str, int] = {}
-        """deleted key -> revision of its deletion, as long as the watch has not passed it"""
-        self._owners: dict[str, str] = {}
-        """name -> its owner under the present view"""
-        self._kinds = self._build_kinds()
-
-    def _build_kinds(self) -> dict[str, RecordKind]:
-        """Prefix, or whole key of a kind with one record -> what is done with its records."""
+        self._deletion_revisions: dict[str, int] = {}
+        """Deleted key -> revision of the deletion, until the watch has passed that revision."""
+        self._owner_cache: dict[str, str] = {}
+        """Name of a worker or job -> its owner under the current view."""
+        self._handlers = self._build_handlers()
+
+    def _build_handlers(self) -> dict[str, RecordHandler]:
+        """Return the handlers by prefix, or by key for a kind that has a single record."""
         return {
-            JOBS_PREFIX: RecordKind(
+            JOBS_PREFIX: RecordHandler(
                 lambda name: self.jobs[name].version if name in self.jobs else 0,
                 lambda _name, value, version: self._store_job(decode_job(value, version)),
                 self._remove_job,
                 lambda: self.jobs,
             ),
-            FINAL_PREFIX: RecordKind(
+            FINAL_PREFIX: RecordHandler(
                 lambda _name: 0, lambda name, value, _: self.add_final(name, value["state"])
             ),
-            MEMBERS_PREFIX: RecordKind(
+            MEMBERS_PREFIX: RecordHandler(
                 lambda name: self.members[name].version if name in self.members else 0,
                 self._store_member,
                 self._remove_member,
                 lambda: self.members,
             ),
-            TEAMS_PREFIX: RecordKind(
+            TEAMS_PREFIX: RecordHandler(
                 lambda name: self.allocations[name].version if name in self.allocations else 0,
                 self._store_allocation,
                 self._remove_allocation,
                 lambda: self.allocations,
             ),
-            VIEW_KEY: RecordKind(
+            VIEW_KEY: RecordHandler(
                 lambda _name: self.view.version if self.view else 0, self._store_view
             ),
-            CATALOGUE_KEY: RecordKind(lambda _name: self.catalogue.version, self._store_catalogue),
-            SETTINGS_KEY: RecordKind(
+            CATALOGUE_KEY: RecordHandler(
+                lambda _name: self.catalogue.version, self._store_catalogue
+            ),
+            SETTINGS_KEY: RecordHandler(
                 lambda _name: self.stored_settings.version,
                 lambda _name, value, version: self._set_settings(Versioned(dict(value), version)),
                 lambda _name: self._set_settings(Versioned({})),
             ),
-            FORMAT_KEY: RecordKind(lambda _name: self.record_format.version, self._store_format),
-            CAPACITY_PREFIX: RecordKind(
+            FORMAT_KEY: RecordHandler(lambda _name: self.record_format.version, self._store_format),
+            CAPACITY_PREFIX: RecordHandler(
                 lambda name: self.capacity.version(CAPACITY_PREFIX + name),
                 lambda name, value, version: self.capacity.put(
                     CAPACITY_PREFIX + name, value, version
@@ -134,115 +136,120 @@
             ),
         }
 
-    # --- questions --------------------------------------------------------
+    # --- queries ----------------------------------------------------------
     def has_reached_view(self) -> bool:
-        """Does the replica include all that was committed before the present view?
+        """Return whether the replica includes all changes committed before the current view.
 
-        Guards against a new owner that takes a running task for an orphaned one because
-        the step that launched it has not reached this controller yet.
+        Otherwise a new owner could treat a running task as orphaned, because this controller has
+        not yet received the step that launched the task.
         """
         return self.view is not None and self.revision >= self.view.version
 
     def owner_of(self, name: str) -> str:
-        """Owner of a worker (or, without hand-off, of a job); there must be a view."""
+        """Return the owner of a worker, or of a job that was not handed off; requires a view."""
         assert self.view is not None
-        owner = self._owners.get(name)
+        owner = self._owner_cache.get(name)
         if owner is None:
-            owner = self._owners[name] = self.view.owner_of(name)
+            owner = self._owner_cache[name] = self.view.owner_of(name)
         return owner
 
     def job_owner(self, job: Job) -> str:
-        """Owner of a job: the member that it was handed to, else the derived one."""
+        """Return the owner of a job: the member it was handed off to, or else the derived owner."""
         assert self.view is not None
         if job.handoff_target and self.view.has_member(*job.handoff_target):
             return job.handoff_target.node
         return self.owner_of(job.id)
 
     def owns_job(self, node: str, job: Job) -> bool:
-        """Does the controller own the job, by the newest view known?"""
+        """Return whether the controller owns the job under the newest known view."""
         return self.view is not None and self.job_owner(job) == node
 
     def is_cancelled(self, job_id: str) -> bool:
-        """Is the open job cancelled, by its user or with one that it depends on?"""
+        """Return whether the open job is cancelled, by its user or because of a prerequisite."""
         return job_id in self.cancelled_jobs or job_id in self.dependencies.cancelled_by_dependency
 
     def allocation_of(self, team: str) -> TeamAllocation:
-        """How the team's quota is divided; an empty allocation if nothing is stored."""
+        """Return the allocation of the team's quota, which is empty if none is stored."""
         return self.allocations.setdefault(team, TeamAllocation())
 
-    # --- records as read, watched or committed ----------------------------
+    # --- updates by reads, watch and commits ------------------------------
     def put(self, key: str, value: Any, version: int) -> None:
-        """Take over a record; one that is not newer is ignored, a malformed one is logged."""
-        kind, name = self._kind_of(key)
-        if kind is None or version <= self._newest_version(key, kind, name):
+        """Store a record unless it is not newer; a malformed record is logged and ignored."""
+        handler, name = self._handler_of(key)
+        if handler is None or version <= self._newest_version(key, handler, name):
             return
         try:
-            kind.store(name, value, version)
+            handler.store(name, value, version)
         except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
             log.error("malformed record: key=%s error=%s", key, error)
 
     def drop(self, key: str, version: int) -> None:
-        """The key was deleted, or did not exist, at revision `version`."""
-        kind, name = self._kind_of(key)
-        if version <= self._newest_version(key, kind, name):
+        """Remove the record of a key that was deleted or did not exist at revision `version`."""
+        handler, name = self._handler_of(key)
+        if version <= self._newest_version(key, handler, name):
             return
-        self._deleted_at[key] = version
-        if kind is not None:
-            kind.remove(name)
+        self._deletion_revisions[key] = version
+        if handler is not None:
+            handler.remove(name)
 
     def set_job(self, job: Job) -> None:
-        """Take over a job record that this controller has just committed."""
+        """Store a job record that this controller has just committed."""
         key = JOBS_PREFIX + job.id
-        if job.version > self._newest_version(key, self._kinds[JOBS_PREFIX], job.id):
+        if job.version > self._newest_version(key, self._handlers[JOBS_PREFIX], job.id):
             self._store_job(job)
 
     def add_final(self, job_id: str, state: str) -> None:
-        """The job is over and ended so."""
+        """Store the final state of a job that has ended."""
         self.final_states[job_id] = state
         if len(self.final_states) > constants.FINAL_STATE_CACHE_MAX:
             self.final_states.popitem(last=False)
         self.dependencies.on_job_ended(job_id, state)
-        self._follow_dependencies()
+        self._apply_dependency_changes()
 
     def load(self, rows: list[Row], revision: int) -> None:
-        """Replace everything by a full listing that began at `revision`.
+        """Replace all records by a full listing that began at `revision`.
 
-        Records that vanished while the watch was lost are forgotten here: a listing
-        does not name them.
+        Records that were deleted while no watch was active are missing from the listing and are
+        removed here.
         """
         listed = {row.key for row in rows}
-        for prefix, kind in self._kinds.items():
-            for name in [name for name in kind.names() if prefix + name not in listed]:
-                if kind.version(name) <= revision:
-                    kind.remove(name)
+        for prefix, handler in self._handlers.items():
+            for name in [name for name in handler.names() if prefix + name not in listed]:
+                if handler.version(name) <= revision:
+                    handler.remove(name)
         for row in rows:
             self.put(row.key, row.value, row.version)
         self.revision = max(self.revision, revision)
 
     def advance(self, revision: int) -> None:
-        """The watch has passed `revision`: deletions up to it can be forgotten."""
+        """Record that the watch has passed `revision`, and discard older deletion revisions."""
         if revision > self.revision:
             self.revision = revision
-            if len(self._deleted_at) > 200:
-                self._deleted_at = {
-                    key: version for key, version in self._deleted_at.items() if version > revision
+            if len(self._deletion_revisions) > 200:
+                self._deletion_revisions = {
+                    key: version
+                    for key, version in self._deletion_revisions.items()
+                    if version > revision
                 }
 
-    def _kind_of(self, key: str) -> tuple[RecordKind | None, str]:
-        """The kind of a key and the name in it; None for a key of a later version."""
-        kind = self._kinds.get(key)
-        if kind is not None:
-            return kind, ""
-        for prefix in PREFIXES:
+    def _handler_of(self, key: str) -> tuple[RecordHandler | None, str]:
+        """Return the handler of a key and the record's name; None for a key of a later version."""
+        handler = self._handlers.get(key)
+        if handler is not None:
+            return handler, ""
+        for prefix in COLLECTION_PREFIXES:
             if key.startswith(prefix):
-                return self._kinds[prefix], key[len(prefix) :]
+                return self._handlers[prefix], key[len(prefix) :]
         return None, key
 
-    def _newest_version(self, key: str, kind: RecordKind | None, name: str) -> int:
-        """The newest version known of the key, a deletion included."""
-        return max(self._deleted_at.get(key, 0), kind.version(name) if kind is not None else 0)
+    def _newest_version(self, key: str, handler: RecordHandler | None, name: str) -> int:
+        """Return the newest known version of the key, including the revision of a deletion."""
+        return max(
+            self._deletion_revisions.get(key, 0),
+            handler.version(name) if handler is not None else 0,
+        )
 
-    # --- small records ----------------------------------------------------
+    # --- records other than jobs ------------------------------------------
     def _store_member(self, name: str, value: Any, version: int) -> None:
         self.members[name] = Member.decode(value, version)
 
@@ -257,7 +264,7 @@
 
     def _store_view(self, _name: str, value: Any, version: int) -> None:
         self.view = View.decode(value, version)
-        self._owners.clear()
+        self._owner_cache.clear()
         self.changes.view = True
 
     def _store_catalogue(self, _name: str, value: Any, version: int) -> None:
@@ -268,7 +275,7 @@
         self.changes.settings = True
 
     def _store_format(self, _name: str, value: Any, version: int) -> None:
-        # Never back: records of the newer format may be there.
+        # The format is never lowered, because records in the newer format may exist.
         newest = max(self.record_format.value, int(value["format"]))
         self.record_format = Versioned(newest, version)
 
@@ -285,7 +292,7 @@
             self.cancelled_jobs.add(job.id)
         self.changes.jobs.add(job.id)
         self.changes.teams.add(job.spec.team)
-        self._follow_dependencies()
+        self._apply_dependency_changes()
 
     def _remove_job(self, job_id: str) -> None:
         job = self.jobs.pop(job_id, None)
@@ -295,12 +302,12 @@
         self.queued_jobs.discard(job_id)
         self.cancelled_jobs.discard(job_id)
         self.dependencies.on_record_deleted(job_id)
-        _discard(self.jobs_by_team, job.spec.team, job_id)
+        _discard_from_set(self.jobs_by_team, job.spec.team, job_id)
         self.changes.teams.add(job.spec.team)
         self.changes.jobs.add(job_id)
 
-    def _follow_dependencies(self) -> None:
-        """Update jobs that became ready, or are cancelled with one that they depend on."""
+    def _apply_dependency_changes(self) -> None:
+        """Update the jobs whose readiness changed or that a prerequisite has cancelled."""
         changed, self.dependencies.changed_jobs = self.dependencies.changed_jobs, set()
         for job_id in changed:
             job = self.jobs.get(job_id)
@@ -316,10 +323,10 @@
             self.queued_jobs.discard(job.id)
 
     def _index_attempts(self, job_id: str, old: Job | None, new: Job | None) -> None:
-        """Adjust the index of machines, and note those whose attempts differ.
+        """Update `attempts_by_machine`, and record the machines whose attempts have changed.
 
-        Only those: a step of a large array must not cost a recount of the free capacity of
-        all its machines.
+        Other machines of the job are not recorded: otherwise each step of a large array would
+        recompute the free capacity of all its machines.
         """
         before = _attempts_by_machine(old)
         after = _attempts_by_machine(new)
@@ -337,20 +344,20 @@
                     del self.attempts_by_machine[machine]
 
 
-PREFIXES = (JOBS_PREFIX, FINAL_PREFIX, TEAMS_PREFIX, MEMBERS_PREFIX, CAPACITY_PREFIX)
-"""of the kinds with more than one record"""
+COLLECTION_PREFIXES = (JOBS_PREFIX, FINAL_PREFIX, TEAMS_PREFIX, MEMBERS_PREFIX, CAPACITY_PREFIX)
+"""Prefixes of the kinds with more than one record."""
 
 
 def _attempts_by_machine(job: Job | None) -> dict[str, list[Attempt]]:
-    """The job's attempts by machine; none for no job."""
+    """Return the attempts of the job by machine; empty if there is no job."""
     result: dict[str, list[Attempt]] = {}
     for attempt in job.attempts if job is not None else ():
         result.setdefault(attempt.machine, []).append(attempt)
     return result
 
 
-def _discard(names: dict[str, set[str]], key: str, name: str) -> None:
-    """Remove a name from the set under the key, and the set once it is empty."""
+def _discard_from_set(names: dict[str, set[str]], key: str, name: str) -> None:
+    """Remove a name from the set under the key, and the set if it becomes empty."""
     group = names.get(key)
     if group is not None:
         group.discard(name)
--- a/appledock/core/store/replica_changes.py
+++ b/appledock/core/store/replica_changes.py
@@ -1,4 +1,4 @@
-"""What has changed in the replica and has not been acted upon yet."""
+"""Changes of the replica that have not been processed yet."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 @dataclass(slots=True)
 class ReplicaChanges:
-    """Filled by the replica; the engine clears each part when the other parts know it.
+    """Changes recorded by the replica, which the engine clears after processing them.
 
-    The parts are cleared one by one: if acting upon one fails, the others are kept for the next
-    batch.
+    The engine clears the fields one by one. If the processing of one field fails, the other fields
+    are kept for the next batch.
     """
 
     view: bool = False
-    """the membership view has changed"""
+    """Whether the membership view has changed."""
     settings: bool = False
-    """the operators' settings have changed"""
+    """Whether the operators' settings have changed."""
     jobs: set[str] = field(default_factory=set)
-    """jobs whose record, readiness or cancellation has changed, or that are over"""
+    """Jobs whose record, readiness or cancellation has changed, and jobs that have ended."""
     machines: set[str] = field(default_factory=set)
-    """machines whose recorded attempts have changed"""
+    """Machines whose recorded attempts have changed."""
     teams: set[str] = field(default_factory=set)
-    """teams whose jobs have changed"""
+    """Teams whose jobs have changed."""
