--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -469,7 +469,7 @@
                 responder,
             ),
             machine_actions=MachineActions(
-                self.workers, self.membership, responder, self.fleet.operate
+                self.workers, self.membership, responder, self.fleet.apply_operator_action
             ),
             capacity=PartitionSharesApi(
                 runtime=self.runtime,
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -242,7 +242,7 @@
             self._act_on_settings_change()
         if changes.jobs:
             self._act_on_job_changes()
-        self._fleet.read_catalogue()
+        self._fleet.load_stored_catalogue()
         self._quota_allocation.clear_admissions()
         self._capacity_index.check_eligibility()
         self._reconciler.tick()
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -224,7 +224,7 @@
         self.deletions.on_failed(machines)
 
     # --- from the rest of the core ----------------------------------------
-    def read_catalogue(self) -> None:
+    def load_stored_catalogue(self) -> None:
         """Take over the stored machine types, if they have changed."""
         self.catalogue.load_stored()
 
@@ -248,7 +248,7 @@
         """The zone of a listed machine."""
         return self.inventory.zone_of(machine)
 
-    def operate(self, machine: str, action: str) -> None:
+    def apply_operator_action(self, machine: str, action: str) -> None:
         """Cordon, release or drain a machine, as an operator asked (an `OperatorAction`)."""
         self.cordons.apply_operator_action(machine, OperatorAction(action))
 
--- a/appledock/core/fleet/scale_in.py
+++ b/appledock/core/fleet/scale_in.py
@@ -67,7 +67,7 @@
         self._summary.log_if_due(target.cpus, reserve, len(self._deletions.pending))
         self._delete_failed_boots(leader_since)
         queue = [item.job.spec for item in demand if item.is_ready]
-        self._upcoming_reserve.renew(demand)
+        self._upcoming_reserve.reset(demand)
         for machine, worker in self._workers.table.items():
             if not self._is_reviewed(worker):
                 continue
@@ -123,7 +123,7 @@
             and now - worker.reachability.last_heartbeat_at < constants.IDLE_HEARTBEAT_AGE_MAX_S
             and self._is_certainly_empty(name)
             and not self._could_run_queued(name, queue)
-            and not self._upcoming_reserve.keep(name)
+            and not self._upcoming_reserve.try_reserve(name)
         )
 
     def _could_run_queued(self, machine_name: str, queue: list[wire.JobSpec]) -> bool:
--- a/appledock/core/fleet/upcoming_reserve.py
+++ b/appledock/core/fleet/upcoming_reserve.py
@@ -34,7 +34,7 @@
         self._inventory = inventory
         self._unserved: list[UpcomingTasks] = []
 
-    def renew(self, demand: list[JobDemand]) -> None:
+    def reset(self, demand: list[JobDemand]) -> None:
         """Take over the present demand, for one pass over the machines.
 
         Idle machines whose minimum charge is not used up stay anyway, so they are kept first.
@@ -44,9 +44,9 @@
         ]
         for name, worker in self._workers.table.items():
             if worker.placement.idle_since and not self._inventory.is_past_minimum_charge(name):
-                self.keep(name)
+                self.try_reserve(name)
 
-    def keep(self, machine_name: str) -> bool:
+    def try_reserve(self, machine_name: str) -> bool:
         """Keep the idle machine for an upcoming job; False: none needs it."""
         machine = self._capacity_index.machines.get(machine_name)
         if machine is None:
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -65,7 +65,7 @@
 
 def test_what_operators_cordon_stays() -> None:
     e = follower()
-    e.fleet.operate("vm-1", "cordon")
+    e.fleet.apply_operator_action("vm-1", "cordon")
     live_on(e, c.CORDON_TTL_S + 3)
     assert e.workers.table["vm-1"].placement.cordon_reason == "operator"
 
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -95,8 +95,8 @@
     stage = Job(spec(id="job-000001", crates=9, cores=2.0, memory_gb=1.0), 0.0, 1)
 
     def kept(demand: list[JobDemand]) -> int:
-        reserve.renew(demand)
-        return sum(reserve.keep(name) for name in names)
+        reserve.reset(demand)
+        return sum(reserve.try_reserve(name) for name in names)
 
     assert kept([JobDemand(stage, 5, is_ready=False)]) == 3
     assert kept([JobDemand(stage, 5, is_ready=False), JobDemand(stage, 2, is_ready=False)]) == 4
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -98,7 +98,7 @@
     world.clock.run(25.0)
     machine = next(iter(world.judge.on["job-000001/0"]))
     world.refuse_peers(5.0)
-    leader.engine.fleet.operate(machine, "cordon")
+    leader.engine.fleet.apply_operator_action(machine, "cordon")
     world.clock.run(29.0)
     assert all(
         not node.engine.workers.worker_table.get_or_create(machine).placement.cordon_reason
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -120,7 +120,7 @@
 
 def destination_cordoned(world: World, order: MoveOrder) -> None:
     for node in world.nodes.values():
-        node.engine.fleet.operate(order.destination, "cordon")
+        node.engine.fleet.apply_operator_action(order.destination, "cordon")
 
 
 def all_controllers_end(world: World, order: MoveOrder) -> None:
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -47,7 +47,7 @@
                 )
                 for node in world.nodes.values():
                     if node.engine.replica.owner_of(name) == node.name:
-                        node.engine.fleet.operate(name, "drain")
+                        node.engine.fleet.apply_operator_action(name, "drain")
     assert copies
     world.clock.run(55.0)
     for worker, orders in copies:
--- a/tests/unit/test_engine.py
+++ b/tests/unit/test_engine.py
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize(
     "fail",
     [
-        lambda fakes: setattr(fakes["fleet"].read_catalogue, "side_effect", raising),
+        lambda fakes: setattr(fakes["fleet"].load_stored_catalogue, "side_effect", raising),
         lambda fakes: setattr(fakes["reconciler"].tick, "side_effect", raising),
     ],
 )
