--- a/appledock/core/api/first_owner.py
+++ b/appledock/core/api/first_owner.py
@@ -33,7 +33,7 @@
         preferred = self._preferred_owner(job)
         if preferred is not None:
             return HandoffTarget(preferred, view.members[preferred])
-        if not self._heartbeats.is_served(view.owner_of(job.id)):
+        if not self._heartbeats.is_served_by_store(view.owner_of(job.id)):
             # The derived owner would not see the job before its lease has expired.
             return HandoffTarget(membership.node, membership.incarnation)
         return None
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -134,7 +134,7 @@
                 on_task_completed=self._on_task_completed,
                 on_machine_deleted=self._on_machine_deleted,
                 on_unanswerable_heartbeat=self._on_unanswerable_heartbeat,
-                on_view_in_doubt=self._on_view_in_doubt,
+                on_view_confirmation_needed=self._on_view_confirmation_needed,
             ),
         )
         self.membership_protocol = MembershipProtocol(
@@ -144,8 +144,8 @@
             reader=self.reader,
             membership=self.membership,
             heartbeats=self.heartbeats,
-            requests=self.view_requests,
-            is_deleted=lambda machine: machine in self.workers.deleted_machines,
+            view_requests=self.view_requests,
+            is_machine_deleted=lambda machine: machine in self.workers.deleted_machines,
             newest_format=NEWEST_FORMAT if capacity is None else constants.CAPACITY_FORMAT,
         )
 
@@ -231,7 +231,7 @@
             self.replica,
             self.quota_usage,
             self.reconcile_queue,
-            self.heartbeats.is_any_peer_under_pressure,
+            self.heartbeats.is_any_peer_rate_limited,
         )
         self.moves = Moves(
             runtime=self.runtime,
@@ -580,7 +580,7 @@
     def _on_unanswerable_heartbeat(self, report: wire.Report) -> None:
         self.cancelled_task_halter.halt_cancelled_tasks(report)
 
-    def _on_view_in_doubt(self) -> None:
+    def _on_view_confirmation_needed(self) -> None:
         self.membership_protocol.confirm_view()
 
     def _release_claims(self, job_id: str, reservations: list[StepReservation]) -> None:
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -193,17 +193,17 @@
                 | messages.AgentEpochExpired()
                 | messages.MachinesDeleted()
             ):
-                self._workers.on_peer(message)
+                self._workers.on_peer_message(message)
             case messages.MachinesRented() | messages.MachineCordoned():
-                self._fleet.on_peer(message)
+                self._fleet.on_peer_message(message)
             case messages.StopTasks():
                 self._stop_requests.add(message.job, message.machine, set(message.tasks))
             case messages.JobCancelled():
-                self._cancellation_dissemination.on_peer(message)
+                self._cancellation_dissemination.on_peer_message(message)
             case messages.MoveRequested() | messages.MoveReserved() | messages.MoveEnded():
-                self._moves.on_peer(message)
+                self._moves.on_peer_message(message)
             case messages.ControllerHeartbeat():
-                self._heartbeats.on_peer(message)
+                self._heartbeats.on_peer_message(message)
             case None:
                 pass
             case _:
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -253,7 +253,7 @@
         self.cordons.apply_operator_action(machine, OperatorAction(action))
 
     # --- peers ------------------------------------------------------------
-    def on_peer(self, message: FleetMessage) -> None:
+    def on_peer_message(self, message: FleetMessage) -> None:
         """A peer rented machines, or set or ended a cordon."""
         match message:
             case MachinesRented():
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -130,7 +130,7 @@
         if owner == self._runtime.node:
             return not self._membership.can_act()
         return (
-            not self._heartbeats.is_served(owner)
+            not self._heartbeats.is_served_by_store(owner)
             or self._runtime.now - known.learned_at > constants.CANCEL_HALT_FALLBACK_DELAY_S
         )
 
--- a/appledock/core/jobs/cancellation_dissemination.py
+++ b/appledock/core/jobs/cancellation_dissemination.py
@@ -37,7 +37,7 @@
             job = self._replica.jobs[job_id]
             self._runtime.emit(PeerSend(self._message(job_id, job, job.version), name))
 
-    def on_peer(self, message: JobCancelled) -> None:
+    def on_peer_message(self, message: JobCancelled) -> None:
         """Take a committed record into the replica; there the newest version wins."""
         job_id, version = message.job, message.version
         if message.record is not None:
--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -93,7 +93,7 @@
         )
         self._runtime.emit(PeerSend(heartbeat))
 
-    def on_peer(self, message: ControllerHeartbeat) -> None:
+    def on_peer_message(self, message: ControllerHeartbeat) -> None:
         """A peer's heartbeat has arrived."""
         now = self._runtime.now
         self.last_heartbeats[message.node] = ReceivedHeartbeat(
@@ -111,7 +111,7 @@
             and self._runtime.now - received.received_at < constants.CONTROLLER_HEARTBEAT_TIMEOUT_S
         )
 
-    def is_served(self, node: str) -> bool:
+    def is_served_by_store(self, node: str) -> bool:
         """Is the node reachable, and lately served by the store, as far as it says?"""
         if node == self._runtime.node:
             return self._membership.can_act()
@@ -132,20 +132,20 @@
             received for peer, received in self.last_heartbeats.items() if self.is_reachable(peer)
         )
 
-    def is_any_peer_under_pressure(self) -> bool:
+    def is_any_peer_rate_limited(self) -> bool:
         """Do services of another controller wait for the writes that all share?"""
         return any(
             received.heartbeat.is_service_rate_limited for received in self._from_reachable_peers()
         )
 
-    def unanswered_workers_at_peers(self, owner: str) -> int:
+    def owner_timeouts_at_peers(self, owner: str) -> int:
         """Workers that came to a reachable peer after waiting for the owner in vain."""
         return sum(
             received.heartbeat.owner_timeouts.get(owner, 0)
             for received in self._from_reachable_peers()
         )
 
-    def peer_contacted_by_workers_of(self, owner: str) -> str | None:
+    def peer_with_most_owner_timeouts(self, owner: str) -> str | None:
         """The reachable peer to which most of those workers came; None if none did."""
         counts = {
             received.heartbeat.node: received.heartbeat.owner_timeouts.get(owner, 0)
@@ -183,7 +183,9 @@
         It says itself that the store does not serve it, or it alone is unreachable.
         """
         view = self._replica.view
-        if view is None or self.is_served(view.leader):
+        if view is None or self.is_served_by_store(view.leader):
             return False
         others = [peer for peer in self._peers if peer != view.leader and peer in view.members]
-        return self.is_reachable(view.leader) or any(self.is_served(peer) for peer in others)
+        return self.is_reachable(view.leader) or any(
+            self.is_served_by_store(peer) for peer in others
+        )
--- a/appledock/core/membership/next_view.py
+++ b/appledock/core/membership/next_view.py
@@ -16,41 +16,41 @@
     old: View | None,
     node: str,
     members: dict[str, str],
-    requests: ViewChangeRequests,
-    is_deleted: Callable[[str], bool],
+    view_requests: ViewChangeRequests,
+    is_machine_deleted: Callable[[str], bool],
     max_bytes: int,
 ) -> View:
     """The view that `node` writes after `old`, with these members (node -> incarnation).
 
-    Its term is the next one. `is_deleted` says whether a machine was deleted, so that it needs
-    no override any more; `max_bytes` is the largest record that may be stored.
+    Its term is one higher. A machine for which `is_machine_deleted` returns true keeps no override;
+    `max_bytes` is the largest size of a record that the store accepts.
     """
-    detached = next_detached(old, node, members, requests)
-    leader = next_leader(old, node, members, requests)
+    detached = next_detached(old, node, members, view_requests)
+    leader = next_leader(old, node, members, view_requests)
     if leader in detached and node not in detached:
         leader = node
-    overrides = next_overrides(old, members, detached, requests, is_deleted)
+    overrides = next_overrides(old, members, detached, view_requests, is_machine_deleted)
     view = View((old.term if old else 0) + 1, members, leader, overrides, detached)
     _drop_overrides_beyond(view, max_bytes)
     return view
 
 
 def next_leader(
-    old: View | None, node: str, members: dict[str, str], requests: ViewChangeRequests
+    old: View | None, node: str, members: dict[str, str], view_requests: ViewChangeRequests
 ) -> str:
     """The present leader if it is a member under the same incarnation, or else `node`."""
     if (
         old is None
         or old.leader not in members
         or members[old.leader] != old.members.get(old.leader)
-        or requests.take_leadership
+        or view_requests.take_leadership
     ):
         return node
     return old.leader
 
 
 def next_detached(
-    old: View | None, node: str, members: dict[str, str], requests: ViewChangeRequests
+    old: View | None, node: str, members: dict[str, str], view_requests: ViewChangeRequests
 ) -> dict[str, str]:
     """Members (node -> incarnation) that shall own nothing.
 
@@ -64,10 +64,10 @@
     }
     detached.update(
         (member, members[member])
-        for member in sorted(requests.members_to_detach)
+        for member in sorted(view_requests.members_to_detach)
         if member in members
     )
-    if requests.attach_self:
+    if view_requests.attach_self:
         detached.pop(node, None)
     return {} if len(detached) == len(members) else detached
 
@@ -76,8 +76,8 @@
     old: View | None,
     members: dict[str, str],
     detached: dict[str, str],
-    requests: ViewChangeRequests,
-    is_deleted: Callable[[str], bool],
+    view_requests: ViewChangeRequests,
+    is_machine_deleted: Callable[[str], bool],
 ) -> dict[str, ControllerInstance]:
     """Worker -> an owner other than the hash gives.
 
@@ -89,9 +89,9 @@
         for worker, owner in (old.overrides if old else {}).items()
         if members.get(owner.node) == owner.incarnation
         and owner.node not in detached
-        and not is_deleted(worker)
+        and not is_machine_deleted(worker)
     }
-    for worker, owner_node in requests.overrides.items():
+    for worker, owner_node in view_requests.overrides.items():
         if owner_node in members:
             overrides[worker] = ControllerInstance(owner_node, members[owner_node])
     return overrides
--- a/appledock/core/membership/protocol.py
+++ b/appledock/core/membership/protocol.py
@@ -34,16 +34,16 @@
         reader: StateReader,
         membership: Membership,
         heartbeats: Heartbeats,
-        requests: ViewChangeRequests,
-        is_deleted: Callable[[str], bool],
+        view_requests: ViewChangeRequests,
+        is_machine_deleted: Callable[[str], bool],
         newest_format: int,
     ) -> None:
-        """`is_deleted` says of a machine whether it was deleted."""
+        """`is_machine_deleted` says of a machine whether it was deleted."""
         self._client = client
         self._reader = reader
         self._membership = membership
-        self._requests = requests
-        self._is_deleted = is_deleted
+        self._view_requests = view_requests
+        self._is_machine_deleted = is_machine_deleted
         self.renewal = LeaseRenewal(runtime, client, replica, membership)
         self.joining = Joining(
             runtime=runtime,
@@ -62,7 +62,7 @@
             reader=reader,
             membership=membership,
             heartbeats=heartbeats,
-            requests=requests,
+            view_requests=view_requests,
             next_view=self.next_view,
         )
         self.format_upgrade = RecordFormatUpgrade(
@@ -101,7 +101,7 @@
             self._membership.view,
             self._membership.node,
             members,
-            self._requests,
-            self._is_deleted,
+            self._view_requests,
+            self._is_machine_deleted,
             self._client.max_value_bytes,
         )
--- a/appledock/core/membership/view_changes.py
+++ b/appledock/core/membership/view_changes.py
@@ -40,7 +40,7 @@
         reader: StateReader,
         membership: Membership,
         heartbeats: Heartbeats,
-        requests: ViewChangeRequests,
+        view_requests: ViewChangeRequests,
         next_view: Callable[[dict[str, str]], View],
     ) -> None:
         """`next_view` computes the view with the members (node -> incarnation) given to it."""
@@ -50,7 +50,7 @@
         self._reader = reader
         self._membership = membership
         self._heartbeats = heartbeats
-        self._requests = requests
+        self._view_requests = view_requests
         self._next_view = next_view
         self._change_at = 0.0
         """when the change that is needed is written; 0: none is needed"""
@@ -63,7 +63,7 @@
     def on_view(self) -> None:
         """A newer view is known: what it does not bring is requested again."""
         self._view_known_at = self._leader_alive_at = self._runtime.now
-        self._requests.clear()
+        self._view_requests.clear()
 
     def tick(self) -> None:
         """Write a new view if one is needed, and this controller's turn has come."""
@@ -91,19 +91,19 @@
         now = self._runtime.now
         if view.leader == self._membership.node or not self._heartbeats.has_leader_failed():
             self._leader_alive_at = now
-        self._requests.take_leadership = (
+        self._view_requests.take_leadership = (
             now - self._leader_alive_at > constants.LEADER_FAILURE_TIMEOUT_S
         )
 
     def _is_change_needed(self, view: View, members: dict[str, str]) -> bool:
-        requests = self._requests
-        if members != view.members or requests.members_to_detach:
+        view_requests = self._view_requests
+        if members != view.members or view_requests.members_to_detach:
             return True
         is_requested = bool(
-            requests.new_term
-            or requests.overrides
-            or requests.take_leadership
-            or requests.attach_self
+            view_requests.new_term
+            or view_requests.overrides
+            or view_requests.take_leadership
+            or view_requests.attach_self
         )
         return (
             is_requested
--- a/appledock/core/scheduling/moves/coordinator.py
+++ b/appledock/core/scheduling/moves/coordinator.py
@@ -148,7 +148,7 @@
         self.job_owner.on_step_committed(job_id, reservations)
 
     # --- messages -----------------------------------------------------------
-    def on_peer(self, message: MoveMessage) -> None:
+    def on_peer_message(self, message: MoveMessage) -> None:
         """Pass a message of a peer, or of this controller, to the role that it is for."""
         match message:
             case MoveRequested():
@@ -163,7 +163,7 @@
 
     def _send(self, node: str, message: MoveMessage) -> None:
         if node == self._runtime.node:
-            self.on_peer(message)
+            self.on_peer_message(message)
         else:
             self._runtime.emit(PeerSend(message, node))
 
--- a/appledock/core/workers/command_pusher.py
+++ b/appledock/core/workers/command_pusher.py
@@ -53,7 +53,7 @@
     def on_view(self) -> None:
         """A new term: launches are sent anew under it, and every worker is looked at."""
         for machine, worker in self.table.rows.items():
-            worker.commanded.launched_at.clear()
+            worker.sent_commands.launched_at.clear()
             self._due.add(machine)
 
     def flush(self) -> None:
@@ -73,15 +73,15 @@
         report = worker.report
         if report is None or not self._can_command(worker, report):
             return
-        launched_before = dict(worker.commanded.launched_at)
-        unconfirmed_before = dict(worker.commanded.unconfirmed_launches)
+        launched_before = dict(worker.sent_commands.launched_at)
+        unconfirmed_before = dict(worker.sent_commands.unconfirmed_launches)
         commands = self.commands.commands_for(worker, pushed=True)
         if not commands:
             return
         term = self.membership.term
         keys = [(x.task, x.attempt) for x in commands if x.op == wire.LAUNCH]
         pushed = PushedLaunches(self.runtime.now, term, keys, launched_before, unconfirmed_before)
-        worker.commanded.unconfirmed_launches.update((key, term) for key in keys)
+        worker.sent_commands.unconfirmed_launches.update((key, term) for key in keys)
         worker.reachability.calls_in_flight += 1
         addr, orders = report.addr, wire.Orders(term, report.session, commands)
         self.runtime.call(
@@ -101,7 +101,7 @@
         worker.reachability.calls_in_flight -= 1
         if reply.outcome is WorkerOutcome.UNKNOWN:
             now = self.runtime.now
-            worker.commanded.launched_at.update((key, now) for key in pushed.keys)
+            worker.sent_commands.launched_at.update((key, now) for key in pushed.keys)
         else:
             executed = reply.outcome is WorkerOutcome.OK
             self._on_known_outcome(worker, pushed, executed)
@@ -111,23 +111,23 @@
             self.intake.ingest_and_broadcast(reply.report)
 
     def _on_known_outcome(self, worker: Worker, pushed: PushedLaunches, executed: bool) -> None:
-        commanded = worker.commanded
+        sent_commands = worker.sent_commands
         if executed:
-            commanded.repeatable_launches.update((key, pushed.term) for key in pushed.keys)
+            sent_commands.replayable_launches.update((key, pushed.term) for key in pushed.keys)
         for key in pushed.keys:
             # What was not sent now says nothing of the same launch sent before:
             # that one may still be on its way, or have been executed.
-            if commanded.unconfirmed_launches.get(key) == pushed.term and (
+            if sent_commands.unconfirmed_launches.get(key) == pushed.term and (
                 executed or key not in pushed.unconfirmed_before
             ):
-                del commanded.unconfirmed_launches[key]
-            if not executed and commanded.launched_at.get(key) == pushed.sent_at:
+                del sent_commands.unconfirmed_launches[key]
+            if not executed and sent_commands.launched_at.get(key) == pushed.sent_at:
                 self._restore_launched(worker, pushed, key)
 
     @staticmethod
     def _restore_launched(worker: Worker, pushed: PushedLaunches, key: TaskKey) -> None:
         """The launch was not executed: as if it had not been sent."""
         if key in pushed.launched_before:
-            worker.commanded.launched_at[key] = pushed.launched_before[key]
+            worker.sent_commands.launched_at[key] = pushed.launched_before[key]
         else:
-            del worker.commanded.launched_at[key]
+            del worker.sent_commands.launched_at[key]
--- a/appledock/core/workers/command_reconciler.py
+++ b/appledock/core/workers/command_reconciler.py
@@ -54,10 +54,10 @@
                 if self.may_run_again(worker, key):
                     # Those of earlier terms go as soon as the worker shows the present one:
                     # another new term would cost the cluster a view and gain nothing.
-                    launch_term = worker.commanded.repeatable_launches[key]
+                    launch_term = worker.sent_commands.replayable_launches[key]
                     retained += launch_term >= self.membership.term
                 else:
-                    worker.commanded.repeatable_launches.pop(key, None)
+                    worker.sent_commands.replayable_launches.pop(key, None)
                     commands.append(wire.Command(wire.FORGET, *key))
         if retained > constants.RETAINED_ATTEMPTS_MAX:
             self.view_requests.new_term = True
@@ -73,12 +73,12 @@
         result being kept, but that moment counts for its team's limit and for its job's zones.
         So the worker remembers attempts until a higher term makes the copy void.
         """
-        return worker.commanded.repeatable_launches.get(key, -1) >= worker.fencing_token
+        return worker.sent_commands.replayable_launches.get(key, -1) >= worker.fencing_token
 
     @staticmethod
     def _is_outcome_certain(worker: Worker, key: TaskKey) -> bool:
         """Is no launch of it under way? After `forget` such a launch would start it."""
-        return key not in worker.commanded.unconfirmed_launches
+        return key not in worker.sent_commands.unconfirmed_launches
 
     def _recorded_tasks(self, worker: Worker) -> dict[TaskKey, RecordedTask]:
         """Tasks with an open attempt in the worker's agent epoch."""
@@ -106,7 +106,7 @@
                 return []
             if job.spec.checkpoint_s > 0:
                 grace_s = job.spec.save_s + constants.SAVE_GRACE_MARGIN_S
-        now, halted_at = self.runtime.now, worker.commanded.halted_at
+        now, halted_at = self.runtime.now, worker.sent_commands.halted_at
         if now - halted_at.get(key, constants.DISTANT_PAST) < constants.HALT_RETRY_DELAY_S:
             return []
         halted_at[key] = now
@@ -121,7 +121,7 @@
         those of earlier terms void.
         """
         now, term = self.runtime.now, self.membership.term
-        launched_at = worker.commanded.launched_at
+        launched_at = worker.sent_commands.launched_at
         commands = []
         for key, (job, attempt) in recorded.items():
             if key in worker.tasks or attempt.term != term or job.cancelled or attempt.stopping:
--- a/appledock/core/workers/detached_members.py
+++ b/appledock/core/workers/detached_members.py
@@ -60,7 +60,7 @@
                 del self._timed_out[owner]
 
     def _is_unreachable(self, owner: str) -> bool:
-        timed_out = len(self._timed_out[owner]) + self.heartbeats.unanswered_workers_at_peers(owner)
+        timed_out = len(self._timed_out[owner]) + self.heartbeats.owner_timeouts_at_peers(owner)
         if timed_out < constants.DETACH_WORKERS_MIN or not self._can_detach(owner):
             return False
         workers = self._live_workers_of(owner)
--- a/appledock/core/workers/dissemination.py
+++ b/appledock/core/workers/dissemination.py
@@ -53,7 +53,7 @@
         self._send_backlogs()
         if now >= self._next_summary_at:
             self._next_summary_at = now + constants.UNCHANGED_HEARTBEATS_INTERVAL_S
-            self.send_alive(sorted(self._unchanged))
+            self.send_unchanged_heartbeats(sorted(self._unchanged))
             self._unchanged.clear()
         if now >= self._next_repeat_at:
             self._next_repeat_at = now + constants.WORKER_RESEND_INTERVAL_S
@@ -87,7 +87,7 @@
             self._send_deleted(newest, peer)
         self._send_backlogs()
 
-    def send_alive(self, machines: Iterable[str], to: str | None = None) -> None:
+    def send_unchanged_heartbeats(self, machines: Iterable[str], to: str | None = None) -> None:
         """Send of these workers the number and the ages of their last heartbeats.
 
         In messages of at most `UNCHANGED_HEARTBEATS_MAX` workers, so that each fits a frame.
@@ -95,7 +95,7 @@
         rows = [
             UnchangedHeartbeat(
                 machine,
-                *worker.status.newest,
+                *worker.status.newest_number,
                 self._age_s(worker.reachability.last_heartbeat_at),
                 self._age_s(worker.reachability.last_healthy_at),
             )
@@ -126,7 +126,7 @@
                 self._send_heartbeat(worker, worker.report, peer)
             if worker.lease.expired_epoch:
                 self.announce_expired(machine, worker.lease.expired_epoch, peer)
-        self.send_alive(machines, peer)
+        self.send_unchanged_heartbeats(machines, peer)
 
     def _send_heartbeat(self, worker: Worker, report: wire.Report, to: str | None = None) -> None:
         message = WorkerHeartbeat(report, self._age_s(worker.reachability.last_healthy_at))
--- a/appledock/core/workers/heartbeat_intake.py
+++ b/appledock/core/workers/heartbeat_intake.py
@@ -63,9 +63,11 @@
         number = HeartbeatNumber(report.session, report.seq)
         # A number may be known without its heartbeat: a link that lost the heartbeat brought
         # the message that later ones showed nothing new. Then the heartbeat itself is still new.
-        if number < worker.status.newest or (old is not None and number <= (old.session, old.seq)):
+        if number < worker.status.newest_number or (
+            old is not None and number <= (old.session, old.seq)
+        ):
             return False
-        worker.status.newest = number
+        worker.status.newest_number = number
         if old is None:
             worker.status.first_term = self.membership.term
         self._record_reachability(worker, report, healthy_age_s)
@@ -107,10 +109,10 @@
         status.report = report
         status.tasks = {(task.task, task.attempt): task for task in report.tasks}
         if old is None or old.session != report.session:
-            worker.commanded.clear()
+            worker.sent_commands.clear()
             if old is not None:
                 status.image_seen_at = {}
-        worker.commanded.drop_void_launches(
+        worker.sent_commands.drop_void_launches(
             report.token, token_changed=old is None or old.token != report.token
         )
 
--- a/appledock/core/workers/heartbeat_responder.py
+++ b/appledock/core/workers/heartbeat_responder.py
@@ -70,7 +70,7 @@
         worker.reachability.misdirected = NOT_MISDIRECTED
         if report.token > self.membership.term:
             # A newer view exists; the worker would drop an answer under an older token.
-            self.observers.on_view_in_doubt()
+            self.observers.on_view_confirmation_needed()
             self._refuse(request_id, "newer view")
             return
         if report.session <= worker.lease.expired_epoch or not self.intake.ingest_and_broadcast(
--- a/appledock/core/workers/lease_expiry.py
+++ b/appledock/core/workers/lease_expiry.py
@@ -58,7 +58,7 @@
         # The view must be proven to have been the newest until then: the owner under a
         # newer one may have renewed the lease.
         if self.membership.view_confirmed_at < ends_at:
-            self.observers.on_view_in_doubt()
+            self.observers.on_view_confirmation_needed()
             return
         log.info("lease expired: machine=%s agent_epoch=%d", worker.id, agent_epoch)
         self.table.mark_expired(worker.id, agent_epoch)
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -179,7 +179,7 @@
         return self.detached_members.owner_timeout_counts()
 
     # --- peers ------------------------------------------------------------
-    def on_peer(self, message: WorkerMessage) -> None:
+    def on_peer_message(self, message: WorkerMessage) -> None:
         """A peer sent an update about workers."""
         self.peer_updates.apply(message)
 
--- a/appledock/core/workers/observers.py
+++ b/appledock/core/workers/observers.py
@@ -33,5 +33,5 @@
     """this machine no longer exists"""
     on_unanswerable_heartbeat: Callable[[wire.Report], None]
     """a heartbeat came that this controller has no authority to answer"""
-    on_view_in_doubt: Callable[[], None]
+    on_view_confirmation_needed: Callable[[], None]
     """a decision needs the newest view, which is to be read"""
--- a/appledock/core/workers/peer_updates.py
+++ b/appledock/core/workers/peer_updates.py
@@ -53,7 +53,7 @@
         worker = self.table.get_or_create(row.worker)
         number = HeartbeatNumber(row.agent_epoch, row.sequence_number)
         # Copies of older heartbeats are recognized as such from now on.
-        worker.status.newest = max(worker.status.newest, number)
+        worker.status.newest_number = max(worker.status.newest_number, number)
         if worker.agent_epoch != row.agent_epoch:
             return
         reachability = worker.reachability
--- a/appledock/core/workers/record.py
+++ b/appledock/core/workers/record.py
@@ -35,12 +35,12 @@
 class ReportedStatus:
     """What the worker's heartbeats say.
 
-    Written by the heartbeat intake; dissemination raises `newest` and notes `broadcast_at`.
+    Written by the heartbeat intake; dissemination raises `newest_number` and notes `broadcast_at`.
     """
 
     report: wire.Report | None = None
     """the newest heartbeat known"""
-    newest: HeartbeatNumber = NO_HEARTBEAT
+    newest_number: HeartbeatNumber = NO_HEARTBEAT
     """number of the newest heartbeat that any controller has received"""
     first_term: int = 0
     """term when this controller first received a heartbeat of the worker"""
@@ -93,7 +93,7 @@
 
 
 @dataclass(slots=True)
-class CommandedState:
+class SentCommands:
     """What the worker was commanded to do in its present agent epoch.
 
     Written by command reconciliation and command push.
@@ -105,7 +105,7 @@
     """launches pushed to the worker without an answer -> term. Until the worker has
     seen a higher term they may still be executed, so the attempt must stay among the
     tasks that the worker remembers: it is not forgotten."""
-    repeatable_launches: dict[TaskKey, int] = field(default_factory=dict)
+    replayable_launches: dict[TaskKey, int] = field(default_factory=dict)
     """launches pushed to the worker and answered -> term. A repeat of such a request
     is executed like the first one until the worker has seen a higher term."""
     halted_at: dict[TaskKey, float] = field(default_factory=dict)
@@ -116,12 +116,12 @@
         self.launched_at.clear()
         self.halted_at.clear()
         self.unconfirmed_launches.clear()
-        self.repeatable_launches.clear()
+        self.replayable_launches.clear()
 
     def drop_void_launches(self, fencing_token: int, token_changed: bool) -> None:
         """Launches of terms below the token that the worker shows can no longer run."""
-        if self.repeatable_launches and token_changed:
-            self.repeatable_launches = _of_term(self.repeatable_launches, fencing_token)
+        if self.replayable_launches and token_changed:
+            self.replayable_launches = _of_term(self.replayable_launches, fencing_token)
         if self.unconfirmed_launches:
             self.unconfirmed_launches = _of_term(self.unconfirmed_launches, fencing_token)
 
@@ -155,7 +155,7 @@
     status: ReportedStatus = field(default_factory=ReportedStatus)
     lease: WorkerLease = field(default_factory=WorkerLease)
     reachability: Reachability = field(default_factory=Reachability)
-    commanded: CommandedState = field(default_factory=CommandedState)
+    sent_commands: SentCommands = field(default_factory=SentCommands)
     placement: PlacementState = field(default_factory=PlacementState)
 
     @property
--- a/appledock/core/workers/redirects.py
+++ b/appledock/core/workers/redirects.py
@@ -69,7 +69,7 @@
         """
         if self.heartbeats.receives_worker_reports(owner):
             return owner
-        reached_peer = self.heartbeats.peer_contacted_by_workers_of(owner)
+        reached_peer = self.heartbeats.peer_with_most_owner_timeouts(owner)
         if has_timed_out:
             return None
         return reached_peer or owner
--- a/appledock/core/workers/settlement_evidence.py
+++ b/appledock/core/workers/settlement_evidence.py
@@ -52,7 +52,7 @@
         """
         return worker.fencing_token > attempt.term or (
             (job.cancelled or attempt.stopping)
-            and key not in worker.commanded.launched_at
+            and key not in worker.sent_commands.launched_at
             and attempt.term == self.membership.term
             and self.table.owns(worker.id)
         )
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -32,7 +32,7 @@
 WORK: list[tuple[str, type, str]] = [
     ("batch", Controller, "handle"),
     ("report", Workers, "on_heartbeat"),
-    ("message of a peer", Workers, "on_peer"),
+    ("message of a peer", Workers, "on_peer_message"),
     ("look at leases", Workers, "tick"),
     ("placement pass", PlacementPass, "run"),
     ("scale out", Fleet, "rent_missing"),
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -594,7 +594,7 @@
         return machine in controller.workers.deleted_machines
 
     def seen(self, controller: Any, machine: str) -> tuple[int, int]:
-        number = controller.workers.table[machine].status.newest
+        number = controller.workers.table[machine].status.newest_number
         return int(number.agent_epoch), int(number.seq)
 
     def key_prefix(self, name: str) -> str:
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -185,7 +185,7 @@
     assert FLEET < c.DELETED_MACHINES_RESENT_MAX
     e.workers.deleted_machines.update(dict.fromkeys(names, 0.0))
     e.workers.dissemination.on_peer_connected("n1")
-    e.workers.dissemination.send_alive(list(e.workers.table), "n1")
+    e.workers.dissemination.send_unchanged_heartbeats(list(e.workers.table), "n1")
     sizes = [
         len(wire.encode(x.message)) for x in e.runtime.take_effects() if isinstance(x, PeerSend)
     ]
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -25,7 +25,7 @@
     effects: list[Effect] = []
     for step in range(int(seconds)):
         e.membership.lease_renewed_at = e.membership.view_confirmed_at = NOW + step
-        seq = e.workers.table["vm-1"].status.newest.seq + 1
+        seq = e.workers.table["vm-1"].status.newest_number.seq + 1
         effects += e.handle([HeartbeatReceived(seq, report(seq)), Tick()], NOW + step, 0.0)
     return effects
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -515,13 +515,13 @@
     """The state service's writes are shared: while one controller's services waited for
     them after a wave of lost machines, arrays of the others took two thirds."""
     e = engine()
-    e.heartbeats.on_peer(
+    e.heartbeats.on_peer_message(
         ControllerHeartbeat("n1", 0.1, write_rate=9.0, is_service_rate_limited=True)
     )
     assert e.pacing.should_defer_batch_jobs()
     e.runtime.now += c.CONTROLLER_HEARTBEAT_TIMEOUT_S + 1
     assert not e.pacing.should_defer_batch_jobs()  # it may be over since: nobody is heard
-    e.heartbeats.on_peer(
+    e.heartbeats.on_peer_message(
         ControllerHeartbeat("n1", 0.1, write_rate=9.0, is_service_rate_limited=False)
     )
     assert not e.pacing.should_defer_batch_jobs()
@@ -650,7 +650,7 @@
     e.workers.ingest_heartbeat(wire.Report("vm-1", "10.0.0.9:9", "h4", "a", 1, 1, 4, tasks=tasks))
     worker = e.workers.table["vm-1"]
     for term, wanted in ((4, False), (5, True)):
-        worker.commanded.repeatable_launches = dict.fromkeys(worker.tasks, term)
+        worker.sent_commands.replayable_launches = dict.fromkeys(worker.tasks, term)
         e.view_requests.new_term = False
         assert (
             e.workers.command_reconciler.commands_for(worker, pushed=False) == []
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -261,7 +261,7 @@
         return world.judge.begun[job] - world.judge.accepted[job]
 
     assert begin_s() < 5.0
-    monkeypatch.setattr(Heartbeats, "is_served", lambda self, node: True)
+    monkeypatch.setattr(Heartbeats, "is_served_by_store", lambda self, node: True)
     assert begin_s() > 6.0
 
 
@@ -277,7 +277,7 @@
         for name in names:
             e.workers.ingest_heartbeat(report(name, 1))
             e.workers.table[name].placement.idle_since = e.runtime.now - 50
-        e.heartbeats.on_peer(ControllerHeartbeat("n1", 0.1))  # n2 is not heard
+        e.heartbeats.on_peer_message(ControllerHeartbeat("n1", 0.1))  # n2 is not heard
         e.fleet.delete_surplus(e.fleet.queued_demand())
         return e, set(e.fleet.deletions.pending)
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -335,7 +335,7 @@
     assert all(node.engine.capacity_index.move_reservations == {} for node in world.nodes.values())
     order = MoveOrder("n0", 1, engine.membership.term - 1, "job-000001", 0, 1, "a", "b", 0.0)
     for message in (MoveRequested(order), MoveReserved(order)):
-        engine.moves.on_peer(message)
+        engine.moves.on_peer_message(message)
         assert not engine.moves.reservations.active and not engine.moves.reservations.held
 
 
@@ -358,7 +358,7 @@
             )
         )
     assert engine.moves.destination_owner.refusal(orders[0]) is None
-    engine.moves.on_peer(MoveRequested(orders[0]))
+    engine.moves.on_peer_message(MoveRequested(orders[0]))
     assert engine.moves.destination_owner.refusal(orders[1]) is MoveOutcome.BUSY
     engine.moves.reservations.held.clear()
     engine.capacity_index.release_move(destination, orders[0].job)
@@ -394,7 +394,7 @@
     others = [StepReservation(destination, record.spec, 4)]
     engine.capacity_index.reserve_step("job-000099", others)
     assert engine.moves.job_owner.refusal(order) is MoveOutcome.NO_ROOM
-    engine.moves.on_peer(MoveReserved(order))
+    engine.moves.on_peer_message(MoveReserved(order))
     assert not engine.moves.reservations.active and not engine.stop_requests.pending
 
 
--- a/tests/test_old_words.py
+++ b/tests/test_old_words.py
@@ -39,7 +39,7 @@
     task = wire.TaskReport("job-000001/0", 1, wire.RUNNING)
     over = wire.TaskReport("job-000001/0", 1, wire.EXITED, wire.DONE)
     e.workers.intake.ingest(report(5, tasks=[task]), 0.0)
-    e.workers.on_peer(UnchangedHeartbeats([UnchangedHeartbeat("vm-1", 1, 7, 0.1, 0.1)]))
+    e.workers.on_peer_message(UnchangedHeartbeats([UnchangedHeartbeat("vm-1", 1, 7, 0.1, 0.1)]))
     assert not e.workers.intake.ingest(report(6, tasks=[task]), 0.0)
     assert e.workers.intake.ingest(report(7, tasks=[over]), 0.0)
     assert e.workers.table["vm-1"].tasks[("job-000001/0", 1)].state == wire.EXITED
--- a/tests/unit/membership/test_heartbeats.py
+++ b/tests/unit/membership/test_heartbeats.py
@@ -43,7 +43,7 @@
         heartbeats, runtime = parts()
         heartbeats.tick()
         runtime.now += 10.0
-        heartbeats.on_peer(ControllerHeartbeat("n1", peers_served_s))
+        heartbeats.on_peer_message(ControllerHeartbeat("n1", peers_served_s))
         heartbeats.tick()
         assert heartbeats.is_isolated() == isolated
 
@@ -51,9 +51,9 @@
 def test_the_leader_has_failed_if_it_alone_is_silent_or_not_served() -> None:
     heartbeats, _ = parts()
     assert not heartbeats.has_leader_failed()  # no peer is reachable: the network fails
-    heartbeats.on_peer(ControllerHeartbeat("n2", 0.1))
+    heartbeats.on_peer_message(ControllerHeartbeat("n2", 0.1))
     assert heartbeats.has_leader_failed()
-    heartbeats.on_peer(ControllerHeartbeat("n1", 0.1))
+    heartbeats.on_peer_message(ControllerHeartbeat("n1", 0.1))
     assert not heartbeats.has_leader_failed()
-    heartbeats.on_peer(ControllerHeartbeat("n1", constants.STORE_UNREACHABLE_TIMEOUT_S))
+    heartbeats.on_peer_message(ControllerHeartbeat("n1", constants.STORE_UNREACHABLE_TIMEOUT_S))
     assert heartbeats.has_leader_failed()
--- a/tests/unit/workers/parts.py
+++ b/tests/unit/workers/parts.py
@@ -47,7 +47,7 @@
             ),
             on_machine_deleted=lambda machine: None,
             on_unanswerable_heartbeat=self.unanswerable.append,
-            on_view_in_doubt=self._on_view_in_doubt,
+            on_view_confirmation_needed=self._on_view_confirmation_needed,
         )
         self.table = WorkerTable(self.runtime, self.replica, self.queue, self.observers)
         self.dissemination = Dissemination(self.runtime, self.replica, self.table, self.queue)
@@ -61,7 +61,7 @@
             self.dissemination,
         )
 
-    def _on_view_in_doubt(self) -> None:
+    def _on_view_confirmation_needed(self) -> None:
         self.views_in_doubt += 1
 
     def open_attempt(self, job_id: str = "job-1", **changes: Any) -> tuple[Job, Attempt]:
--- a/tests/unit/workers/test_command_reconciler.py
+++ b/tests/unit/workers/test_command_reconciler.py
@@ -44,8 +44,8 @@
     assert commands(parts) == []  # its record is still open
     parts.replica.jobs.clear()
     parts.replica.attempts_by_machine.clear()
-    commanded = parts.table.rows[MACHINE].commanded
-    for launches in (commanded.unconfirmed_launches, commanded.repeatable_launches):
+    sent_commands = parts.table.rows[MACHINE].sent_commands
+    for launches in (sent_commands.unconfirmed_launches, sent_commands.replayable_launches):
         launches[KEY] = 5
         assert commands(parts) == []
         launches.clear()
--- a/tests/unit/workers/test_settlement_evidence.py
+++ b/tests/unit/workers/test_settlement_evidence.py
@@ -51,7 +51,7 @@
     parts.intake.ingest(heartbeat(1))
     assert verdict(parts) is None  # a launch may be on its way
     assert verdict(parts, cancelled=True) is AttemptVerdict.SETTLED
-    parts.table.rows[MACHINE].commanded.launched_at["job-1/0", 1] = 99.0
+    parts.table.rows[MACHINE].sent_commands.launched_at["job-1/0", 1] = 99.0
     assert verdict(parts, cancelled=True) is None
     parts.intake.ingest(heartbeat(2, token=TERM + 1))
     assert verdict(parts, cancelled=True) is AttemptVerdict.SETTLED
