--- a/appledock/core/api/job_cancellation.py
+++ b/appledock/core/api/job_cancellation.py
@@ -98,7 +98,7 @@
                 Put(FINAL_PREFIX + job.id, {"state": wire.CANCELLED}),
             ]
         else:
-            record = self._codec.encode(self._codec.drop_needless_types(cancelled))
+            record = self._codec.encode(self._codec.drop_unoffered_types(cancelled))
             cancellation.writes = [Put(JOBS_PREFIX + job.id, record)]
 
         def on_outcome(outcome: StoreOutcome) -> None:
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -37,7 +37,7 @@
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
 from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
-from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
+from appledock.core.jobs.cancelled_task_machine_deleter import CancelledTaskMachineDeleter
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
@@ -346,7 +346,7 @@
             membership=self.membership,
             heartbeats=self.heartbeats,
             halter=self.cancelled_task_halter,
-            machines=CancelledTaskMachines(
+            machine_deleter=CancelledTaskMachineDeleter(
                 self.runtime,
                 self.workers,
                 lambda names: self.fleet.on_machines_deleted(names),  # noqa: PLW0108 -- built later
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -57,7 +57,9 @@
             used = used_by_team.get(team)
             if used is None:
                 used = self._quota_usage.held_by_team(team)
-            tasks = min(job.queued_task_count, limit_of(limits).above(used).count_tasks(job.spec))
+            tasks = min(
+                job.queued_task_count, limit_of(limits).excess_over(used).count_tasks(job.spec)
+            )
             if tasks:
                 used_by_team[team] = used + demand_of(job.spec, tasks)
                 demand.append(JobDemand(job, tasks, job.id in self._replica.queued_jobs))
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -8,7 +8,7 @@
 * every controller that knows of it halts what heartbeats show, without leadership
   (`cancelled_task_halter`);
 * shortly before the deadline, a machine that may still run such a task is deleted by any
-  controller that reaches the cloud (`cancelled_task_machines`).
+  controller that reaches the cloud (`cancelled_task_machine_deleter`).
 
 This module decides, at intervals, when the second and the third are due.
 """
@@ -19,7 +19,7 @@
 
 from appledock import constants, wire
 from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
-from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
+from appledock.core.jobs.cancelled_task_machine_deleter import CancelledTaskMachineDeleter
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
 from appledock.core.records.job import Attempt, Job
@@ -50,7 +50,7 @@
         membership: Membership,
         heartbeats: Heartbeats,
         halter: CancelledTaskHalter,
-        machines: CancelledTaskMachines,
+        machine_deleter: CancelledTaskMachineDeleter,
     ) -> None:
         self._runtime = runtime
         self._replica = replica
@@ -58,7 +58,7 @@
         self._membership = membership
         self._heartbeats = heartbeats
         self._halter = halter
-        self._machines = machines
+        self._machine_deleter = machine_deleter
         self._known: dict[str, KnownCancellation] = {}
         self._next_check_at = 0.0
 
@@ -87,13 +87,13 @@
             assert report is not None
             self._halter.halt(report, tasks)
         if to_delete:
-            self._machines.delete(sorted(to_delete))
+            self._machine_deleter.delete(sorted(to_delete))
 
     def _forget_old(self) -> None:
         for job_id in [job_id for job_id in self._known if self._is_over(job_id)]:
             del self._known[job_id]
         self._halter.forget_old()
-        self._machines.forget_old()
+        self._machine_deleter.forget_old()
 
     def _is_over(self, job_id: str) -> bool:
         return job_id not in self._replica.cancelled_jobs
--- a/appledock/core/jobs/cancelled_task_machines.py
+++ b/appledock/core/jobs/cancelled_task_machine_deleter.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 
-class CancelledTaskMachines:
+class CancelledTaskMachineDeleter:
     """Deletes machines, again until the cloud answers."""
 
     def __init__(
--- a/appledock/core/jobs/codec.py
+++ b/appledock/core/jobs/codec.py
@@ -30,7 +30,7 @@
         """Does the record keep to the size that a value may have?"""
         return len(wire.encode(self.encode(job))) <= self._client.max_value_bytes
 
-    def drop_needless_types(self, job: Job) -> Job:
+    def drop_unoffered_types(self, job: Job) -> Job:
         """Drop machine types that decide nothing from a description that is too large.
 
         Guards against records that were stored under larger limits and could never be written
--- a/appledock/core/jobs/stop_requests.py
+++ b/appledock/core/jobs/stop_requests.py
@@ -46,7 +46,7 @@
             owner = self._replica.job_owner(job)
             self._runtime.emit(PeerSend(StopTasks(job.id, machine, sorted(tasks)), owner))
 
-    def has_any(self, job_id: str) -> bool:
+    def has_pending(self, job_id: str) -> bool:
         """Is a request of the job not committed yet?"""
         return job_id in self.pending
 
--- a/appledock/core/jobs/team_record_writer.py
+++ b/appledock/core/jobs/team_record_writer.py
@@ -48,7 +48,7 @@
             self._fencing_conditions(), [Put(TEAMS_PREFIX + team, record.encode())]
         )
         transaction.conditions[TEAMS_PREFIX + team] = record.version
-        quota_write = self._quota_allocation.begin_record_write(team, record)
+        quota_write = self._quota_allocation.begin_team_record_write(team, record)
 
         def on_outcome(outcome: StoreOutcome) -> None:
             quota_write.finish(outcome)
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -20,7 +20,7 @@
 from appledock.core.machines.capacity_index import CapacityIndex, StepReservation
 from appledock.core.machines.machine_capacity import is_allowed_on
 from appledock.core.quota.allocation import PendingWrite, QuotaAllocation
-from appledock.core.quota.record_plan import NotPossible, RecordChange
+from appledock.core.quota.record_plan import RecordChange, StepNotPossible
 from appledock.core.records.job import Job
 from appledock.core.records.team_allocation import TeamAllocation
 from appledock.core.runtime import Runtime
@@ -157,7 +157,7 @@
         """Write the job as `new` in one conditional transaction; False: not possible now."""
         new_owner = self._replica.job_owner(new)
         plan = self._quota_allocation.plan(job, new, new_owner)
-        if isinstance(plan, NotPossible):
+        if isinstance(plan, StepNotPossible):
             self._reconcile_queue.deferred_jobs.add(job.id)
             self._wait_for_team_record(job)
             return False
@@ -197,7 +197,7 @@
         self.jobs_in_flight.add(job.id)
         if reservations:
             self._capacity_index.reserve_step(job.id, reservations)
-        quota_write = self._quota_allocation.begin_step(job, new, team_record)
+        quota_write = self._quota_allocation.begin_job_write(job, new, team_record)
         write = JobWrite(job, new, change, team_record, reservations, quota_write)
         is_step_or_end = isinstance(change, JobEnd) or priority >= Priority.STEP
         call = self._client.submit(
@@ -223,7 +223,7 @@
                     Put(FINAL_PREFIX + job.id, {"state": state.value}),
                 ]
             case RecordUpdate():
-                record = self._codec.encode(self._codec.drop_needless_types(new))
+                record = self._codec.encode(self._codec.drop_unoffered_types(new))
                 transaction.writes.append(Put(JOBS_PREFIX + job.id, record))
             case _:
                 assert_never(change)
--- a/appledock/core/quota/admission.py
+++ b/appledock/core/quota/admission.py
@@ -48,8 +48,10 @@
     nobody. What a more urgent job of another controller lacks after that is released from the
     unused allocation of `node`, since its owner cannot take it by itself.
     """
-    unallocated = limit.above(total(allocated.values()))
-    unused = {owner: part.above(held.get(owner, NO_RESOURCES)) for owner, part in allocated.items()}
+    unallocated = limit.excess_over(total(allocated.values()))
+    unused = {
+        owner: part.excess_over(held.get(owner, NO_RESOURCES)) for owner, part in allocated.items()
+    }
     admitted: dict[str, Resources] = {}
     releasable = NO_RESOURCES
     for job_id, owner, demand in queue:
--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -25,10 +25,10 @@
 from appledock.core.quota.admission import Admission, QueuedDemand, admit_queue
 from appledock.core.quota.record_plan import (
     NoRecordChange,
-    NotPossible,
     RecordChange,
     RecordPlan,
-    allocate_anew,
+    StepNotPossible,
+    allocate_for_new_view,
     move_reservation,
     raise_allocation,
 )
@@ -134,7 +134,7 @@
     def admitted_tasks(self, job: Job, new: Job) -> int:
         """How many more tasks the job may start now; `new` is without its settled ones."""
         admitted = self._admit(job.spec.team).admitted.get(job.id, NO_RESOURCES)
-        settled = reservation_of(job).above(reservation_of(new))
+        settled = reservation_of(job).excess_over(reservation_of(new))
         return (admitted + settled).count_tasks(job.spec)
 
     def releasable(self, team: str) -> Resources:
@@ -190,18 +190,18 @@
         if reserved.fits_in(reservation_of(job)) and not is_handed_off:
             return NoRecordChange()
         if not self.is_current(team):
-            return NotPossible()
+            return StepNotPossible()
         others = self._held_by_other_jobs(job)
         if not is_handed_off and self._is_allocated(team, others + reserved):
             return NoRecordChange()
         if team in self._teams_being_written:
-            return NotPossible()
+            return StepNotPossible()
         if is_handed_off:
             changed = move_reservation(self.allocated(team), node, new_owner, reserved, others)
         else:
             changed = self._raised(team, others + reserved)
         if not total(changed.values()).fits_in(limit_of(self._runtime.teams[team])):
-            return NotPossible()
+            return StepNotPossible()
         return RecordChange(self._record(team, changed))
 
     def plan_release(self, team: str, resources: Resources) -> TeamAllocation:
@@ -223,14 +223,14 @@
     def _held_by_other_jobs(self, job: Job) -> Resources:
         """What our jobs of the same team hold without this one."""
         held = self._usage.held_by_node(job.spec.team).get(self._runtime.node, NO_RESOURCES)
-        return held.above(self._usage.held_by_job(job))
+        return held.excess_over(self._usage.held_by_job(job))
 
     def _raised(self, team: str, needed: Resources) -> dict[str, Resources]:
         """The allocations with ours raised to what our jobs need after a step."""
         allocated, node, members = self.allocated(team), self._runtime.node, self._view.members
         limit = limit_of(self._runtime.teams[team])
         if not self._is_of_present_view(team):
-            return allocate_anew(allocated, node, needed, limit, members)
+            return allocate_for_new_view(allocated, node, needed, limit, members)
         held = self._usage.held_by_node(team).get(node, NO_RESOURCES)
         waiting = held + total(self._admit(team).admitted.values())
         return raise_allocation(allocated, node, needed, waiting, limit, len(members))
@@ -250,11 +250,11 @@
         """Is a write of the team's record under way?"""
         return team in self._teams_being_written
 
-    def begin_step(self, job: Job, new: Job, record: TeamAllocation | None) -> PendingWrite:
+    def begin_job_write(self, job: Job, new: Job, record: TeamAllocation | None) -> PendingWrite:
         """A write of a job's record is sent, and of its team's if `record` is given."""
         return self._begin(job.spec.team, record, [self._usage.begin_write(job, new)])
 
-    def begin_record_write(self, team: str, record: TeamAllocation) -> PendingWrite:
+    def begin_team_record_write(self, team: str, record: TeamAllocation) -> PendingWrite:
         """A write of the team's record alone is sent."""
         return self._begin(team, record, [])
 
--- a/appledock/core/quota/record_plan.py
+++ b/appledock/core/quota/record_plan.py
@@ -23,11 +23,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NotPossible:
+class StepNotPossible:
     """The step cannot be made now: the limit, or a write or read of the record, is in the way."""
 
 
-RecordPlan = NoRecordChange | RecordChange | NotPossible
+RecordPlan = NoRecordChange | RecordChange | StepNotPossible
 
 
 def move_reservation(
@@ -71,14 +71,14 @@
     """
     changed = dict(allocated)
     changed[node] = changed.get(node, NO_RESOURCES).maximum(needed)
-    missing = waiting.above(changed[node])
+    missing = waiting.excess_over(changed[node])
     spare = _unallocated(changed, limit).scaled_by(constants.ALLOCATION_HEADROOM_SHARE)
     changed[node] = changed[node] + missing.minimum(spare)
     _add_slack(changed, [node], limit, controllers)
     return changed
 
 
-def allocate_anew(
+def allocate_for_new_view(
     held: Mapping[str, Resources],
     node: str,
     needed: Resources,
@@ -97,7 +97,7 @@
 
 
 def _unallocated(allocated: Mapping[str, Resources], limit: Resources) -> Resources:
-    return limit.above(total(allocated.values()))
+    return limit.excess_over(total(allocated.values()))
 
 
 def _add_slack(
--- a/appledock/core/quota/resources.py
+++ b/appledock/core/quota/resources.py
@@ -38,7 +38,7 @@
         """The larger one of each component."""
         return Resources(max(self.cpus, other.cpus), max(self.gpus, other.gpus))
 
-    def above(self, other: Resources) -> Resources:
+    def excess_over(self, other: Resources) -> Resources:
         """How much more this is than the other, no component below zero."""
         return (self - other).maximum(NO_RESOURCES)
 
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -210,7 +210,7 @@
         """What the team's limit lacks for one more task of the job."""
         limit = limit_of(self._runtime.teams[job.spec.team])
         held = self._quota_usage.held_by_team(job.spec.team)
-        return (held + demand_of(job.spec, 1)).above(limit)
+        return (held + demand_of(job.spec, 1)).excess_over(limit)
 
     # --- preemption -------------------------------------------------------
     def preempt_for(
--- a/appledock/core/scheduling/settlement_recorder.py
+++ b/appledock/core/scheduling/settlement_recorder.py
@@ -65,7 +65,7 @@
 
     def _commit_stops(self, job: Job) -> bool:
         """Write the stops requested for the job; False if there is nothing to stop."""
-        if not self._stop_requests.has_any(job.id):
+        if not self._stop_requests.has_pending(job.id):
             return False
         stopped = self._settlement.copy_without_settled_attempts(job)
         if not self._stop_requests.mark_stopping(stopped):
--- a/appledock/core/scheduling/step_writer.py
+++ b/appledock/core/scheduling/step_writer.py
@@ -68,7 +68,7 @@
     def _write_step(self, job: Job, step: Placed) -> bool:
         """Write the step: what is settled, the new attempts, and who owns the job then."""
         new = self._next_record(step)
-        if not self._codec.fits(self._codec.drop_needless_types(new)):
+        if not self._codec.fits(self._codec.drop_unoffered_types(new)):
             # The record holds only so many attempts at a time: the rest of the tasks wait
             # until some are settled, the job is never stuck.
             for machine, _ in step.assignments:
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -12,7 +12,7 @@
 from appledock.core.api.submission_check import SubmissionCheck
 from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
 from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
-from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
+from appledock.core.jobs.cancelled_task_machine_deleter import CancelledTaskMachineDeleter
 from appledock.core.machines.zones import MachineZones
 from appledock.core.quota import allocation, usage
 from appledock.core.quota.allocation import QuotaAllocation
@@ -128,7 +128,7 @@
     """Nor deletions: what is left is time, since leases end in `cancel_s`."""
     patch.setattr(CancellationDissemination, "broadcast", lambda *_: None)
     patch.setattr(CancelledTaskHalter, "halt", lambda *_: None)
-    patch.setattr(CancelledTaskMachines, "delete", lambda *_: None)
+    patch.setattr(CancelledTaskMachineDeleter, "delete", lambda *_: None)
 
 
 def nothing_but_long_leases(patch: Patch) -> None:
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -6,7 +6,7 @@
 
 from appledock import wire
 from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
-from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
+from appledock.core.jobs.cancelled_task_machine_deleter import CancelledTaskMachineDeleter
 from appledock.core.membership.membership import Membership
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling import placement
@@ -123,15 +123,15 @@
     assert "ran_cancelled" not in play(0, seconds=110.0).judge.kinds()
     monkeypatch.setattr(CancelledTaskHalter, "halt", lambda *_: None)
     deleted: list[str] = []
-    delete = CancelledTaskMachines.delete
+    delete = CancelledTaskMachineDeleter.delete
     monkeypatch.setattr(
-        CancelledTaskMachines,
+        CancelledTaskMachineDeleter,
         "delete",
         lambda self, names: (deleted.extend(names), delete(self, names))[1],
     )
     assert "ran_cancelled" not in play(0, seconds=110.0).judge.kinds()
     assert deleted
-    monkeypatch.setattr(CancelledTaskMachines, "delete", lambda *_: None)
+    monkeypatch.setattr(CancelledTaskMachineDeleter, "delete", lambda *_: None)
     assert "ran_cancelled" in kinds(range(1))
 
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -16,7 +16,7 @@
 from appledock import constants as c
 from appledock.core.controller import Controller
 from appledock.core.quota.allocation import QuotaAllocation
-from appledock.core.quota.record_plan import NoRecordChange, NotPossible, RecordChange
+from appledock.core.quota.record_plan import NoRecordChange, RecordChange, StepNotPossible
 from appledock.core.quota.resources import Resources
 from appledock.core.records.job import Attempt, HandoffTarget, Job, decode_job
 from appledock.core.records.team_allocation import TeamAllocation
@@ -136,7 +136,7 @@
         if record is not None and stays and rng.random() < 0.4:
             # The share is raised first, and the step is made anew.
             self._send(name, None, None, record)
-        elif not isinstance(change, NotPossible):
+        elif not isinstance(change, StepNotPossible):
             self._send(name, job, new, record)
 
     def release(self, name: str) -> None:
@@ -163,10 +163,10 @@
             plan.conditions[TEAMS_PREFIX + "red"] = record.version
             values[TEAMS_PREFIX + "red"] = record.encode()
         if job is not None and new is not None:
-            quota_write = e.quota_allocation.begin_step(job, new, record)
+            quota_write = e.quota_allocation.begin_job_write(job, new, record)
         else:
             assert record is not None
-            quota_write = e.quota_allocation.begin_record_write("red", record)
+            quota_write = e.quota_allocation.begin_team_record_write("red", record)
 
         def done(outcome: StoreOutcome) -> None:
             if job is not None:
@@ -321,9 +321,9 @@
     """It may be applied late; the room it took must not be given to another job."""
     e, first, second = sharing()
     assert e.quota_allocation.plan(first, grown(first, 2), "n0") == NoRecordChange()
-    e.quota_allocation.begin_step(first, grown(first, 2), None).finish(UnknownOutcome())
+    e.quota_allocation.begin_job_write(first, grown(first, 2), None).finish(UnknownOutcome())
     assert e.quota_allocation.admitted_tasks(second, second.copy()) == 0
-    assert e.quota_allocation.plan(second, grown(second, 1), "n0") == NotPossible()
+    assert e.quota_allocation.plan(second, grown(second, 1), "n0") == StepNotPossible()
     # Once its record has moved on, the write is void.
     again = first.copy()
     again.version = 7
@@ -335,7 +335,7 @@
 def test_a_lowered_share_counts_before_its_write_is_answered() -> None:
     e, first, _ = sharing()
     lowered = TeamAllocation(4, 5, {"n0": (1.0, 0.0), "n1": (20.0, 0.0)})
-    e.quota_allocation.begin_record_write("red", lowered).finish(UnknownOutcome())
+    e.quota_allocation.begin_team_record_write("red", lowered).finish(UnknownOutcome())
     change = e.quota_allocation.plan(first, grown(first, 1), "n0")
     assert isinstance(change, RecordChange)  # it must be raised again, by a write of its own
 
@@ -346,7 +346,7 @@
     e.replica.put(TEAMS_PREFIX + "red", {"term": 5, "shares": {"n0": [24, 0]}}, 12)
     e.quota_allocation.clear_caches()
     assert e.quota_allocation.admitted_tasks(first, first.copy()) == 0
-    assert e.quota_allocation.plan(first, grown(first, 4), "n0") == NotPossible()
+    assert e.quota_allocation.plan(first, grown(first, 4), "n0") == StepNotPossible()
     e.replica.advance(12)
     e.quota_allocation.clear_caches()
     assert e.quota_allocation.plan(first, grown(first, 4), "n0") == NoRecordChange()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -272,7 +272,7 @@
     e.client.max_value_bytes = 1700
     types = ["h4", *(f"type-{number:04d}" for number in range(200))]
     for cancelled in (False, True):
-        job = e.codec.drop_needless_types(
+        job = e.codec.drop_unoffered_types(
             Job(
                 spec(hulls=types),
                 0.0,
@@ -282,7 +282,7 @@
             )
         )
         assert job.spec.types == ["h4"] and e.codec.fits(job)
-    assert e.codec.drop_needless_types(Job(spec(hulls=["h4", "x"]), 0.0, 3)).spec.types == [
+    assert e.codec.drop_unoffered_types(Job(spec(hulls=["h4", "x"]), 0.0, 3)).spec.types == [
         "h4",
         "x",
     ]
--- a/tests/unit/jobs/test_stop_requests.py
+++ b/tests/unit/jobs/test_stop_requests.py
@@ -44,8 +44,8 @@
     requests, _, writer, queue = parts()
     job = job_of(HandoffTarget("n0", "x"))
     requests.send_to_owner(job, "vm-1", {1})
-    assert writer.withdrawn == [job.id] and job.id in queue.jobs and requests.has_any(job.id)
-    assert requests.mark_stopping(job) and not requests.has_any(job.id)
+    assert writer.withdrawn == [job.id] and job.id in queue.jobs and requests.has_pending(job.id)
+    assert requests.mark_stopping(job) and not requests.has_pending(job.id)
     assert [(a.stopping, sorted(a.tasks)) for a in job.attempts] == [(False, [0, 2]), (True, [1])]
     requests.add(job.id, "vm-1", {1})
     assert not requests.mark_stopping(job)  # it is stopping already
@@ -56,4 +56,4 @@
     job = job_of(HandoffTarget("n1", "y"))
     requests.send_to_owner(job, "vm-1", {2, 0})
     assert runtime.take_effects() == [PeerSend(StopTasks(job.id, "vm-1", [0, 2]), "n1")]
-    assert not requests.has_any(job.id) and writer.withdrawn == []
+    assert not requests.has_pending(job.id) and writer.withdrawn == []
--- a/tests/unit/quota/test_allocation.py
+++ b/tests/unit/quota/test_allocation.py
@@ -7,7 +7,7 @@
 import pytest
 
 from appledock.core.quota.allocation import QuotaAllocation
-from appledock.core.quota.record_plan import NoRecordChange, NotPossible, RecordChange
+from appledock.core.quota.record_plan import NoRecordChange, RecordChange, StepNotPossible
 from appledock.core.quota.usage import QuotaUsage
 from appledock.core.records.job import Attempt, HandoffTarget, Job
 from appledock.core.runtime import Runtime
@@ -76,7 +76,7 @@
     assert change.record.version == 2
     assert 9.0 <= change.record.shares["n0"][0] <= 12.0
     assert change.record.shares["n1"] == (12.0, 0.0)
-    assert allocation.plan(job, started(job, 13), "n0") == NotPossible()
+    assert allocation.plan(job, started(job, 13), "n0") == StepNotPossible()
 
 
 def test_only_one_write_of_a_teams_record_is_under_way_at_a_time(
@@ -85,8 +85,8 @@
     job = add_job(replica, 1, 20)
     change = allocation.plan(job, started(job, 9), "n0")
     assert isinstance(change, RecordChange)
-    write = allocation.begin_record_write("red", change.record)
-    assert allocation.plan(job, started(job, 9), "n0") == NotPossible()
+    write = allocation.begin_team_record_write("red", change.record)
+    assert allocation.plan(job, started(job, 9), "n0") == StepNotPossible()
     write.finish(Committed(3))
     allocation.on_record_committed("red", change.record, 3)
     assert allocation.plan(job, started(job, 9), "n0") == NoRecordChange()
--- a/tests/unit/quota/test_record_plan.py
+++ b/tests/unit/quota/test_record_plan.py
@@ -2,7 +2,11 @@
 
 from __future__ import annotations
 
-from appledock.core.quota.record_plan import allocate_anew, move_reservation, raise_allocation
+from appledock.core.quota.record_plan import (
+    allocate_for_new_view,
+    move_reservation,
+    raise_allocation,
+)
 from appledock.core.quota.resources import Resources, total
 
 LIMIT = Resources(24.0)
@@ -29,6 +33,8 @@
 
 
 def test_a_new_view_gives_every_member_more_than_its_jobs_hold() -> None:
-    changed = allocate_anew({"n1": Resources(8.0)}, "n0", Resources(2.0), LIMIT, {"n0", "n1", "n2"})
+    changed = allocate_for_new_view(
+        {"n1": Resources(8.0)}, "n0", Resources(2.0), LIMIT, {"n0", "n1", "n2"}
+    )
     assert changed["n0"].cpus > 2.0 and changed["n1"].cpus > 8.0 and changed["n2"].cpus > 0.0
     assert total(changed.values()).fits_in(LIMIT)
--- a/tests/unit/scheduling/test_step_writer.py
+++ b/tests/unit/scheduling/test_step_writer.py
@@ -41,7 +41,7 @@
 
         codec: Any = SimpleNamespace(
             fits=lambda job: len(job.attempts) <= max_attempts,
-            drop_needless_types=lambda job: job,
+            drop_unoffered_types=lambda job: job,
         )
         capacity_index: Any = SimpleNamespace(mark_changed=self.changed_machines.append)
         settlement: Any = SimpleNamespace(copy_without_settled_attempts=lambda job: job.copy())
