--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -1,16 +1,16 @@
-"""Enforcement of cancellations whose deadline is near.
+"""Enforcement of cancellations before their deadline.
 
-`cancel_s` after a cancellation is answered, no task of the job may be on any machine. The owner
-of each machine halts its tasks on the ordinary path (`core/workers`). Three means are for when
-that path fails:
+No task of a cancelled job may be on any machine `cancel_s` after the cancellation is answered.
+Normally, the owner of each machine halts the tasks through command reconciliation
+(`core/workers`). Three fallbacks cover failures of that path:
 
-* the committed record goes to all peers (`cancellation_dissemination`);
-* every controller that knows of it halts what heartbeats show, without leadership
-  (`cancelled_task_halter`);
-* shortly before the deadline, a machine that may still run such a task is deleted by any
-  controller that reaches the cloud (`cancelled_task_machine_deleter`).
+* The committed record is sent to all peers (`cancellation_dissemination`).
+* Every controller that knows of the cancellation halts the tasks that heartbeats report; this
+  needs no leadership (`cancelled_task_halter`).
+* Shortly before the deadline, any controller that reaches the cloud deletes a machine that may
+  still run such a task (`cancelled_task_machine_deleter`).
 
-This module decides, at intervals, when the second and the third are due.
+This module checks at intervals whether the second and the third fallback are due.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownCancellation:
-    """A cancelled job that still has open attempts; moments of the steady clock, s."""
+    """Times of the cancellation of a job that is still open, on the monotonic clock, s."""
 
     learned_at: float
-    """when this controller learned of it"""
+    """when this controller learned of the cancellation"""
     committed_at: float
-    """when it was committed: the user was answered no earlier"""
+    """when the cancellation was committed, which is no later than the answer to the user"""
 
 
 class CancellationEnforcer:
-    """Halts cancelled tasks that their owner may be unable to halt, and deletes machines."""
+    """Halts cancelled tasks that the machine's owner may be unable to halt; deletes machines."""
 
     def __init__(
         self,
@@ -59,28 +59,28 @@
         self._heartbeats = heartbeats
         self._halter = halter
         self._machine_deleter = machine_deleter
-        self._known: dict[str, KnownCancellation] = {}
+        self._known_cancellations: dict[str, KnownCancellation] = {}
         self._next_check_at = 0.0
 
     def tick(self) -> None:
-        """Halt what cancelled jobs still run; near the deadline, delete their machines."""
+        """Halt tasks that cancelled jobs still run; near the deadline, delete their machines."""
         now = self._runtime.now
         if now < self._next_check_at:
             return
         self._next_check_at = now + constants.MACHINE_CHECK_INTERVAL_S
-        if not self._replica.cancelled_jobs and not self._known:
+        if not self._replica.cancelled_jobs and not self._known_cancellations:
             return
-        self._forget_old()
+        self._forget_finished()
         to_halt: dict[str, list[wire.TaskReport]] = {}
         to_delete: set[str] = set()
         for job_id in sorted(self._replica.cancelled_jobs):
             job = self._replica.jobs[job_id]
-            known = self._learn(job)
+            known = self._register(job)
             for machine, tasks in self._tasks_to_halt(job, known):
                 to_halt.setdefault(machine, []).extend(tasks)
             if self._is_deadline_near(known):
                 to_delete.update(
-                    attempt.machine for attempt in job.attempts if self._may_run(job, attempt)
+                    attempt.machine for attempt in job.attempts if self._may_still_run(job, attempt)
                 )
         for machine, tasks in to_halt.items():
             report = self._workers.table[machine].report
@@ -89,41 +89,42 @@
         if to_delete:
             self._machine_deleter.delete(sorted(to_delete))
 
-    def _forget_old(self) -> None:
-        for job_id in [job_id for job_id in self._known if self._is_over(job_id)]:
-            del self._known[job_id]
-        self._halter.forget_old()
-        self._machine_deleter.forget_old()
+    def _forget_finished(self) -> None:
+        for job_id in [job_id for job_id in self._known_cancellations if self._is_finished(job_id)]:
+            del self._known_cancellations[job_id]
+        self._halter.forget_expired()
+        self._machine_deleter.forget_expired()
 
-    def _is_over(self, job_id: str) -> bool:
+    def _is_finished(self, job_id: str) -> bool:
         return job_id not in self._replica.cancelled_jobs
 
-    def _learn(self, job: Job) -> KnownCancellation:
-        known = self._known.get(job.id)
+    def _register(self, job: Job) -> KnownCancellation:
+        """Return the times of the job's cancellation; the first call records them."""
+        known = self._known_cancellations.get(job.id)
         if known is None:
             now = self._runtime.now
             age_s = (
                 max(0.0, self._runtime.wall_time - job.cancelled_at) if job.cancelled_at else 0.0
             )
-            known = self._known[job.id] = KnownCancellation(now, now - age_s)
+            known = self._known_cancellations[job.id] = KnownCancellation(now, now - age_s)
         return known
 
     # --- halts ------------------------------------------------------------
     def _tasks_to_halt(
         self, job: Job, known: KnownCancellation
     ) -> list[tuple[str, list[wire.TaskReport]]]:
-        """Machines, and the job's tasks there that this controller has to halt."""
+        """Return each machine with the job's tasks there that this controller has to halt."""
         result = []
         for attempt in job.attempts:
             worker = self._workers.table.get(attempt.machine)
             if worker is not None and self._must_halt(worker, known):
-                tasks = _shown_tasks(worker, job.id, attempt)
+                tasks = _reported_tasks(worker, job.id, attempt)
                 if tasks:
                     result.append((attempt.machine, tasks))
         return result
 
     def _must_halt(self, worker: Worker, known: KnownCancellation) -> bool:
-        """Must this controller halt, since the machine's owner may be unable to?"""
+        """Return whether this controller must halt tasks since the owner may be unable to."""
         if self._replica.view is None:
             return True
         owner = self._replica.owner_of(worker.id)
@@ -136,9 +137,10 @@
 
     # --- deletions --------------------------------------------------------
     def _is_deadline_near(self, known: KnownCancellation) -> bool:
-        """Is the deadline near, and were halts tried for a while?
+        """Return whether the deadline is near and halts had enough time to take effect.
 
-        The owner, who knows most, is first; the others follow if the machine still exists then.
+        Every controller applies this test. The machine's owner, which knows most about it, is
+        meant to act first; the others follow if the machine still exists by then.
         """
         cancel_s = self._runtime.settings.cluster.workers.cancel_s
         return (
@@ -146,26 +148,26 @@
             and self._runtime.now - known.learned_at > constants.CANCEL_HALT_FALLBACK_DELAY_S
         )
 
-    def _may_run(self, job: Job, attempt: Attempt) -> bool:
-        """May a task of the attempt still run?
+    def _may_still_run(self, job: Job, attempt: Attempt) -> bool:
+        """Return whether a task of the attempt may still run.
 
-        Not if a verdict says that it is over, nor if its machine's recent heartbeat does not
-        show it: then only a launch under way could bring it, which the machine's agent epoch or
-        a new term voids.
+        None does if verdicts show that all are over, or if a recent heartbeat of the machine
+        does not report them. In the latter case only a launch in flight could still start one,
+        and the machine's agent epoch or a new term voids that launch.
         """
         worker = self._workers.table.get(attempt.machine)
         if attempt.machine in self._workers.deleted_machines or worker is None:
             return False
-        if self._is_lease_over(worker) or self._is_settled(job, attempt):
+        if self._is_lease_expired(worker) or self._is_settled(job, attempt):
             return False
         if worker.agent_epoch != attempt.agent_epoch:
             return False
         recent_s = 2 * self._runtime.settings.cluster.workers.report_s
         is_recent = self._runtime.now - worker.reachability.last_heartbeat_at < recent_s
-        return not is_recent or bool(_shown_tasks(worker, job.id, attempt))
+        return not is_recent or bool(_reported_tasks(worker, job.id, attempt))
 
-    def _is_lease_over(self, worker: Worker) -> bool:
-        """Has the worker's lease certainly expired, with the drift allowed for its clock?"""
+    def _is_lease_expired(self, worker: Worker) -> bool:
+        """Return whether the worker's lease has certainly expired, given the drift of its clock."""
         lease_s = self._runtime.settings.cluster.workers.lease_s
         last_renewal_at = max(worker.lease.renewable_until, worker.reachability.last_heartbeat_at)
         return self._runtime.now - last_renewal_at > (
@@ -173,11 +175,12 @@
         )
 
     def _is_settled(self, job: Job, attempt: Attempt) -> bool:
+        """Return whether there is a verdict on every task of the attempt."""
         return all(self._workers.verdict(job, attempt, task) is not None for task in attempt.tasks)
 
 
-def _shown_tasks(worker: Worker, job_id: str, attempt: Attempt) -> list[wire.TaskReport]:
-    """Tasks of the attempt that the worker's last heartbeat shows as not exited."""
+def _reported_tasks(worker: Worker, job_id: str, attempt: Attempt) -> list[wire.TaskReport]:
+    """Return the attempt's tasks that the worker's last heartbeat reports as not exited."""
     if worker.agent_epoch != attempt.agent_epoch:
         return []
     entries = [
--- a/appledock/core/jobs/cancellation_dissemination.py
+++ b/appledock/core/jobs/cancellation_dissemination.py
@@ -1,7 +1,8 @@
-"""Dissemination of committed cancellations from controller to controller.
+"""Dissemination of committed cancellations between controllers.
 
-The watch brings nothing in an outage of the store, nor to a controller that alone is refused by
-it; a committed record is true wherever it comes from.
+The watch delivers nothing during an outage of the store, nor to a single controller that the
+store refuses. A committed record is valid whichever way it arrives, so controllers also send
+cancellations to each other.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class CancellationDissemination:
-    """Sends the records of committed cancellations to the peers, and takes in theirs."""
+    """Sends the records of committed cancellations to all peers and applies those of peers."""
 
     def __init__(self, runtime: Runtime, replica: Replica, codec: JobRecordCodec) -> None:
         self._runtime = runtime
@@ -25,20 +26,21 @@
         self._codec = codec
 
     def broadcast(self, job: Job | None, job_id: str, revision: int) -> None:
-        """Send a cancellation that was committed here to all peers, along with the user's answer.
+        """Send a cancellation that this controller committed to all peers.
 
-        `job` is the record committed; None if the job was over with its cancellation.
+        It is sent when the user is answered. `job` is the committed record; None if the
+        cancellation ended the job at once.
         """
         self._runtime.emit(PeerSend(self._message(job_id, job, revision)))
 
     def on_peer_connected(self, name: str) -> None:
-        """A link opened: the peer may have missed what was sent before."""
+        """Send all known cancellations to a peer whose link has opened: it may have missed some."""
         for job_id in sorted(self._replica.cancelled_jobs):
             job = self._replica.jobs[job_id]
             self._runtime.emit(PeerSend(self._message(job_id, job, job.version), name))
 
     def on_peer_message(self, message: JobCancelled) -> None:
-        """Take a committed record into the replica; there the newest version wins."""
+        """Apply a peer's committed record to the replica, which keeps the newest version."""
         job_id, version = message.job, message.version
         if message.record is not None:
             self._replica.put(JOBS_PREFIX + job_id, message.record, version)
--- a/appledock/core/jobs/cancelled_task_halter.py
+++ b/appledock/core/jobs/cancelled_task_halter.py
@@ -1,8 +1,8 @@
 """Halts of cancelled tasks that need no leadership.
 
-Ending a task of a committed cancellation is right whoever does it. Nothing is started, renewed
-or settled here, and a halt carries the fencing token of the worker's own heartbeat: a higher one
-would void a launch of the present owner, a lower one is refused.
+Any controller may halt a task whose cancellation is committed. This module starts, renews and
+settles nothing. A halt carries the fencing token of the worker's own heartbeat: a higher token
+would void a launch of the current owner, and the worker refuses a lower one.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 
 
 class CancelledTaskHalter:
-    """Halts cancelled tasks directly at their workers, each at most every `HALT_RETRY_DELAY_S`."""
+    """Halts cancelled tasks at their workers, each at most once per `HALT_RETRY_DELAY_S`."""
 
     def __init__(self, runtime: Runtime, replica: Replica, workers: Workers) -> None:
         self._runtime = runtime
         self._replica = replica
         self._workers = workers
         self._halted_at: dict[_HaltedTask, float] = {}
-        """when a task was last halted by this controller"""
+        """task -> when this controller last halted it"""
 
     def halt_cancelled_tasks(self, report: wire.Report) -> None:
-        """Halt the cancelled tasks of a heartbeat that this controller may not answer."""
+        """Halt the cancelled tasks in a heartbeat that this controller may not answer."""
         tasks = [
             task
             for task in report.tasks
@@ -48,7 +48,7 @@
             self.halt(report, tasks)
 
     def halt(self, report: wire.Report, tasks: list[wire.TaskReport]) -> None:
-        """Halt these tasks of the worker, without those halted a moment ago."""
+        """Halt these tasks of the worker, except those halted within `HALT_RETRY_DELAY_S`."""
         now = self._runtime.now
         due = [
             task
@@ -60,8 +60,8 @@
             self._halted_at.update((_halted_task(report, task), now) for task in due)
             self._send(report, due)
 
-    def forget_old(self) -> None:
-        """Forget halts that may be repeated."""
+    def forget_expired(self) -> None:
+        """Drop halts older than `HALT_RETRY_DELAY_S`, which may be sent again."""
         now = self._runtime.now
         self._halted_at = {
             task: halted_at
@@ -99,9 +99,9 @@
         )
 
     def _ingest_if_known(self, report: wire.Report) -> None:
-        """Take in the heartbeat of a worker that has sent one before.
+        """Ingest the heartbeat of a worker that has sent one before.
 
-        A worker first heard of while this controller has no leadership would be judged by a
+        A worker first seen while this controller has no leadership would be evaluated with a
         term that may have ended long ago.
         """
         worker = self._workers.table.get(report.worker)
--- a/appledock/core/jobs/cancelled_task_machine_deleter.py
+++ b/appledock/core/jobs/cancelled_task_machine_deleter.py
@@ -1,6 +1,6 @@
-"""Deletion of machines on which cancelled tasks may still run: the last means.
+"""Deletion of machines on which cancelled tasks may still run, the last fallback.
 
-Deletions go to the cloud, whose calls need no store.
+Deletions are calls to the cloud and do not depend on the store.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 class CancelledTaskMachineDeleter:
-    """Deletes machines, again until the cloud answers."""
+    """Deletes machines, and repeats each request until the cloud answers."""
 
     def __init__(
         self, runtime: Runtime, workers: Workers, on_deleted: Callable[[list[str]], None]
     ) -> None:
-        """Build it; `on_deleted` is called with the machines whose deletion is confirmed."""
+        """Create the deleter; `on_deleted` receives the machines whose deletion is confirmed."""
         self._runtime = runtime
         self._workers = workers
         self._on_deleted = on_deleted
@@ -33,16 +33,16 @@
         self._next_request_at = 0.0
 
     def delete(self, names: list[str]) -> None:
-        """Delete the machines in one request, without those requested a moment ago.
+        """Delete the machines in one request, except those requested recently.
 
         A controller that receives few heartbeats deletes nothing: it is probably cut off itself,
-        and the workers' leases end without it.
+        and the workers' leases expire without its help.
         """
         now = self._runtime.now
-        due = [name for name in names if not self._is_requested(name)][
+        due = [name for name in names if not self._is_recently_requested(name)][
             : constants.DELETION_MACHINES_MAX
         ]
-        if not due or now < self._next_request_at or not self._hears_most_workers():
+        if not due or now < self._next_request_at or not self._are_most_workers_reporting():
             return
         self._next_request_at = now + constants.CANCEL_DELETE_RETRY_DELAY_S / 2
         self._requested_at.update(dict.fromkeys(due, now))
@@ -60,19 +60,20 @@
             on_reply,
         )
 
-    def forget_old(self) -> None:
-        """Forget requests that may be repeated."""
+    def forget_expired(self) -> None:
+        """Drop requests older than `CANCEL_DELETE_RETRY_DELAY_S`, which may be sent again."""
         self._requested_at = {
             name: requested_at
             for name, requested_at in self._requested_at.items()
-            if self._is_requested(name)
+            if self._is_recently_requested(name)
         }
 
-    def _is_requested(self, name: str) -> bool:
+    def _is_recently_requested(self, name: str) -> bool:
         requested_at = self._requested_at.get(name, constants.DISTANT_PAST)
         return self._runtime.now - requested_at < constants.CANCEL_DELETE_RETRY_DELAY_S
 
-    def _hears_most_workers(self) -> bool:
+    def _are_most_workers_reporting(self) -> bool:
+        """Return whether enough workers sent a heartbeat within two heartbeat intervals."""
         recent_s = 2 * self._runtime.settings.cluster.workers.report_s
         are_recent = [
             self._runtime.now - worker.reachability.last_heartbeat_at < recent_s
--- a/appledock/core/jobs/codec.py
+++ b/appledock/core/jobs/codec.py
@@ -1,4 +1,4 @@
-"""Encodes job records in the format in use and keeps them to the largest value allowed."""
+"""Encoding of job records in the format in use, within the size limit of stored values."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
         self._machine_types = machine_types
 
     def encode(self, job: Job) -> dict[str, Any]:
-        """Encode the job's record in the format that all members read."""
+        """Encode the job's record in the format that all members can read."""
         return job.encode(self._replica.record_format.value)
 
     def fits(self, job: Job) -> bool:
-        """Does the record keep to the size that a value may have?"""
+        """Return whether the encoded record is within the size limit of a stored value."""
         return len(wire.encode(self.encode(job))) <= self._client.max_value_bytes
 
     def drop_unoffered_types(self, job: Job) -> Job:
-        """Drop machine types that decide nothing from a description that is too large.
+        """Remove machine types without effect from a job whose record is too large.
 
-        Guards against records that were stored under larger limits and could never be written
-        again. Types that the cloud does not offer decide nothing, nor do those of a cancelled
-        job.
+        This guards against records that were stored under larger limits and could never be
+        written again. Types that the cloud does not offer have no effect, nor do any types of a
+        cancelled job. If no type would be left, the first one stays.
         """
         types = job.spec.types
         if types is not None and not self.fits(job):
--- a/appledock/core/jobs/reconcile_queue.py
+++ b/appledock/core/jobs/reconcile_queue.py
@@ -1,4 +1,4 @@
-"""What waits to be reconciled or placed, filled by whatever notices a change."""
+"""Queue of the reconciler: jobs and workers to reconcile, and whether placement is due."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class PendingReason(enum.StrEnum):
-    """Why a job's queued tasks wait; the values are part of the administration API."""
+    """Reason why a job's queued tasks wait; the values are part of the administration API."""
 
     UNKNOWN_TEAM = "unknown team"
     TEAM_LIMIT = "team limit"
@@ -25,23 +25,23 @@
 class ReconcileQueue:
     """Jobs to reconcile, workers that changed, and whether a placement pass is due.
 
-    The parts that notice a change write here; the reconciler alone takes out.
+    Any part that notices a change adds it here. Only the reconciler takes entries to process.
     """
 
     jobs: set[str] = field(default_factory=set)
-    """jobs to reconcile with the next batch"""
+    """IDs of jobs to reconcile with the next batch"""
     deferred_jobs: set[str] = field(default_factory=set)
-    """jobs to reconcile again soon"""
+    """IDs of jobs to reconcile again after a short delay"""
     changed_workers: set[str] = field(default_factory=set)
-    """workers whose heartbeat, agent epoch or existence has changed"""
+    """IDs of workers whose heartbeat, agent epoch or existence has changed"""
     placement_due: bool = True
-    """something has changed that may let a queued job start"""
+    """whether something has changed that may let a queued job start"""
     pending_reasons: dict[str, PendingReason] = field(default_factory=dict)
     """job -> why its queued tasks wait, for the administration API"""
     capacity_freed_at: dict[str, float] = field(default_factory=dict)
-    """job -> since when it has lost tasks that are not recorded as lost yet"""
+    """job -> when it was found to have lost tasks that its record does not show as lost yet"""
 
     def forget(self, job_id: str) -> None:
-        """The job is over."""
+        """Drop the entries of a job that has ended."""
         self.pending_reasons.pop(job_id, None)
         self.capacity_freed_at.pop(job_id, None)
--- a/appledock/core/jobs/settlement.py
+++ b/appledock/core/jobs/settlement.py
@@ -1,8 +1,9 @@
-"""Which recorded attempts are over, re-examined only where something changed.
+"""Settlement of recorded attempts: which of them are over.
 
-A verdict is final: an attempt that is over stays over. So a verdict is kept until the record
-shows it, and a heartbeat costs a look at the attempts of its own machine, not at all attempts
-of every job that has a task there.
+Attempts are examined again only where something changed. A verdict is final, since an attempt
+that is over stays over, so each verdict is kept until the record shows it. A heartbeat therefore
+costs one examination of the attempts on its own machine, not of all attempts of every job that
+has a task there.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 
 
 class AttemptTask(NamedTuple):
-    """One attempt of one task; unique within a job."""
+    """Key of one attempt of one task, unique within a job."""
 
     attempt_number: int
     task: int
 
 
 class _SettledJob(NamedTuple):
-    """A job without its settled attempts, and what it was computed from."""
+    """Cached copy of a job without its settled attempts, and the inputs it was computed from."""
 
     version: int
     verdict_count: int
@@ -34,7 +35,7 @@
 
 
 class Settlement:
-    """Verdicts on attempts that are over, by job, until they are recorded."""
+    """Verdicts on attempts that are over, by job, kept until the job's record shows them."""
 
     def __init__(
         self,
@@ -42,43 +43,50 @@
         verdict: Callable[[Job, Attempt, int], AttemptVerdict | None],
         on_task_failed: Callable[[str, str], None],
     ) -> None:
-        """Build it on `verdict` (None: the attempt is open).
+        """Create the settlement.
 
-        `on_task_failed` is called once for each failed attempt, with machine and job.
+        Args:
+            replica: the jobs and their recorded attempts
+            verdict: returns the verdict on one task of an attempt, None while it is open
+            on_task_failed: called with machine and job, once for each failed attempt of a task
         """
         self._replica = replica
         self._verdict = verdict
         self._on_task_failed = on_task_failed
         self._verdicts: dict[str, Verdicts] = {}
-        """job -> verdicts that its record doesn't show yet"""
+        """job -> verdicts that its record does not show yet"""
         self._changed_machines: dict[str, set[str]] = {}
-        """job -> machines that changed since its attempts there were examined"""
-        self._unexamined: set[str] = set()
-        """jobs of which every attempt is to be examined"""
+        """job -> machines that changed after its attempts there were last examined"""
+        self._jobs_to_examine: set[str] = set()
+        """IDs of jobs of which every attempt is to be examined"""
         self._settled: dict[str, _SettledJob] = {}
 
     def on_machine_changed(self, machine: str) -> None:
-        """A heartbeat, an expired lease, a deletion or a record changed what is known of it."""
+        """Mark the attempts on a machine for examination.
+
+        To be called when a heartbeat, an expired lease, a deletion or a record has changed what
+        is known of the machine.
+        """
         for job_id in self._replica.attempts_by_machine.get(machine, ()):
             self._changed_machines.setdefault(job_id, set()).add(machine)
 
     def examine_all(self, job_id: str) -> None:
-        """Examine every attempt of the job once more."""
-        self._unexamined.add(job_id)
+        """Mark every attempt of the job for examination."""
+        self._jobs_to_examine.add(job_id)
 
     def forget(self, job_id: str) -> None:
-        """The job is over."""
+        """Drop the state of a job that has ended."""
         self._verdicts.pop(job_id, None)
         self._changed_machines.pop(job_id, None)
-        self._unexamined.discard(job_id)
+        self._jobs_to_examine.discard(job_id)
         self._settled.pop(job_id, None)
 
     def without_settled_attempts(self, job: Job) -> Job | None:
-        """Return the job without its settled attempts; None if no attempt is settled.
+        """Return a copy of the job without its settled attempts, or None if none is settled.
 
-        The result is shared: callers do not change it.
+        The copy is cached and shared, so callers must not change it.
         """
-        verdicts = self._examine(job)
+        verdicts = self._examine_job(job)
         if not verdicts:
             return None
         known = self._settled.get(job.id)
@@ -93,21 +101,22 @@
         return result
 
     def copy_without_settled_attempts(self, job: Job) -> Job:
-        """Copy the job without its settled attempts, for the next record."""
+        """Return a new copy of the job without its settled attempts, for the next record."""
         return (self.without_settled_attempts(job) or job).copy()
 
-    def _examine(self, job: Job) -> Verdicts:
-        """All verdicts on the job, those of changed machines included."""
+    def _examine_job(self, job: Job) -> Verdicts:
+        """Examine the attempts that are marked, and return all verdicts on the job."""
         verdicts = self._verdicts.setdefault(job.id, {})
         machines = self._changed_machines.pop(job.id, set())
-        is_complete = job.id in self._unexamined
-        self._unexamined.discard(job.id)
+        examines_all = job.id in self._jobs_to_examine
+        self._jobs_to_examine.discard(job.id)
         for attempt in job.attempts:
-            if is_complete or attempt.machine in machines:
+            if examines_all or attempt.machine in machines:
                 self._examine_attempt(job, attempt, verdicts)
         return verdicts
 
     def _examine_attempt(self, job: Job, attempt: Attempt, verdicts: Verdicts) -> None:
+        """Add the verdicts on the tasks of the attempt that are over to `verdicts`."""
         for task in attempt.tasks:
             key = AttemptTask(attempt.attempt_number, task)
             if key in verdicts:
@@ -120,9 +129,9 @@
 
 
 def _apply_verdicts(job: Job, verdicts: Verdicts) -> Job | None:
-    """Copy the job without the attempts that the verdicts settle; None if they settle none.
+    """Return a copy of the job with the verdicts applied, or None if they settle no attempt.
 
-    Verdicts that the record shows already are dropped from `verdicts`.
+    Verdicts that the record already shows are removed from `verdicts`.
     """
     new = job.copy()
     recorded = set(verdicts)
@@ -133,7 +142,7 @@
             if verdict is not None:
                 recorded.discard(key)
                 attempt.tasks.discard(task)
-                _count(new, task, verdict)
+                _count_verdict(new, task, verdict)
     for key in recorded:
         del verdicts[key]
     if not verdicts:
@@ -143,7 +152,8 @@
     return new
 
 
-def _count(job: Job, task: int, verdict: AttemptVerdict) -> None:
+def _count_verdict(job: Job, task: int, verdict: AttemptVerdict) -> None:
+    """Update the job's completed tasks and consecutive failures for one verdict."""
     match verdict:
         case AttemptVerdict.DONE:
             job.completed_tasks.add(task)
--- a/appledock/core/jobs/team_record_writer.py
+++ b/appledock/core/jobs/team_record_writer.py
@@ -1,4 +1,4 @@
-"""Writes of teams' records by themselves: allocations raised or released without a step."""
+"""Writes of a team's record alone, which raise or release allocations without a step."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class TeamRecordWriter:
-    """Changes the allocations of teams' limits outside the transactions of steps."""
+    """Changes the allocations of teams' limits outside the transactions of job records."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self._client.submit(transaction, priority, on_outcome)
 
     def release_unused_allocations(self) -> None:
-        """Give up unused allocations that more urgent jobs of other controllers lack."""
+        """Release unused allocations that more urgent jobs of other controllers need."""
         for team in self._replica.jobs_by_team:
             releasable = self._quota_allocation.releasable(team)
             if releasable.is_positive() and not self._quota_allocation.is_being_written(team):
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -1,8 +1,9 @@
 """Conditional writes of job records, one at a time for each job.
 
-One transaction holds all that a decision about a job changes (one write for a step): the job's
-record or its end, and the team's record if its allocations change. Its conditions are the
-versions of these records, this controller's lease and view, and who owns the capacity used.
+One transaction holds everything that a decision about a job changes, so that a step takes a
+single write: the job's record or its final record, and the team's record if its allocations
+change. The transaction is conditional on the versions of these records, on this controller's
+lease and view, and on the ownership of the capacity that the step uses.
 """
 
 from __future__ import annotations
@@ -43,11 +44,11 @@
 log = logging.getLogger(__name__)
 
 CommitListener = Callable[[str, list[StepReservation]], None]
-"""called with a job whose write is committed, and the capacity that its step uses"""
+"""called with the ID of a job whose write was committed, and the capacity that its step uses"""
 
 
 class FinalState(enum.StrEnum):
-    """How a job ends; the values are stored."""
+    """Final state of a job; the values are stored."""
 
     DONE = wire.DONE
     CANCELLED = wire.CANCELLED
@@ -55,35 +56,38 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordUpdate:
-    """The job stays open: progress, a step, a hand-off, or attempts marked as stopping."""
+    """The job stays open.
+
+    The write records progress, a step, a handoff or attempts marked as stopping.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class JobEnd:
-    """The job is over: its open record gives way to a final one."""
+    """The job has ended: a final record replaces its open record."""
 
     state: FinalState
 
 
 @dataclass(frozen=True, slots=True)
 class JobWrite:
-    """A write of one job's record that is under way."""
+    """A write of one job's record, from its submission until its outcome is known."""
 
     job: Job
-    """as recorded"""
+    """the job as recorded before the write"""
     new: Job
-    """as it is written"""
+    """the job as the write records it"""
     change: RecordUpdate | JobEnd
     team_record: TeamAllocation | None
     """the team's record, if it is part of the transaction"""
     reservations: list[StepReservation]
-    """capacity that the step uses"""
+    """capacity that the step uses; empty if the write places no tasks"""
     quota_write: PendingWrite
-    """what the quota counts for the write until its outcome is known"""
+    """what the quota counts for the write while its outcome is unknown"""
 
 
 class JobWriter:
-    """Writes job records and follows up each outcome."""
+    """Writes job records and handles the outcome of each write."""
 
     def __init__(  # noqa: PLR0913 -- one transaction touches all that a step changes
         self,
@@ -116,30 +120,30 @@
         self._is_step_rate_limited = is_step_rate_limited
         self._commit_listeners = commit_listeners
         self.jobs_in_flight: set[str] = set()
-        """jobs with a write under way"""
+        """IDs of jobs with a write in flight"""
         self.queued_calls: dict[str, QueuedCall] = {}
-        """job -> the call of its write, perhaps still queued in the client"""
+        """job -> the call of its write in flight, which the client may not have sent yet"""
         self.written_at: dict[str, float] = {}
-        """job -> when a write of it was last committed"""
+        """job -> time of its last committed write"""
         self._retry_at: dict[str, float] = {}
-        """job -> when it may be written again"""
+        """job -> earliest time of its next write"""
         self._rejection_counts: dict[str, int] = {}
-        """job -> writes in a row that the store rejected as malformed or too large"""
+        """job -> consecutive writes that the store rejected as malformed or too large"""
 
     def forget(self, job_id: str) -> None:
-        """The job is over."""
+        """Drop the state of a job that has ended."""
         self._retry_at.pop(job_id, None)
         self.written_at.pop(job_id, None)
         self._rejection_counts.pop(job_id, None)
 
     def can_write(self, job: Job) -> bool:
-        """Has the job no write under way, and no backoff?"""
+        """Return whether the job has no write in flight and is not in backoff."""
         return job.id not in self.jobs_in_flight and self._runtime.now >= self._retry_at.get(
             job.id, 0.0
         )
 
     def final_state(self, job: Job) -> FinalState | None:
-        """Return how the job has ended; None while it is open."""
+        """Return the final state that the job has reached, or None while it is open."""
         if job.cancelled or job.id in self._replica.dependencies.cancelled_by_dependency:
             return None if job.attempts else FinalState.CANCELLED
         if not job.spec.service and len(job.completed_tasks) == job.spec.tasks:
@@ -154,31 +158,37 @@
         priority: Priority,
         reservations: list[StepReservation] | None = None,
     ) -> bool:
-        """Write the job as `new` in one conditional transaction; False: not possible now."""
+        """Write the job as `new` in one conditional transaction.
+
+        Return False if no write of the job was queued: the quota does not allow it now, the
+        team's record has to be written first, or the client's queue is full.
+        """
         new_owner = self._replica.job_owner(new)
         plan = self._quota_allocation.plan(job, new, new_owner)
         if isinstance(plan, StepNotPossible):
             self._reconcile_queue.deferred_jobs.add(job.id)
-            self._wait_for_team_record(job)
+            self._mark_waiting_for_team_record(job)
             return False
         team_record = plan.record if isinstance(plan, RecordChange) else None
         if team_record is not None and self._must_raise_allocation_first(new_owner):
             self._team_record_writer.write(job.spec.team, team_record, Priority.URGENT)
-            self._wait_for_team_record(job)
+            self._mark_waiting_for_team_record(job)
             return False
         state = self.final_state(new)
         change = JobEnd(state) if state is not None else RecordUpdate()
         return self._submit(job, new, change, priority, team_record, reservations or [])
 
-    def _wait_for_team_record(self, job: Job) -> None:
+    def _mark_waiting_for_team_record(self, job: Job) -> None:
         self._reconcile_queue.pending_reasons[job.id] = PendingReason.TEAM_RECORD_UNDER_WAY
 
     def _must_raise_allocation_first(self, new_owner: str) -> bool:
-        """Must the team's allocation be raised by a write of its own, before the step?
+        """Return whether a separate write must raise the team's allocation before the step.
 
-        A step queued for its write conflicts with the others' changes of the team's record and
-        is then placed anew. Never for a job that is handed off: its reservation goes along with
-        it, or the new owner's allocation would hold what still runs here.
+        While steps are rate limited, a step waits in the client's queue. If it also wrote the
+        team's record, it would conflict with other controllers' writes of that record and would
+        have to be placed again. A job that is handed off is exempt: its reservation moves in the
+        transaction of the handoff, since otherwise the new owner's allocation would include
+        capacity that this controller's job still holds.
         """
         return new_owner == self._runtime.node and self._is_step_rate_limited()
 
@@ -191,7 +201,7 @@
         team_record: TeamAllocation | None,
         reservations: list[StepReservation],
     ) -> bool:
-        """Reserve what the write uses and queue it; False: the client's queue is full."""
+        """Reserve what the write uses and queue it; return False if the client's queue is full."""
         transaction = self._transaction(job, new, change, team_record)
         transaction.conditions.update(self._partition_conditions(reservations))
         self.jobs_in_flight.add(job.id)
@@ -247,7 +257,7 @@
             self._retry_at[job_id] = self._runtime.now + self._backoff_s(write, outcome)
 
     def _on_committed(self, write: JobWrite, revision: int) -> None:
-        """Apply the write to the replica ahead of the watch."""
+        """Apply the committed write to the replica, before the watch reports it."""
         job_id = write.job.id
         self.written_at[job_id] = self._runtime.now
         self._rejection_counts.pop(job_id, None)
@@ -263,7 +273,7 @@
             case RecordUpdate():
                 write.new.version = revision
                 self._replica.set_job(write.new)
-                self._back_off_failing(write.job, write.new)
+                self._back_off_failing_job(write.job, write.new)
             case _:
                 assert_never(write.change)
         if write.team_record is not None:
@@ -271,7 +281,7 @@
             self._quota_allocation.on_record_committed(team, write.team_record, revision)
 
     def _backoff_s(self, write: JobWrite, outcome: StoreOutcome) -> float:
-        """Return the time until the job is decided anew after a write that did not succeed."""
+        """Return the delay, in s, before the job is decided again after a failed write."""
         job, random = write.job, self._runtime.rng.random
         spread_s = constants.RETRY_DELAY_MAX_S - constants.RETRY_DELAY_MIN_S
         backoff_s = constants.RETRY_DELAY_MIN_S + random() * spread_s
@@ -280,12 +290,14 @@
                 self._reader.read_keys(outcome.failed)
                 return constants.RETRY_DELAY_MIN_S * random()
             case UnknownOutcome():
-                # It may be applied, now or later: read before acting on either.
+                # The write may have been executed or may still be. Read the records before
+                # acting on either case.
                 team_keys = [TEAMS_PREFIX + job.spec.team] if write.team_record else []
                 self._reader.read_keys([JOBS_PREFIX + job.id, *team_keys])
             case Rejected():
-                # Too large, most likely: it may fit now that the client's limit is lower. If
-                # not, try seldom, since each attempt uses up the rate limit of the others.
+                # The record is probably too large. The client has lowered its size limit, so
+                # the next record may fit. If it does not, back off exponentially: each attempt
+                # uses up rate limit that other writes need.
                 count = self._rejection_counts.get(job.id, 0) + 1
                 self._rejection_counts[job.id] = count
                 self._reconcile_queue.pending_reasons[job.id] = PendingReason.RECORD_REJECTED
@@ -294,17 +306,19 @@
                 pass
         return backoff_s
 
-    def _back_off_failing(self, job: Job, new: Job) -> None:
-        """Write a job whose tasks fail everywhere less and less often."""
+    def _back_off_failing_job(self, job: Job, new: Job) -> None:
+        """Delay the next write of a job whose tasks keep failing, longer with each failure."""
         failures = new.consecutive_failures
         if failures > job.consecutive_failures and failures >= 2:
             self._retry_at[job.id] = self._runtime.now + _exponential_backoff_s(failures - 2)
 
     # --- withdrawing ------------------------------------------------------
     def withdraw(self, job_id: str) -> bool:
-        """Withdraw a write that is still queued in the client; False: there is none.
+        """Withdraw the job's write if it is still queued in the client.
 
-        Something more urgent changes the same record, or needs the capacity that it reserves.
+        This is done when something more urgent changes the same record or needs the capacity
+        that the write reserves. Writes of priority `URGENT` or higher are never withdrawn.
+        Return whether a write was withdrawn.
         """
         call = self.queued_calls.get(job_id)
         if call is None or call.priority <= Priority.URGENT or not self._client.withdraw(call):
@@ -313,9 +327,9 @@
         return True
 
     def withdraw_lower_priority_steps(self, job: Job) -> bool:
-        """Withdraw queued steps of lower rank whose machines the job could use.
+        """Withdraw queued steps of lower-ranked jobs on machines that the job could use.
 
-        False: none was withdrawn.
+        Return whether any step was withdrawn.
         """
         rank = self._replica.dependencies.inherited_rank(job)
         is_any_withdrawn = False
@@ -330,11 +344,13 @@
         return is_any_withdrawn
 
     def _can_use(self, job: Job, reservation: StepReservation) -> bool:
+        """Return whether the job is allowed on the machine of the reservation."""
         capacity = self._capacity_index.machines.get(reservation.machine)
         return capacity is not None and is_allowed_on(job.spec, capacity)
 
 
 def _exponential_backoff_s(doublings: int) -> float:
+    """Return the backoff, in s, after this many doublings, limited to the longest one."""
     return float(
         min(
             constants.ERROR_BACKOFF_MAX_S,
--- a/tests/unit/jobs/test_settlement.py
+++ b/tests/unit/jobs/test_settlement.py
@@ -1,4 +1,4 @@
-"""Settlement of attempts, built from a replica and a verdict function."""
+"""Settlement of attempts, tested with a replica and a verdict function."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from tests.test_requests import spec
 
 
-class Verdicts:
-    """Verdicts by task; counts how often it is asked, and failures that it is told of."""
+class VerdictStandIn:
+    """Stand-in that returns verdicts by task and records the calls and the reported failures."""
 
     def __init__(self) -> None:
         self.by_task: dict[int, AttemptVerdict] = {}
-        self.asked: list[tuple[str, int]] = []
+        self.calls: list[tuple[str, int]] = []
         self.failed: list[tuple[str, str]] = []
 
     def verdict(self, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
-        self.asked.append((attempt.machine, task))
+        self.calls.append((attempt.machine, task))
         return self.by_task.get(task)
 
     def on_task_failed(self, machine: str, job_id: str) -> None:
         self.failed.append((machine, job_id))
 
 
-def parts() -> tuple[Settlement, Verdicts, Job]:
-    replica, verdicts = Replica(), Verdicts()
+def build_settlement() -> tuple[Settlement, VerdictStandIn, Job]:
+    replica, verdicts = Replica(), VerdictStandIn()
     job = Job(spec(crates=4), 0.0, 2, last_step=1)
     job.attempts = [
         Attempt("vm-1", 1, 1, 5, False, {0, 1}),
@@ -37,18 +37,18 @@
 
 
 def test_only_attempts_on_changed_machines_are_examined() -> None:
-    settlement, verdicts, job = parts()
-    assert settlement.without_settled_attempts(job) is None and verdicts.asked == []
+    settlement, verdicts, job = build_settlement()
+    assert settlement.without_settled_attempts(job) is None and verdicts.calls == []
     settlement.on_machine_changed("vm-2")
     assert settlement.without_settled_attempts(job) is None
-    assert verdicts.asked == [("vm-2", 2)]
+    assert verdicts.calls == [("vm-2", 2)]
     settlement.examine_all(job.id)
     settlement.without_settled_attempts(job)
-    assert sorted(verdicts.asked[1:]) == [("vm-1", 0), ("vm-1", 1), ("vm-2", 2)]
+    assert sorted(verdicts.calls[1:]) == [("vm-1", 0), ("vm-1", 1), ("vm-2", 2)]
 
 
 def test_each_verdict_counts_once_until_the_record_shows_it() -> None:
-    settlement, verdicts, job = parts()
+    settlement, verdicts, job = build_settlement()
     verdicts.by_task = {0: AttemptVerdict.DONE, 1: AttemptVerdict.SETTLED, 2: AttemptVerdict.FAILED}
     settlement.examine_all(job.id)
     settled = settlement.without_settled_attempts(job)
