--- a/appledock/core/quota/__init__.py
+++ b/appledock/core/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Quota of the teams: what their jobs hold, and how their limits are allocated to controllers."""
+"""Team quotas: what each team's jobs hold, and how its limit is allocated to controllers."""
--- a/appledock/core/quota/admission.py
+++ b/appledock/core/quota/admission.py
@@ -1,4 +1,4 @@
-"""Admission of a team's queue under its limit: one pure function on resource vectors."""
+"""Admission of a team's queued jobs under its limit, as a pure function of resource vectors."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class QueuedDemand(NamedTuple):
-    """What a queued job still needs."""
+    """Resources that a queued job still needs."""
 
     job_id: str
     owner: str
@@ -23,9 +23,9 @@
     """What one controller may do under a team's limit."""
 
     admitted: dict[str, Resources]
-    """queued job of this controller -> by how much it may grow"""
+    """queued job of this controller -> resources that it may take in addition"""
     releasable: Resources
-    """unused allocation of this controller that more urgent jobs of other controllers need"""
+    """unused part of this controller's allocation that more urgent jobs of others need"""
 
 
 def admit_queue(
@@ -35,7 +35,11 @@
     node: str,
     queue: Iterable[QueuedDemand],
 ) -> Admission:
-    """Decide what the jobs of `node` may take, as if one queue served the whole limit.
+    """Decide what the jobs of `node` may take, as if a single queue shared the whole limit.
+
+    Each job takes from its owner's unused allocation first, then from the part of the limit that
+    is not allocated. What a more urgent job of another controller still lacks after that is
+    released from the unused allocation of `node`, since the job's owner cannot take it itself.
 
     Args:
         limit: what the team's jobs may hold together
@@ -43,10 +47,6 @@
         held: controller -> what the jobs that it owns hold
         node: the controller that decides
         queue: demand of the team's queued jobs, the most urgent first
-
-    Each job takes from its owner's unused allocation first, then from what is allocated to
-    nobody. What a more urgent job of another controller lacks after that is released from the
-    unused allocation of `node`, since its owner cannot take it by itself.
     """
     unallocated = limit.excess_over(total(allocated.values()))
     unused = {
--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -1,19 +1,19 @@
 """Quota allocation: how a team's limit is allocated to the controllers of a view.
 
-The jobs that a controller owns may hold up to its allocation together, so a step inside the
-allocation needs no write of the team's record, and controllers do not wait for each other. The
-allocations add up to at most the limit. Why jobs never hold more than it:
-
-* Under one view only its owner changes what a job holds, and only a controller itself lowers its
-  allocation. A hand-off of a job moves the job's reservation to the new owner's allocation in the
-  transaction that records the hand-off.
-* A record of an earlier view allows nothing. Whoever first needs it under the new view writes it
-  anew, from what all jobs hold after everything committed under earlier views. Nothing can have
-  grown meanwhile: that takes this record.
-* A write without an answer counts as executed and as not executed, whichever leaves less, until
-  the record's version has moved on.
-* A record that was read ahead of the watch allows nothing: an allocation that grew with a job
-  handed to this controller would be visible before the job.
+The jobs that a controller owns may together hold up to its allocation. A step within the
+allocation therefore needs no write of the team's record, and controllers do not wait for each
+other. The allocations add up to at most the limit. These rules keep jobs from ever holding more:
+
+* Within a view, only the owner of a job changes what the job holds, and only a controller itself
+  lowers its allocation. A handoff of a job moves the job's reservation to the new owner's
+  allocation in the transaction that records the handoff.
+* A record of an earlier view grants nothing. The first controller that needs it under the new
+  view writes a new one, based on what all jobs hold after all commits of earlier views. No job
+  can have grown in between, because that takes this record.
+* A write without an answer counts as executed or as not executed, whichever leaves less, until
+  the record's version has changed.
+* A record that was read ahead of the watch grants nothing: an allocation that grew with a job
+  handed off to this controller would otherwise be visible before the job itself.
 """
 
 from __future__ import annotations
@@ -52,17 +52,17 @@
 
 
 class JobOrder(Protocol):
-    """The order in which queued jobs are served."""
+    """Order in which queued jobs are served."""
 
     def sort_key(self, job: Job) -> tuple[float, ...]:
-        """Sort key: the most urgent job has the smallest one."""
+        """Return the job's sort key; the most urgent job has the smallest key."""
 
 
 class QuotaAllocation:
     """This controller's allocations of the teams' limits, and the changes of the teams' records.
 
-    Decisions are cached; they depend on the time (the queue order) and on the watch's revision,
-    so the engine clears them with every batch.
+    Decisions are cached. They depend on the time (through the queue order) and on the watch's
+    revision, so the engine clears the cache with every batch.
     """
 
     def __init__(
@@ -73,15 +73,15 @@
         self._usage = usage
         self._job_order = job_order
         self._unanswered = UnansweredWrites()
-        """by team: the least that is allocated to us if its write is executed or if it is not"""
-        self._own_versions: dict[str, int] = {}
-        """team -> version that we wrote ourselves, on a record that was current"""
+        """by team: the least that is allocated here, whether the write is executed or not"""
+        self._own_record_versions: dict[str, int] = {}
+        """team -> version of its record that this controller wrote, based on a current record"""
         self._teams_being_written: set[str] = set()
         self._admissions: dict[str, Admission] = {}
 
     @property
     def term(self) -> int:
-        """Number of the newest view known, 0 before the first."""
+        """Term of the newest known view; 0 before the first view."""
         return self._replica.view.term if self._replica.view else 0
 
     @property
@@ -91,35 +91,36 @@
 
     # --- changes that caches depend on ------------------------------------
     def on_view(self) -> None:
-        """A newer view is known: writes under way were conditional on the former one, so void."""
+        """Void the writes in flight, which are conditional on the previous view; clear caches."""
         self._usage.void_writes()
         self._unanswered.clear()
         self.clear_caches()
 
     def clear_caches(self) -> None:
-        """Owners, or jobs or records of any team, may have changed."""
+        """Clear all caches, as owners, or jobs or records of any team, may have changed."""
         self._usage.clear_cache()
         self._admissions.clear()
 
     def clear_caches_of(self, team: str) -> None:
-        """The team's jobs, its record or a write under way for it have changed."""
+        """Clear the caches of a team whose jobs, record or writes in flight have changed."""
         self._usage.clear_cache_of(team)
         self._admissions.pop(team, None)
 
     def clear_admissions(self) -> None:
-        """Time has passed, or the watch has advanced."""
+        """Clear the cached admissions, as time has passed or the watch has advanced."""
         self._admissions.clear()
 
     # --- what is allocated ------------------------------------------------
-    def is_current(self, team: str) -> bool:
-        """Has the watch passed the team's record, so that no job it speaks of is missing?"""
+    def is_record_current(self, team: str) -> bool:
+        """Return whether the watch has passed the team's record, so that all its jobs are known."""
         version = self._replica.allocation_of(team).version
-        return version <= self._replica.revision or self._own_versions.get(team) == version
+        return version <= self._replica.revision or self._own_record_versions.get(team) == version
 
     def allocated(self, team: str) -> dict[str, Resources]:
-        """Controller -> what of the limit is allocated to it; a new dict.
+        """Return the part of the limit that is allocated to each controller, as a new dict.
 
-        Under a view for which the record is not written yet: what its jobs hold.
+        Until the team's record is written under the current view, a controller's part is what
+        its jobs hold.
         """
         record = self._replica.allocation_of(team)
         if record.term != self._view.term:
@@ -132,20 +133,24 @@
         return allocated
 
     def admitted_tasks(self, job: Job, new: Job) -> int:
-        """How many more tasks the job may start now; `new` is without its settled ones."""
+        """Return how many more tasks the job may start now.
+
+        `new` is the job without its settled attempts.
+        """
         admitted = self._admit(job.spec.team).admitted.get(job.id, NO_RESOURCES)
         settled = reservation_of(job).excess_over(reservation_of(new))
         return (admitted + settled).count_tasks(job.spec)
 
     def releasable(self, team: str) -> Resources:
-        """What more urgent jobs of other controllers need of our unused allocation."""
+        """Return the unused allocation here that more urgent jobs of other controllers need."""
         return self._admit(team).releasable
 
     def _admit(self, team: str) -> Admission:
+        """Return the cached admission; nothing is admitted while the record is not current."""
         admission = self._admissions.get(team)
         if admission is None:
             limits = self._runtime.teams.get(team)
-            if limits is None or not self.is_current(team):
+            if limits is None or not self.is_record_current(team):
                 return Admission({}, NO_RESOURCES)
             admission = self._admissions[team] = admit_queue(
                 limit_of(limits),
@@ -157,13 +162,13 @@
         return admission
 
     def _queue(self, team: str) -> list[QueuedDemand]:
-        """The team's queued jobs of all controllers, the most urgent first."""
+        """Return the demand of the team's queued jobs at all controllers, the most urgent first."""
         replica = self._replica
         jobs = [
             replica.jobs[job_id]
             for job_id in replica.jobs_by_team.get(team, set()) & replica.queued_jobs
         ]
-        # Guards against a job that fails everywhere and keeps the limit from the others.
+        # Jobs that keep failing come last, so that they do not use up the limit of the others.
         jobs.sort(
             key=lambda job: (
                 job.consecutive_failures >= constants.DEPRIORITIZED_JOB_FAILURES_MIN,
@@ -178,18 +183,18 @@
 
     # --- planning ---------------------------------------------------------
     def plan(self, job: Job, new: Job, new_owner: str) -> RecordPlan:
-        """Decide whether the team's record must change with the step from `job` to `new`.
+        """Decide whether and how the team's record must change for the step from `job` to `new`.
 
         `new_owner` is the controller that owns the job after the step.
         """
         team, node = job.spec.team, self._runtime.node
         reserved = reservation_of(new)
         is_handed_off = new_owner != node and reserved.is_positive()
-        # Compared with what is recorded, not with what an unanswered write may have made of it:
-        # that write may have brought its own allocation along.
+        # Compare with the recorded reservation, not with the one that an unanswered write may
+        # have left: that write may have raised the allocation in the same transaction.
         if reserved.fits_in(reservation_of(job)) and not is_handed_off:
             return NoRecordChange()
-        if not self.is_current(team):
+        if not self.is_record_current(team):
             return StepNotPossible()
         others = self._held_by_other_jobs(job)
         if not is_handed_off and self._is_allocated(team, others + reserved):
@@ -199,44 +204,44 @@
         if is_handed_off:
             changed = move_reservation(self.allocated(team), node, new_owner, reserved, others)
         else:
-            changed = self._raised(team, others + reserved)
+            changed = self._raise_own_allocation(team, others + reserved)
         if not total(changed.values()).fits_in(limit_of(self._runtime.teams[team])):
             return StepNotPossible()
-        return RecordChange(self._record(team, changed))
+        return RecordChange(self._build_record(team, changed))
 
     def plan_release(self, team: str, resources: Resources) -> TeamAllocation:
-        """The team's record with so much less for us, but no less than our jobs hold."""
+        """Plan a record that takes `resources` from this controller, down to what its jobs hold."""
         allocated, node = self.allocated(team), self._runtime.node
         held = self._usage.held_by_node(team).get(node, NO_RESOURCES)
         allocated[node] = (allocated.get(node, NO_RESOURCES) - resources).maximum(held)
-        return self._record(team, allocated)
+        return self._build_record(team, allocated)
 
-    def _is_of_present_view(self, team: str) -> bool:
+    def _is_record_of_current_view(self, team: str) -> bool:
         return self._replica.allocation_of(team).term == self._view.term
 
     def _is_allocated(self, team: str, needed: Resources) -> bool:
-        """Does our allocation, by a record of the present view, cover what our jobs need?"""
-        if not self._is_of_present_view(team):
+        """Return whether the current view's record allocates what this controller's jobs need."""
+        if not self._is_record_of_current_view(team):
             return False
         return needed.fits_in(self.allocated(team).get(self._runtime.node, NO_RESOURCES))
 
     def _held_by_other_jobs(self, job: Job) -> Resources:
-        """What our jobs of the same team hold without this one."""
+        """Return what this controller's other jobs of the same team hold."""
         held = self._usage.held_by_node(job.spec.team).get(self._runtime.node, NO_RESOURCES)
         return held.excess_over(self._usage.held_by_job(job))
 
-    def _raised(self, team: str, needed: Resources) -> dict[str, Resources]:
-        """The allocations with ours raised to what our jobs need after a step."""
+    def _raise_own_allocation(self, team: str, needed: Resources) -> dict[str, Resources]:
+        """Return the allocations, this controller's raised to what its jobs need after a step."""
         allocated, node, members = self.allocated(team), self._runtime.node, self._view.members
         limit = limit_of(self._runtime.teams[team])
-        if not self._is_of_present_view(team):
+        if not self._is_record_of_current_view(team):
             return allocate_for_new_view(allocated, node, needed, limit, members)
         held = self._usage.held_by_node(team).get(node, NO_RESOURCES)
         waiting = held + total(self._admit(team).admitted.values())
         return raise_allocation(allocated, node, needed, waiting, limit, len(members))
 
-    def _record(self, team: str, allocated: dict[str, Resources]) -> TeamAllocation:
-        """The team's record under the present view, conditional on the version known."""
+    def _build_record(self, team: str, allocated: dict[str, Resources]) -> TeamAllocation:
+        """Build the team's record under the current view, conditional on the known version."""
         view = self._view
         parts = {
             node: ResourceShare(part.cpus, part.gpus)
@@ -247,57 +252,62 @@
 
     # --- writing ----------------------------------------------------------
     def is_being_written(self, team: str) -> bool:
-        """Is a write of the team's record under way?"""
+        """Return whether a write of the team's record is in flight."""
         return team in self._teams_being_written
 
     def begin_job_write(self, job: Job, new: Job, record: TeamAllocation | None) -> PendingWrite:
-        """A write of a job's record is sent, and of its team's if `record` is given."""
+        """Count a write of a job's record, and of its team's if `record` is given, as in flight.
+
+        The caller calls `finish` on the result once the write has ended.
+        """
         return self._begin(job.spec.team, record, [self._usage.begin_write(job, new)])
 
     def begin_team_record_write(self, team: str, record: TeamAllocation) -> PendingWrite:
-        """A write of the team's record alone is sent."""
+        """Count a write of the team's record alone as in flight; see `begin_job_write`."""
         return self._begin(team, record, [])
 
     def _begin(
-        self, team: str, record: TeamAllocation | None, records: list[UnansweredWrite]
+        self, team: str, record: TeamAllocation | None, unanswered_writes: list[UnansweredWrite]
     ) -> PendingWrite:
         if record is not None:
             self._teams_being_written.add(team)
             node = self._runtime.node
             before = self.allocated(team).get(node, NO_RESOURCES)
             after = Resources(*record.shares.get(node, (0.0, 0.0)))
-            records.append(self._unanswered.begin(team, record.version, before.minimum(after)))
+            unanswered_writes.append(
+                self._unanswered.begin(team, record.version, before.minimum(after))
+            )
         self.clear_caches_of(team)
-        return PendingWrite(self, team, self.term, record is not None, records)
+        return PendingWrite(self, team, self.term, record is not None, unanswered_writes)
 
     def end_write(self, team: str, *, wrote_record: bool) -> None:
-        """A write under way has ended, whatever its outcome."""
+        """Clear the team's caches after a write has ended with any outcome."""
         self.clear_caches_of(team)
         if wrote_record:
             self._teams_being_written.discard(team)
 
     def on_record_committed(self, team: str, record: TeamAllocation, revision: int) -> None:
-        """Our write of the team's record was executed at the revision."""
-        self._own_versions[team] = revision
+        """Apply a write of the team's record that this controller committed at `revision`."""
+        self._own_record_versions[team] = revision
         self._replica.put(TEAMS_PREFIX + team, record.encode(), revision)
         self.clear_caches_of(team)
 
 
 @dataclass(frozen=True, slots=True)
 class PendingWrite:
-    """A write under way that changes what a team's jobs hold, or the team's record."""
+    """A write in flight that changes what a team's jobs hold, or the team's record."""
 
     allocation: QuotaAllocation
     team: str
     term: int
-    """of the view that the write is conditional on"""
+    """term of the view that the write is conditional on"""
     writes_record: bool
-    records: list[UnansweredWrite]
+    unanswered_writes: list[UnansweredWrite]
 
     def finish(self, outcome: StoreOutcome) -> None:
-        """Count what the call's outcome leaves; to be called once, when the call has ended."""
+        """Apply the outcome of the write; to be called once, when the call has ended."""
         self.allocation.end_write(self.team, wrote_record=self.writes_record)
         if self.allocation.term != self.term:
-            return  # void by a new view, which has dropped what was counted for the write
-        for record in self.records:
+            return  # a new view has voided the write and cleared what was counted for it
+        for record in self.unanswered_writes:
             record.finish(outcome)
--- a/appledock/core/quota/record_plan.py
+++ b/appledock/core/quota/record_plan.py
@@ -1,4 +1,4 @@
-"""Changes of a team's record that a step needs: outcomes of planning, and pure steps of it."""
+"""Changes of a team's record that a step needs: results of planning, and pure functions for it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoRecordChange:
-    """The step keeps to this controller's allocation: the team's record stays as it is."""
+    """The step is within this controller's allocation, so the team's record does not change."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StepNotPossible:
-    """The step cannot be made now: the limit, or a write or read of the record, is in the way."""
+    """The step cannot be made now.
+
+    The limit is reached, a write of the team's record is in flight, or the record was read ahead
+    of the watch.
+    """
 
 
 RecordPlan = NoRecordChange | RecordChange | StepNotPossible
@@ -37,7 +41,7 @@
     reserved: Resources,
     held_by_others: Resources,
 ) -> dict[str, Resources]:
-    """Move a job's reservation from the allocation of `node` to its new owner's.
+    """Move a job's reservation from the allocation of `node` to that of its new owner.
 
     `node` keeps at least what its other jobs of the team hold.
     """
@@ -62,19 +66,19 @@
     Args:
         allocated: controller -> what is allocated to it
         node: the controller that makes a step
-        needed: what its jobs hold after the step
-        waiting: what they hold once all its queued jobs that the limit admits have started. For
-            all of these at once: raised for one step after the other, an allocation takes a
-            write each, and the controllers' writes of the record conflict.
+        needed: what the jobs of `node` hold after the step
+        waiting: what they hold once all its queued jobs that the limit admits have started. The
+            allocation is raised for all of these at once: raising it step by step would take a
+            write for each step, and the controllers' writes of the record would conflict.
         limit: what the team's jobs may hold together; the caller checks that the result fits
-        controllers: how many there are
+        controllers: number of controllers
     """
     changed = dict(allocated)
     changed[node] = changed.get(node, NO_RESOURCES).maximum(needed)
     missing = waiting.excess_over(changed[node])
     spare = _unallocated(changed, limit).scaled_by(constants.ALLOCATION_HEADROOM_SHARE)
     changed[node] = changed[node] + missing.minimum(spare)
-    _add_slack(changed, [node], limit, controllers)
+    _add_headroom(changed, [node], limit, controllers)
     return changed
 
 
@@ -85,25 +89,26 @@
     limit: Resources,
     members: Collection[str],
 ) -> dict[str, Resources]:
-    """Allocate a limit under a new view, from what the jobs of each controller hold.
+    """Allocate a limit under a new view, based on what the jobs of each controller hold.
 
-    Every member gets some more than that, or each one would write each team's record before its
-    first step.
+    Every member gets some headroom beyond that. Without it, each member would have to write each
+    team's record before its first step.
     """
     changed = dict(held)
     changed[node] = changed.get(node, NO_RESOURCES).maximum(needed)
-    _add_slack(changed, sorted(members), limit, len(members))
+    _add_headroom(changed, sorted(members), limit, len(members))
     return changed
 
 
 def _unallocated(allocated: Mapping[str, Resources], limit: Resources) -> Resources:
+    """Return the part of the limit that is allocated to no controller."""
     return limit.excess_over(total(allocated.values()))
 
 
-def _add_slack(
+def _add_headroom(
     allocated: dict[str, Resources], receivers: list[str], limit: Resources, controllers: int
 ) -> None:
-    """Allocate a part of what is left, so that the receivers' next steps need no write."""
+    """Add a part of the unallocated rest, so that the receivers' next steps need no write."""
     factor = constants.ALLOCATION_HEADROOM_SHARE / max(1, controllers)
     part = _unallocated(allocated, limit).scaled_by(factor)
     for receiver in receivers:
--- a/appledock/core/quota/resources.py
+++ b/appledock/core/quota/resources.py
@@ -24,39 +24,39 @@
         return Resources(self.cpus - other.cpus, self.gpus - other.gpus)
 
     def fits_in(self, limit: Resources) -> bool:
-        """Is no component larger than the limit's?"""
+        """Return whether no component is larger than that of the limit."""
         return (
             self.cpus <= limit.cpus + constants.EPSILON
             and self.gpus <= limit.gpus + constants.EPSILON
         )
 
     def minimum(self, other: Resources) -> Resources:
-        """The smaller one of each component."""
+        """Return the smaller value of each component."""
         return Resources(min(self.cpus, other.cpus), min(self.gpus, other.gpus))
 
     def maximum(self, other: Resources) -> Resources:
-        """The larger one of each component."""
+        """Return the larger value of each component."""
         return Resources(max(self.cpus, other.cpus), max(self.gpus, other.gpus))
 
     def excess_over(self, other: Resources) -> Resources:
-        """How much more this is than the other, no component below zero."""
+        """Return by how much this exceeds the other, with no component below zero."""
         return (self - other).maximum(NO_RESOURCES)
 
     def scaled_by(self, factor: float) -> Resources:
-        """Each component times the factor."""
+        """Return each component times the factor."""
         return Resources(self.cpus * factor, self.gpus * factor)
 
     def is_positive(self) -> bool:
-        """Is there anything of either component?"""
+        """Return whether either component is above zero."""
         return self.cpus > constants.EPSILON or self.gpus > constants.EPSILON
 
     def count_tasks(self, spec: wire.JobSpec) -> int:
-        """How many tasks of the job fit, at most as many as it has."""
+        """Return how many tasks of the job fit, at most as many as it has."""
         tasks = spec.tasks
         for available, size in ((self.cpus, spec.cpus), (self.gpus, spec.gpus)):
             if size > 0:
-                # The minimum first, then the integer: the quotient by a size close to zero may
-                # be infinite, which no integer holds.
+                # Take the minimum before converting to an integer: dividing by a size close to
+                # zero may give infinity, which has no integer value.
                 tasks = int(min(tasks, (available + constants.EPSILON) / size))
         return max(0, tasks)
 
@@ -65,7 +65,7 @@
 
 
 def total(parts: Iterable[Resources]) -> Resources:
-    """The sum of the parts."""
+    """Return the sum of the parts."""
     result = NO_RESOURCES
     for part in parts:
         result = result + part
@@ -73,20 +73,20 @@
 
 
 def limit_of(team: TeamLimits) -> Resources:
-    """What the team's jobs may hold together."""
+    """Return what the team's jobs may hold together."""
     return Resources(team.cpus_max, team.gpus_max)
 
 
 def guarantee_of(team: TeamLimits) -> Resources:
-    """What the team's jobs get before those of other teams beyond their guarantee."""
+    """Return what the team's jobs get ahead of other teams' jobs that exceed a guarantee."""
     return Resources(team.cpus, team.gpus)
 
 
 def demand_of(spec: wire.JobSpec, tasks: int) -> Resources:
-    """What so many tasks of the job need."""
+    """Return what this number of tasks of the job needs."""
     return Resources(spec.cpus * tasks, spec.gpus * tasks)
 
 
 def reservation_of(job: Job) -> Resources:
-    """What the job's record reserves: the demand of its unsettled attempts."""
+    """Return what the job's record reserves: the demand of its unsettled attempts."""
     return demand_of(job.spec, job.open_task_count)
--- a/appledock/core/quota/usage.py
+++ b/appledock/core/quota/usage.py
@@ -1,4 +1,4 @@
-"""Quota usage: what the teams' jobs hold, compared with guarantees and limits."""
+"""Quota usage: what the teams' jobs hold, compared with their guarantees and limits."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 
 
 class QuotaUsage:
-    """What each team's jobs hold, by the replica and by this controller's writes under way.
+    """What each team's jobs hold, by the replica and this controller's writes in flight.
 
-    A write without an answer counts as executed and as not executed, whichever holds more.
+    A write without an answer counts as executed or as not executed, whichever holds more.
     """
 
     def __init__(self, runtime: Runtime, replica: Replica) -> None:
         self._runtime = runtime
         self._replica = replica
         self._unanswered = UnansweredWrites()
-        """by job: the most that it holds if its write is executed or if it is not"""
+        """by job: the most that it holds, whether its write is executed or not"""
         self._by_node: dict[str, dict[str, Resources]] = {}
         self._totals: dict[str, Resources] = {}
 
     # --- what is held -----------------------------------------------------
     def held_by_job(self, job: Job) -> Resources:
-        """What the job holds at most."""
+        """Return the most that the job may hold."""
         recorded = reservation_of(job)
         bound = self._unanswered.bound(job.id, job.version)
         return recorded if bound is None else recorded.maximum(bound)
 
     def held_by_node(self, team: str) -> dict[str, Resources]:
-        """Controller -> what the team's jobs that it owns hold; the dict is cached."""
+        """Return what the team's jobs hold by the controller that owns them, as a cached dict."""
         by_node = self._by_node.get(team)
         if by_node is None:
             by_node = {}
@@ -53,7 +53,7 @@
         return by_node
 
     def held_by_team(self, team: str) -> Resources:
-        """What the team's jobs hold together."""
+        """Return what the team's jobs hold together."""
         held = self._totals.get(team)
         if held is None:
             held = self._totals[team] = total(self.held_by_node(team).values())
@@ -61,7 +61,7 @@
 
     # --- guarantee and limit ----------------------------------------------
     def is_within_guarantee(self, job: Job) -> bool:
-        """Would the team stay within its guarantee with the job's queued tasks started?"""
+        """Return whether the team would stay within its guarantee with the job's queued tasks."""
         limits = self._runtime.teams.get(job.spec.team)
         if limits is None:
             return False
@@ -69,7 +69,7 @@
         return (self.held_by_team(job.spec.team) + queued).fits_in(guarantee_of(limits))
 
     def is_limit_exhausted(self, team: str) -> bool:
-        """Does the team's limit keep a queued task of any controller's jobs from starting?"""
+        """Return whether the team's limit prevents any controller's queued task from starting."""
         limits = self._runtime.teams.get(team)
         if limits is None:
             return False
@@ -79,26 +79,26 @@
             for job_id in self._replica.jobs_by_team.get(team, set()) & self._replica.queued_jobs
         )
 
-    # --- writes under way -------------------------------------------------
+    # --- writes in flight -------------------------------------------------
     def begin_write(self, job: Job, new: Job) -> UnansweredWrite:
-        """A write from the job's record to the new one is sent.
+        """Count a write from the job's record to the new one as in flight.
 
-        The caller finishes it with the call's outcome, and clears the team's cache.
+        The caller calls `finish` with the call's outcome, and clears the team's cache.
         """
         bound = self.held_by_job(job).maximum(reservation_of(new))
         return self._unanswered.begin(job.id, job.version, bound)
 
     def void_writes(self) -> None:
-        """Writes under way are void: they were conditional on an earlier view."""
+        """Stop counting the writes in flight, which were conditional on an earlier view."""
         self._unanswered.clear()
 
     # --- caches -----------------------------------------------------------
     def clear_cache(self) -> None:
-        """Owners, or jobs of any team, may have changed."""
+        """Clear the cache, as owners, or jobs of any team, may have changed."""
         self._by_node.clear()
         self._totals.clear()
 
     def clear_cache_of(self, team: str) -> None:
-        """The team's jobs, or its writes under way, have changed."""
+        """Clear the cache of a team whose jobs or writes in flight have changed."""
         self._by_node.pop(team, None)
         self._totals.pop(team, None)
--- a/tests/unit/quota/test_allocation.py
+++ b/tests/unit/quota/test_allocation.py
@@ -1,4 +1,4 @@
-"""Quota allocation, built from a runtime, a replica and a first-come queue order."""
+"""Quota allocation, tested with a runtime, a replica and a first-come queue order."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.test_requests import spec
 
 
-class FirstCome:
+class FirstComeOrder:
     """Queue order by time of submission."""
 
     def sort_key(self, job: Job) -> tuple[float, ...]:
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def replica() -> Replica:
-    """The team's limit of 24 CPUs is allocated to two controllers, 6 CPUs are to nobody."""
+    """A replica with 18 CPUs of the team's limit of 24 allocated to two controllers."""
     replica = Replica()
     replica.put(VIEW_KEY, {"term": 1, "members": {"n0": "a", "n1": "b"}, "leader": "n0"}, 1)
     replica.put(TEAMS_PREFIX + "red", {"term": 1, "shares": {"n0": [6, 0], "n1": [12, 0]}}, 2)
@@ -38,7 +38,7 @@
 @pytest.fixture
 def allocation(replica: Replica) -> QuotaAllocation:
     runtime = Runtime(settings("n0", ["n0", "n1"]), "a", random.Random(1))
-    return QuotaAllocation(runtime, replica, QuotaUsage(runtime, replica), FirstCome())
+    return QuotaAllocation(runtime, replica, QuotaUsage(runtime, replica), FirstComeOrder())
 
 
 def add_job(replica: Replica, number: int, tasks: int) -> Job:
@@ -66,7 +66,7 @@
     assert allocation.plan(job, started(job, 6), "n0") == NoRecordChange()
 
 
-def test_a_step_beyond_it_raises_the_allocation_from_what_nobody_has(
+def test_a_step_beyond_the_allocation_raises_it_from_the_unallocated_rest(
     replica: Replica, allocation: QuotaAllocation
 ) -> None:
     job = add_job(replica, 1, 20)
--- a/tests/unit/quota/test_record_plan.py
+++ b/tests/unit/quota/test_record_plan.py
@@ -1,4 +1,4 @@
-"""Pure steps of planning a change of a team's record."""
+"""Pure functions that plan a change of a team's record."""
 
 from __future__ import annotations
 
--- a/tests/unit/quota/test_unanswered.py
+++ b/tests/unit/quota/test_unanswered.py
@@ -12,7 +12,7 @@
     writes.begin("job-1", 7, Resources(4.0)).finish(UnknownOutcome())
     assert writes.bound("job-1", 7) == Resources(4.0)
     assert writes.bound("job-1", 8) is None
-    assert writes.bound("job-1", 7) is None  # versions do not come back
+    assert writes.bound("job-1", 7) is None  # dropped at version 8: versions only increase
 
 
 def test_a_bound_ends_with_a_known_outcome() -> None:
