--- a/appledock/core/machines/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -1,8 +1,8 @@
 """Index of the machines that may take tasks, with the free capacity of each.
 
-The index is kept up to date incrementally: heartbeats, job records, reservations and cordons
-name the machines they concern, and only those are computed anew. Machines whose heartbeats
-cease are found by a periodic check, since no event announces that.
+The index is updated incrementally: heartbeats, job records, reservations and cordons name the
+machines that they concern, and only these are recomputed. Machines whose heartbeats stop are
+found by a periodic check, since no event reports that.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 
 class CapacityIndex:
-    """Free capacity by machine: what it has, less records, steps under way and moves.
+    """Free capacity by machine: its size minus recorded tasks, steps in flight and moves.
 
-    `admission_of` says which jobs a worker's machine admits (None: any), `is_load_tracked`
-    whether committed shares are counted too.
+    `admission_of` returns which jobs a worker's machine admits (None: any job);
+    `is_load_tracked` returns whether the committed shares of machines are counted too.
     """
 
     def __init__(
@@ -60,36 +60,37 @@
         self.machines: dict[str, MachineCapacity] = {}
         """all machines that may take tasks, as of the last `recompute`"""
         self.with_free_capacity: dict[str, MachineCapacity] = {}
-        """those with any CPU or GPU free"""
+        """the entries of `machines` with any CPU or GPU free"""
         self.machines_by_image: dict[str, set[str]] = {}
         """image -> machines that have it"""
         self.step_reservations: dict[str, list[StepReservation]] = {}
-        """job -> what its step under way will take"""
+        """job -> capacity that its step in flight will take"""
         self.reserved_tasks: dict[str, dict[str, int]] = {}
-        """machine -> job -> tasks of its step under way"""
+        """machine -> job -> number of tasks that the job's step in flight places there"""
         self.move_reservations: dict[str, dict[str, wire.JobSpec]] = {}
-        """machine -> job -> size of the task that is moving there"""
+        """machine -> job -> spec of the job of which a task is moving there"""
         self._changed: set[str] = set()
         self._next_check_at = 0.0
 
     # --- changes ----------------------------------------------------------
     def mark_changed(self, machine: str) -> None:
-        """Compute the machine's capacity anew with the next `recompute`."""
+        """Mark the machine to be recomputed by the next `recompute`."""
         self._changed.add(machine)
 
     def mark_each_changed(self, machines: Iterable[str]) -> None:
-        """Compute the capacity of these machines anew with the next `recompute`."""
+        """Mark these machines to be recomputed by the next `recompute`."""
         self._changed.update(machines)
 
     def mark_all_changed(self) -> None:
-        """Compute all machines anew: machine types or shard owners changed."""
+        """Mark all machines to be recomputed, as machine types or shard owners have changed."""
         self._changed.update(self._workers.table)
         self._changed.update(self.machines)
 
     def check_eligibility(self) -> None:
-        """From time to time, mark machines whose worker has become ineligible.
+        """Mark machines whose worker has become ineligible, at intervals.
 
-        Guards against placing on machines whose heartbeats ceased, which no event reports.
+        This guards against placing tasks on machines whose heartbeats have stopped, which no
+        event reports.
         """
         now = self._runtime.now
         if now < self._next_check_at:
@@ -106,14 +107,14 @@
 
     # --- reservations -----------------------------------------------------
     def reserve_step(self, job_id: str, reservations: list[StepReservation]) -> None:
-        """Reserve what the job's step will take until the outcome of its write is known."""
+        """Reserve the capacity of the job's step until the outcome of its write is known."""
         self.step_reservations[job_id] = reservations
         for machine, _, tasks in reservations:
             self.reserved_tasks.setdefault(machine, {})[job_id] = tasks
             self._changed.add(machine)
 
     def release_step(self, job_id: str) -> None:
-        """The outcome of the job's write is known: from now on its record counts."""
+        """Release the reservation of the job's step, whose outcome is known."""
         for machine, _, _ in self.step_reservations.pop(job_id, ()):
             jobs = self.reserved_tasks.get(machine)
             if jobs is not None:
@@ -128,11 +129,11 @@
         self._changed.add(machine)
 
     def can_reserve_for_move(self, machine: MachineCapacity, spec: wire.JobSpec) -> bool:
-        """Is no other move bound for the machine, and may the job run there?"""
+        """Return whether no other move goes to the machine and the job may run there."""
         return not self.move_reservations.get(machine.name) and is_allowed_on(spec, machine)
 
     def release_move(self, machine: str, job_id: str) -> None:
-        """The job's move to the machine has ended; nothing happens if there was none."""
+        """Release the reservation of the job's move to the machine, if there is one."""
         jobs = self.move_reservations.get(machine)
         if jobs is not None and jobs.pop(job_id, None) is not None:
             self._changed.add(machine)
@@ -141,20 +142,20 @@
 
     # --- computation ------------------------------------------------------
     def recompute(self) -> None:
-        """Compute the machines marked as changed anew; call it before reading the index.
+        """Recompute the machines marked as changed; to be called before reading the index.
 
-        In the order of their names, which is then the order in `machines` and so part of
-        what random samples draw.
+        Machines are processed in the order of their names. This determines the order of
+        `machines`, from which random samples are drawn.
         """
         for name in sorted(self._changed):
             worker = self._workers.table.get(name)
             if worker is None or not self._eligibility.is_eligible(worker):
-                self._index_images(name, frozenset())
+                self._update_image_index(name, frozenset())
                 self.machines.pop(name, None)
                 self.with_free_capacity.pop(name, None)
                 continue
             machine = self._capacity_of(worker)
-            self._index_images(name, machine.images)
+            self._update_image_index(name, machine.images)
             self.machines[name] = machine
             if machine.cpus > constants.EPSILON or machine.gpus > constants.EPSILON:
                 self.with_free_capacity[name] = machine
@@ -162,8 +163,8 @@
                 self.with_free_capacity.pop(name, None)
         self._changed.clear()
 
-    def _index_images(self, name: str, images: AbstractSet[str]) -> None:
-        """Note that the machine has these images now; before its entry is replaced."""
+    def _update_image_index(self, name: str, images: AbstractSet[str]) -> None:
+        """Update `machines_by_image`; to be called before the machine's entry is replaced."""
         old = self.machines.get(name)
         before = old.images if old is not None else frozenset()
         for image in images - before:
@@ -174,7 +175,7 @@
                 del self.machines_by_image[image]
 
     def _capacity_of(self, worker: Worker) -> MachineCapacity:
-        """What an eligible worker's machine has free."""
+        """Compute the free capacity of an eligible worker's machine."""
         report = worker.report
         assert report is not None
         machine_type = self._machine_types[report.type]
@@ -195,9 +196,10 @@
             admission=self._admission_of(worker),
             load=Load() if self._is_load_tracked() else None,
         )
-        reported = self._reserve_recorded(worker, machine, fetching)
+        reported = self._reserve_recorded_tasks(worker, machine, fetching)
         if reported < len(worker.tasks) and self._has_orphaned_task(worker):
-            # Its size is not known: nothing is placed beside it until it is stopped.
+            # The size of the orphaned task is not known, so nothing is placed on its machine
+            # until it is stopped.
             machine.cpus = machine.memory_gb = -1.0
         for job_id, tasks in self.reserved_tasks.get(worker.id, {}).items():
             machine.reserve(self._reserved_spec(job_id, worker.id), tasks)
@@ -206,18 +208,19 @@
         return machine
 
     def _reserved_spec(self, job_id: str, machine: str) -> wire.JobSpec:
+        """Return the spec that the job's step in flight has reserved the machine for."""
         return next(
             reservation.spec
             for reservation in self.step_reservations[job_id]
             if reservation.machine == machine
         )
 
-    def _reserve_recorded(
+    def _reserve_recorded_tasks(
         self, worker: Worker, machine: MachineCapacity, fetching: set[str]
     ) -> int:
-        """Reserve what job records place on the machine, noting in `fetching` their images.
+        """Reserve the recorded tasks on the machine; add images still to fetch to `fetching`.
 
-        Returns how many of the recorded tasks the worker reports.
+        Return how many of the recorded tasks the worker reports.
         """
         jobs, reported_tasks = self._replica.jobs, worker.tasks
         reported = 0
@@ -234,8 +237,8 @@
                             continue
                     machine.reserve(spec)
                     if attempt.stopping and machine.load is not None:
-                        # A task that is being stopped still holds its capacity, but is no
-                        # load to balance against.
+                        # A task that is being stopped still holds its capacity, but does not
+                        # count as load for rebalancing.
                         machine.load.add(spec.team, task_share(spec, machine.type), -1)
                     if spec.image not in machine.images and (
                         entry is None or entry.state == wire.FETCHING
@@ -244,7 +247,7 @@
         return reported
 
     def _has_orphaned_task(self, worker: Worker) -> bool:
-        """Does the worker report a task, not yet ended, that no record explains?"""
+        """Return whether the worker reports a task that has not exited and is in no job record."""
         known = {
             (f"{job_id}/{task}", attempt.attempt_number)
             for job_id, attempts in self._replica.attempts_by_machine.get(worker.id, {}).items()
--- a/appledock/core/machines/eligibility.py
+++ b/appledock/core/machines/eligibility.py
@@ -1,4 +1,4 @@
-"""Which workers may take tasks."""
+"""Eligibility of workers for new tasks."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from appledock.core.workers import Worker, Workers
 
 HEALTHY_WITHIN_HEARTBEATS = 2.5
-"""a worker takes tasks for so many heartbeat intervals after its last healthy heartbeat"""
+"""heartbeat intervals; a worker stays eligible this long after its last healthy heartbeat"""
 
 
 class Eligibility:
-    """Decides whether tasks may be placed on a worker's machine, whatever is free there."""
+    """Decides whether tasks may be placed on a worker's machine, regardless of free capacity."""
 
     def __init__(
         self, runtime: Runtime, workers: Workers, machine_types: Mapping[str, wire.MachineType]
@@ -24,11 +24,12 @@
         self._healthy_for_s = HEALTHY_WITHIN_HEARTBEATS * runtime.settings.cluster.workers.report_s
 
     def is_eligible(self, worker: Worker) -> bool:
-        """May tasks be placed on the worker's machine now?
+        """Return whether tasks may be placed on the worker's machine now.
 
-        Not on a machine that is cordoned, deleted, about to be reclaimed, of a type that the
-        cloud no longer lists, or whose worker's epoch has expired, may be known from an old
-        copy of a heartbeat only, or no longer receives its owner's answers.
+        A machine is not eligible if it is cordoned, deleted, about to be reclaimed or of a type
+        that the cloud no longer lists. Nor is it if its worker's agent epoch has expired, if the
+        epoch may be known only from an old copy of a heartbeat, or if the worker no longer
+        receives its owner's answers.
         """
         report = worker.report
         return (
--- a/appledock/core/machines/machine_capacity.py
+++ b/appledock/core/machines/machine_capacity.py
@@ -10,32 +10,32 @@
 from appledock.rebalancing.snapshot import Load, task_share
 
 UNLIMITED_SLOTS = 100_000
-"""slots counted where a task requests next to nothing"""
+"""slots; upper limit of `free_slots`, reached by tasks that request close to nothing"""
 
 FETCHING_DISCOUNT = 0.5
-"""part of an image's fetch time that is expected to remain once its fetch is under way"""
+"""ratio; part of an image's fetch time that is expected to remain while it is being fetched"""
 
 MEMORY_WEIGHT = 0.25
-"""weight of free memory in the fragmentation, against one for CPUs and for GPUs"""
+"""ratio; weight of free memory in the fragmentation, where CPUs and GPUs have weight 1 each"""
 
 
 class PartitionAdmission(Protocol):
-    """Which jobs a machine of a capacity partition admits."""
+    """Rule that decides which jobs a machine of a capacity partition admits."""
 
     @property
     def partition(self) -> str | None:
-        """The partition that owns the machine; None if none does at present."""
+        """The partition that owns the machine; None if no partition owns it at present."""
 
     def admits(self, spec: wire.JobSpec) -> bool:
-        """May a step of the job use the machine?"""
+        """Return whether a step of the job may use the machine."""
 
 
 @dataclass(slots=True)
 class MachineCapacity:
-    """What one machine has free, and what constraints and scores read of it.
+    """Free capacity of one machine, and its properties that constraints and scores use.
 
-    The free amounts change as tasks are reserved and released; they are negative where
-    more was placed than the machine has.
+    The free amounts change as tasks are reserved and released. They are negative if more is
+    placed on the machine than it has.
     """
 
     name: str
@@ -48,18 +48,18 @@
     memory_gb: float
     images: frozenset[str] | set[str] = frozenset()
     fetching: frozenset[str] | set[str] = frozenset()
-    """images that a placed task is fetching, or will"""
+    """images that tasks placed on the machine are fetching or will fetch"""
     owner: str = ""
     """controller that owns the machine's shard"""
     failure_count: int = 0
-    """jobs of which tasks failed here"""
+    """number of jobs of which tasks failed on the machine"""
     admission: PartitionAdmission | None = None
-    """which jobs it admits; None: any"""
+    """which jobs the machine admits; None: any job"""
     load: Load | None = None
-    """committed shares; None where load is not tracked"""
+    """committed shares of the machine; None if load is not tracked"""
 
     def fits(self, spec: wire.JobSpec) -> bool:
-        """Is the free capacity enough for one task?"""
+        """Return whether the free capacity is enough for one task of the job."""
         return (
             self.cpus + constants.EPSILON >= spec.cpus
             and self.gpus + constants.EPSILON >= spec.gpus
@@ -67,7 +67,7 @@
         )
 
     def free_slots(self, spec: wire.JobSpec) -> int:
-        """How many tasks of this size fit."""
+        """Return how many tasks of the job fit."""
         slots = UNLIMITED_SLOTS
         for free, requested in (
             (self.cpus, spec.cpus),
@@ -75,13 +75,13 @@
             (self.memory_gb, spec.memory_gb),
         ):
             if requested > 0:
-                # The minimum is taken before `int`: dividing by next to nothing gives
-                # infinity, which no integer holds.
+                # Take the minimum before converting to an integer: dividing by a size close to
+                # zero may give infinity, which has no integer value.
                 slots = int(min(slots, (free + constants.EPSILON) / requested))
         return max(0, slots)
 
     def release(self, spec: wire.JobSpec, tasks: int = 1) -> None:
-        """Give back what `reserve` took for tasks of the job."""
+        """Release the capacity that `reserve` took for tasks of the job."""
         self.reserve(spec, -tasks)
 
     def reserve(self, spec: wire.JobSpec, tasks: int = 1) -> None:
@@ -94,9 +94,9 @@
 
 
 def fits_in(spec: wire.JobSpec, cpus: float, gpus: float, memory_gb: float) -> bool:
-    """Are these amounts enough for one task?
+    """Return whether these amounts are enough for one task of the job.
 
-    `MachineCapacity.fits` is the same without a call, for the loops over machines.
+    `MachineCapacity.fits` repeats this test without a further call, for loops over machines.
     """
     return (
         cpus + constants.EPSILON >= spec.cpus
@@ -106,7 +106,7 @@
 
 
 def can_run_on_type(spec: wire.JobSpec, machine_type: wire.MachineType) -> bool:
-    """May a task of the job run on an empty machine of this type, and does it fit there?"""
+    """Return whether a task of the job may run, and fits, on an empty machine of this type."""
     return (
         (spec.types is None or machine_type.name in spec.types)
         and (bool(machine_type.zones) if spec.zone is None else spec.zone in machine_type.zones)
@@ -115,7 +115,10 @@
 
 
 def is_allowed_on(spec: wire.JobSpec, machine: MachineCapacity) -> bool:
-    """Do the hard constraints but size hold: type, zone, spot or on-demand, partition?"""
+    """Return whether the machine meets the job's hard constraints other than size.
+
+    These are its type, its zone, spot or on-demand, and its capacity partition.
+    """
     return (
         (spec.types is None or machine.type.name in spec.types)
         and (spec.zone is None or spec.zone == machine.zone)
@@ -125,12 +128,12 @@
 
 
 def max_tasks_per_zone(spec: wire.JobSpec) -> int:
-    """The most tasks of the job that one zone may hold (spread: half, rounded up)."""
+    """Return the most tasks of the job that one zone may hold (spread: half, rounded up)."""
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
 
 
 def is_zone_open(spec: wire.JobSpec, zone: str, tasks_by_zone: dict[str, int]) -> bool:
-    """May one more task go to the zone, given the job's unsettled tasks by zone?"""
+    """Return whether one more task may go to the zone, given the job's unsettled tasks by zone."""
     return tasks_by_zone.get(zone, 0) < max_tasks_per_zone(spec) and not (
         spec.one_zone and not tasks_by_zone.get(zone) and any(tasks_by_zone.values())
     )
@@ -139,10 +142,10 @@
 def count_free_slots(
     spec: wire.JobSpec, machines: Iterable[MachineCapacity], tasks_by_zone: dict[str, int]
 ) -> int:
-    """How many tasks of the job the machines could take under its zone constraints.
+    """Return how many tasks of the job the machines could take under its zone constraints.
 
-    Slots in zones closed to the job must not count: a controller with only such slots
-    would be chosen for a hand-off again and again while another one could place the task.
+    Slots in zones that are not open to the job must not count. Otherwise, a controller with only
+    such slots would repeatedly be chosen for a handoff while another could place the task.
     """
     slots: dict[str, int] = {}
     for machine in machines:
@@ -157,9 +160,9 @@
 
 
 def image_fetch_s(spec: wire.JobSpec, machine: MachineCapacity) -> float:
-    """Expected time until the job's image is on the machine, in s; 0 if it is there.
+    """Return the expected time, in s, until the job's image is on the machine; 0 if it is there.
 
-    Images are fetched one after the other, so those under way come first.
+    Images are fetched one after the other, so fetches in progress come first.
     """
     if spec.image in machine.images:
         return 0.0
@@ -171,7 +174,10 @@
 
 
 def fragmentation(spec: wire.JobSpec, machine: MachineCapacity) -> float:
-    """What a task would leave free, as weighted parts of the machine; less packs tighter."""
+    """Return the free capacity that a task would leave, as a weighted sum of parts of the machine.
+
+    A smaller value means tighter packing.
+    """
     size = machine.type
     left = (machine.cpus - spec.cpus) / max(size.cpus, constants.EPSILON)
     left += (machine.gpus - spec.gpus) / size.gpus if size.gpus > 0 else 0.0
--- a/appledock/core/machines/zones.py
+++ b/appledock/core/machines/zones.py
@@ -1,4 +1,4 @@
-"""Zones of machines, as the zone constraints of jobs need them."""
+"""Zones of machines and of jobs' tasks, for the zone constraints of jobs."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class MachineZones:
-    """Answers in which zone a machine or a job's tasks are."""
+    """Looks up the zone of a machine and the zones of a job's tasks."""
 
     def __init__(self, workers: Workers, listed_zone_of: Callable[[str], str | None]) -> None:
         self._workers = workers
         self._listed_zone_of = listed_zone_of
-        """zone of a machine by the cloud's list; None: it is not in the list"""
+        """returns the zone of a machine by the cloud's list; None: it is not listed"""
 
     def zone_of(self, machine: str) -> str | None:
-        """Return the machine's zone; None if neither its worker nor the cloud has told it yet."""
+        """Return the machine's zone; None until its worker or the cloud has reported it."""
         worker = self._workers.table.get(machine)
         if worker is not None and worker.report is not None:
             return worker.report.zone
         return self._listed_zone_of(machine)
 
     def tasks_by_zone(self, job: Job) -> dict[str, int] | None:
-        """Count the job's unsettled tasks by zone; None if the zone of one is not known."""
+        """Count the job's unsettled tasks by zone; return None if the zone of any is unknown."""
         tasks_by_zone: dict[str, int] = {}
         for attempt in job.attempts:
             zone = self.zone_of(attempt.machine)
--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -24,6 +24,12 @@
     "test_budget_leaves_the_others_what_they_use_and_users_wait_for_nobody": (
         "test_rate_limiter_leaves_the_others_what_they_use_and_users_wait_for_nobody"
     ),
+    "test_a_step_beyond_it_raises_the_allocation_from_what_nobody_has": (
+        "test_a_step_beyond_the_allocation_raises_it_from_the_unallocated_rest"
+    ),
+    "test_nothing_is_free_beside_a_task_that_no_record_explains": (
+        "test_no_capacity_is_free_beside_an_orphaned_task"
+    ),
 }
 """name of a test -> its later name"""
 
