--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -309,5 +309,5 @@
         self.allocation.end_write(self.team, wrote_record=self.writes_record)
         if self.allocation.term != self.term:
             return  # a new view has voided the write and cleared what was counted for it
-        for record in self.unanswered_writes:
-            record.finish(outcome)
+        for write in self.unanswered_writes:
+            write.finish(outcome)
