--- a/appledock/core/fleet/cordons.py
+++ b/appledock/core/fleet/cordons.py
@@ -1,4 +1,4 @@
-"""Cordons: machines on which no task is placed, and graceful eviction from some of them."""
+"""Cordons, which keep new tasks off a machine, and graceful eviction of running tasks."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 log = logging.getLogger(__name__)
 
 NO_CORDON = ""
-"""in place of a reason: tasks may be placed"""
+"""used instead of a reason if tasks may be placed on the machine"""
 
 
 class OperatorAction(enum.StrEnum):
-    """What an operator asks for; the values are part of the administration API."""
+    """Action requested by an operator; the values are part of the administration API."""
 
     CORDON = "cordon"
     UNCORDON = "uncordon"
@@ -42,8 +42,9 @@
 class Cordons:
     """Sets, broadcasts and ends cordons, and evicts tasks.
 
-    Each controller keeps the cordons of all machines, whoever leads. Reasons are text here: a
-    peer of another version may send one that this version does not know.
+    Every controller, whether it leads or not, keeps the cordons of all machines. Reasons are
+    stored as plain strings: a peer of another version may send a reason that this version does
+    not know.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
 
     # --- setting and broadcasting -----------------------------------------
     def set_locally(self, machine: str, reason: str) -> None:
-        """Take over a cordon, or its end (`NO_CORDON`), without a broadcast."""
+        """Set a cordon, or end it (`NO_CORDON`), without sending it to the peers."""
         worker = self._workers.table.get(machine)
         if worker is not None:
             worker.placement.cordon_reason = str(reason)
@@ -73,18 +74,19 @@
             self._reconcile_queue.placement_due = True
 
     def announce(self, machine: str, reason: str, peer: str | None = None) -> None:
-        """Send a cordon, or its end, to one peer, or to all."""
+        """Send a cordon, or its end, to one peer, or to all peers if `peer` is None."""
         self._runtime.emit(PeerSend(MachineCordoned(machine, str(reason)), peer))
 
     def set_everywhere(self, machine: str, reason: str) -> None:
-        """Set a cordon, or its end, here and at all peers."""
+        """Set a cordon, or end it, on this controller and on all peers."""
         self.set_locally(machine, reason)
         self.announce(machine, reason)
 
     def announce_all(self, peer: str, pending_deletions: Container[str]) -> None:
-        """Send a peer whose link has just opened the cordons that it may have missed.
+        """Send all cordons to a peer whose link has just opened, since it may have missed some.
 
-        Those of idle machines only as the leader, which alone knows its `pending_deletions`.
+        The cordon of an idle machine is sent only if the machine is in `pending_deletions`, which
+        is empty on any controller but the leader.
         """
         for worker in self._workers.table.values():
             reason = worker.placement.cordon_reason
@@ -93,11 +95,14 @@
 
     # --- causes of cordons ------------------------------------------------
     def apply_operator_action(self, machine: str, action: OperatorAction) -> None:
-        """Cordon, release or drain a machine, as an operator asked."""
+        """Cordon, uncordon or drain a machine at the request of an operator."""
         self.set_everywhere(machine, REASON_OF_ACTION[action])
 
     def on_task_failed(self, machine: str, job_id: str) -> None:
-        """Count the failure; a machine on which several jobs failed is cordoned as faulty."""
+        """Record that a task of the job failed on the machine.
+
+        The machine is cordoned as faulty once tasks of `FAULTY_MACHINE_JOBS_MIN` jobs failed on it.
+        """
         worker = self._workers.table.get(machine)
         if worker is None:
             return
@@ -116,15 +121,15 @@
 
     # --- eviction ---------------------------------------------------------
     def enforce(self, pending_deletions: Container[str]) -> None:
-        """End stale cordons, and evict this controller's tasks where that is due.
+        """End expired cordons, and evict tasks of jobs that this controller owns.
 
-        Tasks on a machine that an operator drains are stopped with their grace period and
-        placed again elsewhere; the leader deletes the machine once it is empty. From a spot
-        instance about to be reclaimed, only tasks with checkpoints are evicted: the others
-        lose nothing by running on.
+        Tasks on a machine that an operator drains are stopped with their grace period and placed
+        on other machines; the leader deletes the machine once it is empty. From a spot instance
+        that is about to be reclaimed, only tasks with checkpoints are evicted: the others lose
+        nothing by continuing to run.
         """
         for machine, worker in self._workers.table.items():
-            if self._is_stale(worker) and machine not in pending_deletions:
+            if self._has_expired(worker) and machine not in pending_deletions:
                 self.set_locally(machine, NO_CORDON)
             is_reclaimed = worker.report is not None and worker.report.notice_s is not None
             if worker.placement.cordon_reason == ScaleInReason.DRAIN:
@@ -132,11 +137,12 @@
             elif is_reclaimed:
                 self._evict(machine, only_checkpointing=True)
 
-    def _is_stale(self, worker: Worker) -> bool:
-        """Has the leader not repeated the cordon of an idle machine for too long?
+    def _has_expired(self, worker: Worker) -> bool:
+        """Return whether the leader has not renewed the cordon of an idle machine in time.
 
-        Guards against capacity lost for ever: the leader may have ended between cordon and
-        deletion, or the message that ended the cordon may have been lost with a link.
+        Without an expiry the capacity could be lost permanently: the leader may have failed
+        between cordon and deletion, or the message that ended the cordon may have been lost when
+        a link closed.
         """
         placement = worker.placement
         return (
@@ -155,5 +161,5 @@
 
 
 def _running_tasks(attempts: list[Attempt]) -> set[int]:
-    """Tasks of the attempts that are not being stopped."""
+    """Return the tasks of those attempts that are not being stopped already."""
     return {task for attempt in attempts if not attempt.stopping for task in attempt.tasks}
--- a/appledock/core/fleet/deletions.py
+++ b/appledock/core/fleet/deletions.py
@@ -1,4 +1,4 @@
-"""Deletion of machines: cordoned first, deleted once they are certainly empty."""
+"""Deletion of machines: empty ones are cordoned first, failed ones are deleted at once."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 
 class MachineDeletions:
-    """Keeps the machines that are to be deleted, until the cloud has confirmed it.
+    """Keeps track of scheduled deletions until the cloud has confirmed them.
 
-    Between cordon and deletion `DELETION_CORDON_S` pass, in which a step that another controller
-    has placed there meanwhile becomes known; then the machine is kept.
+    A machine that is deleted because it is empty is first cordoned for `DELETION_CORDON_S`.
+    Within that time this controller learns of tasks that another controller has placed on it
+    meanwhile; in that case the machine is kept.
     """
 
     def __init__(
@@ -36,30 +37,33 @@
         self._inventory = inventory
         self._cordons = cordons
         self.pending: dict[str, PendingDeletion] = {}
-        """machine -> its deletion"""
+        """machine -> its scheduled deletion"""
 
     def cordon(self, machine: str, reason: ScaleInReason) -> None:
-        """Cordon an empty machine, to be deleted if it is still empty after `DELETION_CORDON_S`."""
+        """Cordon an empty machine, and schedule its deletion after `DELETION_CORDON_S`."""
         self.pending[machine] = PendingDeletion(self._runtime.now, reason)
         self._cordons.set_everywhere(machine, reason)
 
-    def delete_soon(self, machine: str, reason: ScaleInReason) -> None:
-        """Delete a machine at the next opportunity, empty or not."""
+    def schedule_forced_deletion(self, machine: str, reason: ScaleInReason) -> None:
+        """Schedule a machine to be deleted by the next `delete_due`, whether it is empty or not."""
         cordoned_at = self._runtime.now - constants.DELETION_CORDON_S
         self.pending[machine] = PendingDeletion(cordoned_at, reason, is_forced=True)
 
     def on_failed(self, machines: list[str]) -> None:
-        """The cloud lists these machines as failed."""
+        """Mark machines that the cloud lists as failed as deleted, and schedule their deletion."""
         deleted = self._workers.deleted_machines
         new = [machine for machine in machines if machine not in deleted]
         if new:
             self._inventory.announce_deleted(new)
         for machine in machines:
             if machine not in self.pending:
-                self.delete_soon(machine, ScaleInReason.FAILED)
+                self.schedule_forced_deletion(machine, ScaleInReason.FAILED)
 
     def delete_due(self) -> None:
-        """Delete the machines whose time has come, as many as one call takes."""
+        """Request the deletions that are due, as many as fit in one call.
+
+        Deletions of machines that have recovered or are no longer empty are cancelled.
+        """
         due = []
         for machine, deletion in list(self.pending.items()):
             if (
@@ -78,21 +82,21 @@
             self.delete(due[: constants.DELETION_MACHINES_MAX])
 
     def _has_recovered(self, machine: str, deletion: PendingDeletion) -> bool:
-        """Has a heartbeat arrived since the machine was to be deleted for the lack of them?
+        """Return whether a machine to be deleted for missing heartbeats has sent one since.
 
-        Guards against an outage of the cloud that delays the deletion: by its end the machine
-        may be healthy again, with all tasks that run on it.
+        An outage of the cloud may delay the deletion, and by its end the machine may be healthy
+        again, with tasks running on it.
         """
         worker = self._workers.table.get(machine)
         return (
-            deletion.reason.is_void_after_heartbeat
+            deletion.reason.is_cleared_by_heartbeat
             and worker is not None
             and worker.reachability.last_healthy_at
             > deletion.cordoned_at + constants.DELETION_CORDON_S
         )
 
     def delete(self, machines: list[str]) -> None:
-        """Request the deletion of these pending machines from the cloud."""
+        """Request the scheduled deletions of these machines from the cloud."""
         now = self._runtime.now
         for machine in machines:
             deletion = self.pending[machine]
@@ -101,8 +105,8 @@
                 deletion.reason is ScaleInReason.IDLE
                 and now - deletion.cordoned_at > constants.CORDON_TTL_S / 3
             ):
-                # Calls to the cloud fail: renewed, so that the cordon does not become stale
-                # at the peers, and nothing is placed there meanwhile.
+                # Calls to the cloud keep failing. The cordon is renewed so that it does not
+                # expire at the peers, which would place tasks on the machine.
                 deletion.cordoned_at = now - constants.DELETION_CORDON_S
                 self._cordons.announce(machine, deletion.reason)
         self._cloud.delete(machines, lambda failure: self._on_result(machines, failure))
@@ -119,7 +123,7 @@
             self._cloud.back_off()
 
     def on_deleted(self, machines: list[str]) -> None:
-        """The cloud has confirmed the deletion."""
+        """Handle a deletion that the cloud has confirmed."""
         for machine in machines:
             self.pending.pop(machine, None)
         self._inventory.on_deleted(machines)
--- a/appledock/core/fleet/idle_reserve.py
+++ b/appledock/core/fleet/idle_reserve.py
@@ -1,4 +1,4 @@
-"""Idle reserve: machines kept for services that arrive while a new machine would boot."""
+"""Idle reserve: machines kept so that new services need not wait for a machine to boot."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
 
 class ServiceArrival(NamedTuple):
-    """A service submitted lately."""
+    """A recently submitted service."""
 
     submitted_at: float
     spec: wire.JobSpec
 
 
 class ReserveTarget(NamedTuple):
-    """The reserve to keep."""
+    """Size of the reserve to keep."""
 
     cpus: float
     task_cpus_by_image: dict[str, float]
-    """images requested lately -> CPUs of the largest task that requested it"""
+    """recently requested image -> CPUs of the largest task that uses it"""
 
 
 class ReserveMachine(NamedTuple):
-    """A machine that has an image in demand."""
+    """Capacity of a machine that has a recently requested image."""
 
     cpus: float
-    """free, or used by tasks that a service preempts"""
+    """CPUs that are free or used by tasks that a service may preempt"""
     images: frozenset[str]
 
 
 class Reserve:
-    """Machines on which a service could start at once, and what they offer together."""
+    """Machines on which a service could start at once, and their total capacity."""
 
     def __init__(
         self, machines: dict[str, ReserveMachine], task_cpus_by_image: dict[str, float]
@@ -53,10 +53,14 @@
             )
             for image, task_cpus in task_cpus_by_image.items()
         }
-        """image -> how many machines have it and the CPUs for a task of it"""
+        """image -> number of machines that have it and the CPUs for its largest task"""
 
     def can_spare(self, machine_name: str, target_cpus: float) -> bool:
-        """Would the reserve still be there without this machine?"""
+        """Return whether the reserve is sufficient without this machine.
+
+        The other machines must have `target_cpus`, and one of them must be able to run the
+        largest task of each image that this machine has.
+        """
         machine = self._machines.get(machine_name)
         return machine is None or (
             self.cpus - machine.cpus >= target_cpus
@@ -68,7 +72,7 @@
         )
 
     def remove(self, machine_name: str) -> None:
-        """The machine is scaled in."""
+        """Remove a machine that is about to be deleted."""
         machine = self._machines.pop(machine_name, None)
         if machine is not None:
             self.cpus -= machine.cpus
@@ -79,7 +83,7 @@
 
 
 class IdleReserve:
-    """Learns from arrivals of services how large a reserve they need."""
+    """Derives the size of the reserve from recent arrivals of services."""
 
     def __init__(
         self,
@@ -93,18 +97,18 @@
         self._capacity_index = capacity_index
         self._machine_types = machine_types
         self._arrivals: dict[str, ServiceArrival] = {}
-        """service -> its arrival; those of the last `HEADROOM_WINDOW_S`"""
+        """service -> its arrival within the last `HEADROOM_WINDOW_S`"""
 
     def on_job_changed(self, job: Job) -> None:
-        """A record changed: perhaps a service has arrived."""
+        """Record the arrival if the job is a service that is not known yet."""
         if job.spec.service and job.id not in self._arrivals:
             age_s = max(0.0, self._runtime.wall_time - job.submitted_at)
             self._arrivals[job.id] = ServiceArrival(self._runtime.now - age_s, job.spec)
 
     def target(self) -> ReserveTarget:
-        """The CPUs that services request on average while a machine boots and fetches an image.
+        """Return the target: the CPUs that services request on average during a boot and fetch.
 
-        One more task of the largest size is added, since services arrive one at a time.
+        The CPUs of the largest task are added, since services arrive one at a time.
         """
         now, window_s = self._runtime.now, constants.HEADROOM_WINDOW_S
         self._arrivals = {
@@ -112,23 +116,27 @@
             for job_id, arrival in self._arrivals.items()
             if now - arrival.submitted_at < window_s
         }
-        largest: dict[str, float] = {}
+        max_task_cpus_by_image: dict[str, float] = {}
         cpus = 0.0
         for _, spec in self._arrivals.values():
-            usable = [
-                offered
-                for offered in self._machine_types.values()
-                if can_run_on_type(spec, offered)
+            usable_types = [
+                machine_type
+                for machine_type in self._machine_types.values()
+                if can_run_on_type(spec, machine_type)
             ]
-            if not usable:
+            if not usable_types:
                 continue
-            wait_s = min(boot_and_fetch_s(spec, machine_type) for machine_type in usable)
+            wait_s = min(boot_and_fetch_s(spec, machine_type) for machine_type in usable_types)
             cpus += spec.cpus * spec.tasks * wait_s / window_s
-            largest[spec.image] = max(largest.get(spec.image, 0.0), spec.cpus)
-        return ReserveTarget(cpus + max(largest.values(), default=0.0), largest)
+            max_task_cpus_by_image[spec.image] = max(
+                max_task_cpus_by_image.get(spec.image, 0.0), spec.cpus
+            )
+        return ReserveTarget(
+            cpus + max(max_task_cpus_by_image.values(), default=0.0), max_task_cpus_by_image
+        )
 
-    def present(self, task_cpus_by_image: dict[str, float]) -> Reserve:
-        """The reserve at hand: on-demand machines that have an image in demand."""
+    def current(self, task_cpus_by_image: dict[str, float]) -> Reserve:
+        """Return the current reserve: the on-demand machines that have a requested image."""
         machines = {}
         jobs, attempts_by_machine = self._replica.jobs, self._replica.attempts_by_machine
         for machine in self._capacity_index.machines.values():
--- a/appledock/core/fleet/model.py
+++ b/appledock/core/fleet/model.py
@@ -1,4 +1,4 @@
-"""Values that the parts of the fleet pass to each other."""
+"""Data types shared by the modules of the fleet package."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ScaleInReason(enum.StrEnum):
-    """Why a machine is cordoned, deleted, or both.
+    """Reason why a machine is cordoned, deleted, or both.
 
     The values are sent to peers and shown by the administration API.
     """
@@ -20,20 +20,20 @@
     BOOT_FAILED = "never came up"
     HEARTBEAT_TIMEOUT = "silent"
     UNRESPONSIVE = "mute"
-    """neither heartbeats nor answers to probes arrive"""
+    """the machine neither sends heartbeats nor answers probes"""
     FAILED = "failed"
-    """the cloud lists it as failed"""
+    """the cloud lists the machine as failed"""
     IDLE = "idle"
     DRAIN = "drain"
-    """an operator has it emptied"""
+    """an operator drains the machine: its tasks are evicted, then it is deleted"""
     FAULTY = "faulty"
-    """tasks of several jobs failed there"""
+    """tasks of several jobs failed on the machine"""
     OPERATOR = "operator"
-    """an operator has cordoned it; it is kept"""
+    """an operator cordoned the machine; it is not deleted"""
 
     @property
-    def is_void_after_heartbeat(self) -> bool:
-        """Does the reason no longer hold once a heartbeat of the machine arrives?"""
+    def is_cleared_by_heartbeat(self) -> bool:
+        """Whether the reason no longer holds once the machine sends a heartbeat."""
         return self in (
             ScaleInReason.UNRESPONSIVE,
             ScaleInReason.HEARTBEAT_TIMEOUT,
@@ -42,14 +42,14 @@
 
 
 class MachineKind(NamedTuple):
-    """What a machine is rented as."""
+    """Machine type, zone and purchase option (spot or on-demand) of a machine."""
 
     type: str
     zone: str
     spot: bool
 
     def empty_capacity(self, machine_type: wire.MachineType) -> MachineCapacity:
-        """Free capacity of a machine of this kind on which nothing runs."""
+        """Return the free capacity of a machine of this kind that runs no tasks."""
         return MachineCapacity(
             "",
             machine_type,
@@ -63,14 +63,14 @@
 
 
 class BootingMachine(NamedTuple):
-    """A machine that is paid for and has not sent a heartbeat yet."""
+    """A machine that is paid for but has not sent a heartbeat yet."""
 
     kind: MachineKind
     age_s: float
 
 
 class RentedMachine(NamedTuple):
-    """A machine rented lately, perhaps without heartbeat or row in the machine list yet."""
+    """A recently rented machine, which may have no heartbeat or row in the machine list yet."""
 
     kind: MachineKind
     rented_at: float
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class ScaleOutRequest:
-    """A rental under way; repeated under the same name until it is answered."""
+    """A rental request without a final answer; every retry uses the same name."""
 
     name: str
     kind: MachineKind
@@ -89,20 +89,21 @@
 
 @dataclass(slots=True)
 class PendingDeletion:
-    """A machine to be deleted `DELETION_CORDON_S` after its cordon, if it is still empty then."""
+    """A deletion that is due `DELETION_CORDON_S` after the cordon, if the machine is then empty."""
 
     cordoned_at: float
     reason: ScaleInReason
     is_forced: bool = False
-    """delete it even if it is not empty"""
+    """whether the machine is deleted even if it is not empty"""
     is_call_in_flight: bool = False
+    """whether a deletion request to the cloud has not been answered yet"""
 
 
 @dataclass(frozen=True, slots=True)
 class JobDemand:
-    """Tasks of a job that may run as far as its team's limits go."""
+    """Number of tasks of a job that need capacity and are within the limits of its team."""
 
     job: Job
     tasks: int
     is_ready: bool = True
-    """False: the job still waits for prerequisites that are about to complete"""
+    """False if the job still waits for prerequisites that are about to complete"""
--- a/appledock/core/fleet/summary.py
+++ b/appledock/core/fleet/summary.py
@@ -1,4 +1,4 @@
-"""One log line about all machines from time to time, for whoever looks into the costs."""
+"""Periodic log line about all machines, for the analysis of their cost."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FleetSummary:
-    """Logs how many machines are idle, and why they are kept."""
+    """Logs how many machines are idle and why they are kept."""
 
     def __init__(
         self,
@@ -31,14 +31,14 @@
         self._workers = workers
         self._capacity_index = capacity_index
         self._inventory = inventory
-        self._next_line_at = 0.0
+        self._next_log_at = 0.0
 
     def log_if_due(self, target_cpus: float, reserve: Reserve, pending_deletions: int) -> None:
-        """Log the line, at most once in `FLEET_SUMMARY_INTERVAL_S`."""
+        """Log the summary, at most once per `FLEET_SUMMARY_INTERVAL_S`."""
         now, inventory = self._runtime.now, self._inventory
-        if now < self._next_line_at:
+        if now < self._next_log_at:
             return
-        self._next_line_at = now + constants.FLEET_SUMMARY_INTERVAL_S
+        self._next_log_at = now + constants.FLEET_SUMMARY_INTERVAL_S
         up = [worker for worker in self._workers.table.values() if worker.report is not None]
         idle = [worker for worker in up if worker.placement.idle_since]
         idle_return_s = self._operator_settings["idle_return_s"]
--- a/appledock/core/fleet/unresponsive.py
+++ b/appledock/core/fleet/unresponsive.py
@@ -1,4 +1,4 @@
-"""Detects machines of services that neither send heartbeats nor answer probes."""
+"""Detection of machines that run services but send no heartbeats and answer no probes."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class UnresponsiveMachineDetector:
-    """Tells machines that have failed from a network that has.
+    """Distinguishes failed machines from a failed network.
 
-    Replicas of a service on a failed machine come back sooner if the machine is deleted than if
-    its worker's lease is waited for.
+    Replicas of a service on a failed machine are replaced sooner if the machine is deleted than
+    if the lease of its worker has to expire first.
     """
 
     def __init__(
@@ -31,12 +31,13 @@
         self._report_s = runtime.settings.cluster.workers.report_s
 
     def are_most_workers_reporting(self) -> bool:
-        """Do most workers send heartbeats, and most of this controller's own send them here?
+        """Return whether most workers send heartbeats, including those this controller owns.
 
-        If not, the failure is this controller's or the network's, and no machine may be taken
-        for a failed one. The second part guards against a leader that alone is cut off from
-        its workers: their heartbeats still arrive through the peers, only its own probes stay
-        unanswered, and it once deleted a fifth of the machines.
+        If not, this controller or the network has failed, and no machine may be considered
+        failed. The second condition, which counts the heartbeats that owned workers send directly
+        to this controller, guards against a leader that alone is cut off from its workers. Their
+        heartbeats still arrive through the peers and only its own probes stay unanswered; such a
+        leader once deleted a fifth of the machines.
         """
         now, recent_s = self._runtime.now, 2 * self._report_s
         are_recent = [
@@ -50,10 +51,11 @@
         )
 
     def find(self, pending_deletions: Container[str]) -> list[str]:
-        """Find machines to delete, and probe those that are only suspected.
+        """Return unresponsive machines, and probe those that are only suspected.
 
-        To be called only while `are_most_workers_reporting`. A new leader probes at once, but
-        names no machine until it has been able to act for `LEADER_DELETE_DELAY_S`.
+        This may be called only if `are_most_workers_reporting` returns True. A new leader sends
+        probes at once, but the result is empty until it has been able to act for
+        `LEADER_DELETE_DELAY_S`.
         """
         can_delete = (
             self._runtime.now - self._membership.can_act_since >= constants.LEADER_DELETE_DELAY_S
@@ -75,9 +77,9 @@
         return unresponsive
 
     def _is_suspected(self, worker: Worker) -> bool:
-        """Has a machine that runs a service sent no healthy heartbeat for a while?
+        """Return whether a machine that runs a service has sent no healthy heartbeat for a while.
 
-        A heartbeat is not healthy if its worker no longer receives our answers.
+        A heartbeat is healthy if it shows that the answers of the worker's owner reach the worker.
         """
         silent_s = self._runtime.now - worker.reachability.last_healthy_at
         return (
--- a/appledock/core/fleet/upcoming_reserve.py
+++ b/appledock/core/fleet/upcoming_reserve.py
@@ -1,4 +1,4 @@
-"""Idle machines kept for jobs that will be ready soon."""
+"""Reservation of idle machines for jobs that will be ready soon."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 @dataclass(slots=True)
 class UpcomingTasks:
-    """Tasks of one job for which no idle machine is kept yet."""
+    """Tasks of one job for which no idle machine is reserved yet."""
 
     spec: wire.JobSpec
     tasks: int
 
 
 class UpcomingReserve:
-    """Keeps idle machines for upcoming jobs, no more than those need.
+    """Reserves idle machines for upcoming jobs, but no more than these need.
 
-    Without the count, any upcoming job would keep nearly all idle machines.
+    If the tasks were not counted, a single upcoming job would keep nearly all idle machines.
     """
 
     def __init__(
@@ -32,14 +32,15 @@
         self._workers = workers
         self._capacity_index = capacity_index
         self._inventory = inventory
-        self._unserved: list[UpcomingTasks] = []
+        self._unreserved: list[UpcomingTasks] = []
 
     def reset(self, demand: list[JobDemand]) -> None:
-        """Take over the present demand, for one pass over the machines.
+        """Discard all reservations, and start a new pass over the machines with this demand.
 
-        Idle machines whose minimum charge is not used up stay anyway, so they are kept first.
+        Idle machines whose minimum charge is not used up are kept anyway, so they are reserved
+        first.
         """
-        self._unserved = [
+        self._unreserved = [
             UpcomingTasks(item.job.spec, item.tasks) for item in demand if not item.is_ready
         ]
         for name, worker in self._workers.table.items():
@@ -47,11 +48,11 @@
                 self.try_reserve(name)
 
     def try_reserve(self, machine_name: str) -> bool:
-        """Keep the idle machine for an upcoming job; False: none needs it."""
+        """Reserve the idle machine for an upcoming job; return False if none needs it."""
         machine = self._capacity_index.machines.get(machine_name)
         if machine is None:
             return False
-        for upcoming in self._unserved:
+        for upcoming in self._unreserved:
             spec = upcoming.spec
             if upcoming.tasks > 0 and is_allowed_on(spec, machine) and machine.fits(spec):
                 upcoming.tasks -= machine.free_slots(spec)
--- a/tests/unit/fleet/test_deletions.py
+++ b/tests/unit/fleet/test_deletions.py
@@ -1,4 +1,4 @@
-"""Deletions of machines from fakes of their collaborators, without a controller."""
+"""Unit tests of machine deletions with fake collaborators, without a controller."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FakeCloud:
-    """Keeps the deletions requested."""
+    """Records the requested deletions; the test answers them."""
 
     def __init__(self) -> None:
         self.deleted: list[list[str]] = []
@@ -34,7 +34,7 @@
 
 
 class Fixture:
-    """One machine, `vm-1`, that is empty."""
+    """`MachineDeletions` with fake collaborators and one empty machine, `vm-1`."""
 
     def __init__(self) -> None:
         self.runtime: Any = SimpleNamespace(now=100.0)
@@ -64,7 +64,7 @@
     assert fixture.cloud.deleted == []
     fixture.runtime.now += 0.1
     fixture.deletions.delete_due()
-    fixture.deletions.delete_due()  # nothing is requested twice while a call is in flight
+    fixture.deletions.delete_due()  # no second request while a call is in flight
     assert fixture.cloud.deleted == [["vm-1"]]
     fixture.cloud.answer(None)
     assert fixture.confirmed == [["vm-1"]] and not fixture.deletions.pending
@@ -82,7 +82,7 @@
 
 def test_a_refused_deletion_is_requested_again() -> None:
     fixture = Fixture()
-    fixture.deletions.delete_soon("vm-1", ScaleInReason.FAILED)
+    fixture.deletions.schedule_forced_deletion("vm-1", ScaleInReason.FAILED)
     fixture.deletions.delete_due()
     fixture.cloud.answer(CloudFailure(CloudOutcome.REFUSED))
     assert fixture.cloud.is_backed_off and fixture.confirmed == []
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("reason", ScaleInReason)
 def test_a_heartbeat_voids_only_deletions_for_the_lack_of_heartbeats(reason: ScaleInReason) -> None:
     fixture = Fixture()
-    fixture.deletions.delete_soon("vm-1", reason)
+    fixture.deletions.schedule_forced_deletion("vm-1", reason)
     fixture.worker.reachability.last_healthy_at = fixture.runtime.now + 0.1
     fixture.runtime.now += 1.0
     fixture.deletions.delete_due()
