--- a/appledock/core/fleet/__init__.py
+++ b/appledock/core/fleet/__init__.py
@@ -1,7 +1,7 @@
-"""Scale out and scale in: which machines to rent, to keep and to delete.
+"""Scale out and scale in: decides which machines are rented, kept and deleted.
 
-Decided by the leader alone; cordons concern every controller. The rest of the core deals with
-`manager.Fleet` only.
+Only the leader makes these decisions; every controller keeps track of cordons. The rest of the
+core calls this package through `manager.Fleet`.
 """
 
 from appledock.core.fleet.manager import Fleet
--- a/appledock/core/fleet/catalogue.py
+++ b/appledock/core/fleet/catalogue.py
@@ -1,4 +1,4 @@
-"""Catalogue of machine types: read from the cloud, kept in the key-value store."""
+"""Catalogue of machine types, read from the cloud and kept in the key-value store."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class MachineTypeCatalogue:
-    """Keeps the machine types up to date that all parts of the controller read.
+    """Updates the machine types that all parts of the controller read.
 
-    The leader stores them, so that an outage of the cloud does not keep a restarted controller
-    from placing tasks.
+    The leader stores them, so that a controller that restarts during an outage of the cloud can
+    place tasks.
     """
 
     def __init__(  # noqa: PLR0913 -- it connects the cloud, the store and the types in memory
@@ -54,7 +54,7 @@
         self._loaded_version = -1
 
     def load_stored(self) -> None:
-        """Add the stored types, if they have changed; those read from the cloud stay."""
+        """Add the stored types if they have changed; types read from the cloud take precedence."""
         stored = self._replica.catalogue
         if stored.version == self._loaded_version:
             return
@@ -69,7 +69,7 @@
         self._capacity_index.mark_all_changed()
 
     def refresh(self) -> None:
-        """Read the types from the cloud if that is due."""
+        """Read the types from the cloud if a read is due."""
         if self._runtime.now >= self._next_read_at and not self._is_reading:
             self._is_reading = True
             self._cloud.list_machine_types(self._on_types)
@@ -85,14 +85,19 @@
             return
         self._next_read_at = now + constants.MACHINE_TYPES_INTERVAL_S
         self._machine_types.clear()
-        self._machine_types.update((offered.name, offered) for offered in result.types)
+        self._machine_types.update(
+            (machine_type.name, machine_type) for machine_type in result.types
+        )
         self._capacity_index.mark_all_changed()
         self._reconcile_queue.placement_due = True
         if self._is_leader() and self._differs_from_stored():
             self._store()
 
     def _differs_from_stored(self) -> bool:
-        """Has anything but the prices changed? Those change all the time."""
+        """Return whether the types differ from the stored ones.
+
+        Prices are not compared, since they change all the time.
+        """
         try:
             stored = _decode(self._replica.catalogue.value)
         except msgspec.ValidationError:
@@ -102,7 +107,9 @@
     def _store(self) -> None:
         version = self._replica.catalogue.version
         value = {
-            "types": [msgspec.to_builtins(offered) for offered in self._machine_types.values()]
+            "types": [
+                msgspec.to_builtins(machine_type) for machine_type in self._machine_types.values()
+            ]
         }
         if len(wire.encode(value)) > self._client.max_value_bytes:
             return
@@ -122,19 +129,23 @@
 
 
 def _decode(rows: list[Any]) -> list[wire.MachineType]:
-    """The types of a stored catalogue; raises ValidationError if it is malformed."""
+    """Return the types of a stored catalogue.
+
+    Raises:
+        msgspec.ValidationError: The catalogue is malformed.
+    """
     return [msgspec.convert(row, wire.MachineType) for row in rows]
 
 
 def _without_prices(machine_types: Iterable[wire.MachineType]) -> list[tuple[object, ...]]:
     return sorted(
         (
-            offered.name,
-            offered.cpus,
-            offered.gpus,
-            offered.memory_gb,
-            offered.boot_s,
-            tuple(offered.zones),
+            machine_type.name,
+            machine_type.cpus,
+            machine_type.gpus,
+            machine_type.memory_gb,
+            machine_type.boot_s,
+            tuple(machine_type.zones),
         )
-        for offered in machine_types
+        for machine_type in machine_types
     )
--- a/appledock/core/fleet/cloud.py
+++ b/appledock/core/fleet/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud: typed calls, and one backoff for all of them."""
+"""Client of the cloud's API: typed calls that share one backoff."""
 
 from __future__ import annotations
 
@@ -22,52 +22,58 @@
 
 @dataclass(frozen=True, slots=True)
 class CloudFailure:
-    """A call that did not succeed."""
+    """Result of a call that did not succeed."""
 
     outcome: CloudOutcome
-    """never `OK`"""
+    """any outcome except `OK`"""
 
 
 class CloudClient:
-    """Sends calls to the cloud; the result is what the cloud answered, or a `CloudFailure`.
+    """Sends calls to the cloud; each result is the decoded answer or a `CloudFailure`.
 
-    Callers end each failure that is not about their request alone with `back_off`, and send
-    nothing before `paused_until`.
+    Callers must call `back_off` after each failure that does not concern only their own request,
+    and must send no call before `paused_until`.
     """
 
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
         self.paused_until = 0.0
-        """end of the backoff"""
+        """end of the backoff, which applies to all calls"""
 
     def list_machine_types(
         self, on_result: Callable[[wire.MachineTypes | CloudFailure], None]
     ) -> None:
-        """Read what the cloud offers."""
+        """Request the machine types that the cloud offers."""
         self._submit(ListMachineTypes(), on_result)
 
     def list_machines(
         self, after: str | None, on_result: Callable[[wire.MachineList | CloudFailure], None]
     ) -> None:
-        """Read one page of the machine list, from behind the machine `after`."""
+        """Request the page of the machine list that follows the machine `after`.
+
+        The first page is requested if `after` is None.
+        """
         self._submit(ListMachines(after, constants.MACHINE_LIST_LIMIT), on_result)
 
     def rent(
         self, request: wire.Rent, on_result: Callable[[wire.Rented | CloudFailure], None]
     ) -> None:
-        """Rent machines; repeated under the same name, the request is executed once."""
+        """Request a rental; the cloud executes requests with the same name only once."""
         self._submit(RentMachines(request), on_result)
 
     def delete(self, machines: list[str], on_result: Callable[[CloudFailure | None], None]) -> None:
-        """Delete machines; None: the cloud has confirmed it."""
+        """Request a deletion; the result is None if the cloud has confirmed it."""
         self._submit(DeleteMachines(machines), on_result)
 
     def back_off(self) -> None:
-        """Pause all calls after a refusal or failure, with jitter: controllers spread out."""
+        """Pause all calls after a refusal or failure.
+
+        Jitter keeps the controllers from repeating their calls at the same time.
+        """
         self.paused_until = self._runtime.now + constants.CLOUD_PAUSE_S + self._runtime.rng.random()
 
     def _submit(self, request: CloudRequest, on_result: Callable[[Any], None]) -> None:
-        """Emit a call; the adapter decodes its answer as the type that belongs to the request."""
+        """Emit a call; the adapter decodes the answer into the type that belongs to the request."""
 
         def on_reply(reply: CloudReply) -> None:
             is_ok = reply.outcome is CloudOutcome.OK
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -1,4 +1,4 @@
-"""The fleet as the rest of the core sees it: its timers, its messages, its parts."""
+"""Interface of the fleet package to the rest of the core, and wiring of its modules."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 
 
 class Fleet:
-    """Builds the parts that deal with machines, and runs what is due.
+    """Creates the objects that manage machines, and runs their periodic work.
 
-    Only the leader rents, probes and deletes; every controller keeps cordons and remembers
-    rentals, since it may become leader.
+    Only the leader rents, probes and deletes machines. Every controller keeps track of cordons
+    and rentals, since it may become leader.
     """
 
-    def __init__(  # noqa: PLR0913 -- it builds the parts of the package
+    def __init__(  # noqa: PLR0913 -- it creates all objects of the package
         self,
         *,
         runtime: Runtime,
@@ -76,7 +76,7 @@
         self._next_scaling_at = 0.0
         self._next_cordon_check_at = 0.0
         self.leader_since: float | None = None
-        """when this controller became leader, None while it is not"""
+        """when this controller became leader; None while it is not the leader"""
         self.cloud = CloudClient(runtime)
         self.catalogue = MachineTypeCatalogue(
             runtime=runtime,
@@ -100,7 +100,7 @@
             machine_types=machine_types,
             on_failed=self._on_failed,
         )
-        self.machine_list = MachineListReader(runtime, self.cloud, self.inventory.on_list)
+        self.machine_list = MachineListReader(runtime, self.cloud, self.inventory.on_list_complete)
         self.deletions = MachineDeletions(
             runtime, workers, self.cloud, self.inventory, self.cordons
         )
@@ -111,7 +111,7 @@
             self.cloud,
             self.inventory,
             self.offers,
-            on_no_capacity=self._scale_at_once,
+            on_no_capacity=self._schedule_scaling_now,
         )
         self.demand_estimator = DemandEstimator(
             runtime=runtime,
@@ -158,14 +158,18 @@
 
     # --- timers -----------------------------------------------------------
     def tick(self) -> None:
-        """Do what is due; all but the cordons is the leader's."""
+        """Do the work that is due.
+
+        Every controller enforces cordons, and reads the machine types if it knows none. The rest
+        is done by the leader only.
+        """
         if not self._reader.loaded:
             return
         now = self._runtime.now
         if self._membership.can_act() and now >= self._next_cordon_check_at:
             self._next_cordon_check_at = now + constants.FLEET_CHECK_INTERVAL_S
             self.cordons.enforce(self._pending_deletions_as_leader())
-        is_leader = self._follow_leadership()
+        is_leader = self._update_leadership()
         if now < self.cloud.paused_until:
             return
         if is_leader or not self._machine_types:
@@ -184,11 +188,12 @@
             self.rent_missing(demand)
             self.delete_surplus(demand)
 
-    def _follow_leadership(self) -> bool:
-        """Is this controller the leader? When that begins, old knowledge is dropped.
+    def _update_leadership(self) -> bool:
+        """Return whether this controller is the leader; discard stale state when it becomes leader.
 
-        Scaling then waits for `NEW_LEADER_DELAY_S`: until the peers have sent what they know, a
-        machine without a heartbeat here is neither late nor missing.
+        A new leader then waits for `NEW_LEADER_DELAY_S` before it scales. Until the peers have
+        sent their state, a machine from which this controller has no heartbeat cannot be
+        considered late or missing.
         """
         if not self._membership.is_leader():
             self.leader_since = None
@@ -205,56 +210,59 @@
         return self.deletions.pending if self.leader_since is not None else ()
 
     def queued_demand(self) -> list[JobDemand]:
-        """Tasks that need capacity, the most urgent first."""
+        """Return the tasks that need capacity, the most urgent first."""
         return self.demand_estimator.queued()
 
     def rent_missing(self, demand: list[JobDemand]) -> None:
-        """Scale out."""
+        """Scale out: rent machines for the demand that existing machines do not cover."""
         self.planner.plan(demand, self.deletions.pending)
 
     def delete_surplus(self, demand: list[JobDemand]) -> None:
-        """Scale in."""
+        """Scale in: delete machines that are not needed or have failed."""
         self.scale_in.review(demand, self.leader_since)
 
-    # --- callbacks of the parts -------------------------------------------
-    def _scale_at_once(self) -> None:
+    # --- callbacks from the package ---------------------------------------
+    def _schedule_scaling_now(self) -> None:
         self._next_scaling_at = self._runtime.now
 
     def _on_failed(self, machines: list[str]) -> None:
         self.deletions.on_failed(machines)
 
-    # --- from the rest of the core ----------------------------------------
+    # --- calls from the rest of the core ----------------------------------
     def load_stored_catalogue(self) -> None:
-        """Take over the stored machine types, if they have changed."""
+        """Load the stored machine types if they have changed."""
         self.catalogue.load_stored()
 
     def on_job_changed(self, job: Job) -> None:
-        """A record changed: arrivals of services decide on the idle reserve."""
+        """Handle a changed job record: arrivals of services determine the idle reserve."""
         self.idle_reserve.on_job_changed(job)
 
     def on_task_failed(self, machine: str, job_id: str) -> None:
-        """A task of the job has failed on the machine."""
+        """Handle the failure of a task of the job on the machine."""
         self.cordons.on_task_failed(machine, job_id)
 
     def on_machines_deleted(self, machines: list[str]) -> None:
-        """The cloud has confirmed the deletion of these machines."""
+        """Handle a deletion of machines that the cloud has confirmed."""
         self.deletions.on_deleted(machines)
 
     def booting(self) -> dict[str, BootingMachine]:
-        """Machines paid for that have not sent a heartbeat yet."""
+        """Return the machines that are paid for but have not sent a heartbeat yet."""
         return self.inventory.booting()
 
     def zone_of(self, machine: str) -> str | None:
-        """The zone of a listed machine."""
+        """Return the zone of a listed machine; None if the machine is not listed."""
         return self.inventory.zone_of(machine)
 
     def apply_operator_action(self, machine: str, action: str) -> None:
-        """Cordon, release or drain a machine, as an operator asked (an `OperatorAction`)."""
+        """Cordon, uncordon or drain a machine at the request of an operator.
+
+        `action` is a value of `OperatorAction`.
+        """
         self.cordons.apply_operator_action(machine, OperatorAction(action))
 
     # --- peers ------------------------------------------------------------
     def on_peer(self, message: FleetMessage) -> None:
-        """A peer rented machines, or set or ended a cordon."""
+        """Record the rentals and cordons that a peer has sent."""
         match message:
             case MachinesRented():
                 self.inventory.add_rented(message.machines, MachineKind(*message.machine_kind))
@@ -264,7 +272,10 @@
                 assert_never(message)
 
     def on_peer_connected(self, peer: str) -> None:
-        """A link opened: the peer may become leader soon and must know cordons and rentals."""
+        """Send all cordons and rentals to a peer whose link has just opened.
+
+        The peer needs to know them since it may become leader.
+        """
         self.cordons.announce_all(peer, self._pending_deletions_as_leader())
         for kind, machines in self.inventory.rentals_by_kind().items():
             self.scale_out.announce(machines, kind, peer)
