--- a/appledock/core/fleet/desired_capacity.py
+++ b/appledock/core/fleet/desired_capacity.py
@@ -1,4 +1,4 @@
-"""Desired capacity: the queue is packed onto what is up, booting or freed soon; the rest rented."""
+"""Desired capacity: packs the demand onto current and expected capacity, and rents the rest."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class CapacityPlanner:
-    """Computes which machines are missing for the demand, and has them rented."""
+    """Computes which machines the demand lacks, and rents them."""
 
     def __init__(  # noqa: PLR0913 -- supply comes from all sources of capacity
         self,
@@ -47,7 +47,7 @@
         self._zone_distribution = zone_distribution
 
     def plan(self, demand: list[JobDemand], pending_deletions: Container[str]) -> None:
-        """Rent for what neither fits now nor will fit soon."""
+        """Rent machines for the demand that neither fits now nor will fit soon."""
         if not demand:
             return
         booting = self._inventory.booting()
@@ -57,9 +57,9 @@
     def _supply(
         self, booting: dict[str, BootingMachine], pending_deletions: Container[str]
     ) -> CapacitySupply:
-        """What is free on machines that are up, booting in good time, or being rented.
+        """Return the free capacity of machines that are up, booting on time or being rented.
 
-        Machines about to be deleted offer nothing.
+        Machines that are about to be deleted are not counted.
         """
         supply = CapacitySupply()
         for free in self._capacity_index.with_free_capacity.values():
@@ -81,10 +81,10 @@
     def _missing_machines(
         self, demand: list[JobDemand], supply: CapacitySupply
     ) -> Counter[MachineKind]:
-        """Pack the demand onto the supply; the machines that the rest needs, by kind.
+        """Pack the demand onto the supply, and count the machines that the rest needs, by kind.
 
-        None are counted for batch tasks that fit into capacity freed before a new machine
-        could be up; services do not wait for that.
+        No machines are counted for batch tasks that fit into capacity that is freed before a new
+        machine could be up. Services do not wait for such capacity.
         """
         freed_soon = CapacitySupply()
         for freed in self._demand_estimator.freed_soon():
@@ -107,7 +107,7 @@
         supply: CapacitySupply,
         missing: Counter[MachineKind],
     ) -> None:
-        """Count the machines for these tasks, and supply what they leave free, as if rented."""
+        """Add the machines for these tasks to `missing`, and what they leave free to `supply`."""
         while tasks > 0:
             kind = self._offers.cheapest(spec, tasks, zone)
             if kind is None:
@@ -122,11 +122,11 @@
             missing[kind] += count
 
     def _rent(self, missing: Counter[MachineKind], booting: int) -> None:
-        """Rent, up to the operators' limit on machines."""
-        up = sum(worker.report is not None for worker in self._workers.table.values())
-        allowed = int(self._operator_settings["machines_max"]) - up - booting
+        """Rent the missing machines, up to the limit on machines that operators have set."""
+        running = sum(worker.report is not None for worker in self._workers.table.values())
+        remaining = int(self._operator_settings["machines_max"]) - running - booting
         for kind, count in missing.items():
-            number = min(count, constants.RENTAL_MACHINES_MAX, allowed)
-            if number > 0:
-                allowed -= number
-                self._scale_out.rent(kind, number)
+            rented = min(count, constants.RENTAL_MACHINES_MAX, remaining)
+            if rented > 0:
+                remaining -= rented
+                self._scale_out.rent(kind, rented)
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -1,8 +1,8 @@
 """Forecast of jobs that become ready about when a machine rented now has booted.
 
-The stage of a pipeline that follows a small one may need a hundred machines. Rented only when
-the stage is ready, they would all come up one boot time later. So the stage counts as demand
-as soon as its prerequisites are, by their estimates, about to complete.
+A stage of a pipeline that follows a small one may need a hundred machines. If they were rented
+only when the stage is ready, all of them would come up one boot time later. The stage therefore
+counts as demand as soon as its prerequisites, by their estimates, are about to complete.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
     """Order in which queued jobs are served."""
 
     def sort_key(self, job: Job) -> tuple[object, ...]:
-        """What is lower is served first."""
+        """Return the sort key of a job; jobs with lower keys are served first."""
 
 
 class WaitObjectives(Protocol):
     """Service-level objectives for the wait until a job starts."""
 
     def has_wait_limit(self, spec: wire.JobSpec) -> bool:
-        """Does an objective limit how long the job waits?"""
+        """Return whether an objective limits how long the job may wait."""
 
 
 class ReadinessForecast:
@@ -53,7 +53,7 @@
         self._objectives = objectives
 
     def upcoming_jobs(self) -> list[Job]:
-        """Waiting jobs for which machines should be rented now, the most urgent first."""
+        """Return the waiting jobs that need machines to be rented now, the most urgent first."""
         replica = self._replica
         dependencies = replica.dependencies
         waiting = [
@@ -61,13 +61,15 @@
             for job_id in dependencies.waiting_jobs - dependencies.cancelled_by_dependency
             if job_id in replica.jobs and job_id not in replica.cancelled_jobs
         ]
-        upcoming = [job for job in waiting if self._gains_by_early_start(job) and self._is_due(job)]
+        upcoming = [
+            job for job in waiting if self._benefits_from_early_start(job) and self._is_due(job)
+        ]
         return sorted(upcoming, key=lambda job: (self._queue_order.sort_key(job), job.id))
 
-    def _gains_by_early_start(self, job: Job) -> bool:
-        """Is there a deadline that can still be met, or an objective for the job's wait?
+    def _benefits_from_early_start(self, job: Job) -> bool:
+        """Return whether the job has a wait objective or a deadline that can still be met.
 
-        A machine that waits costs money, so one of them must be at stake.
+        A machine that waits for a job costs money, so it is rented early only in these cases.
         """
         _, deadline_at = self._replica.dependencies.inherited_priority(job)
         has_deadline = deadline_at < job.submitted_at + constants.NO_DEADLINE_S
@@ -83,19 +85,21 @@
         ]
         return (
             bool(boot_times_s)
-            and self.ready_in_s(job) <= min(boot_times_s) * constants.DEMAND_FORECAST_HORIZON_RATIO
+            and self.time_to_ready_s(job)
+            <= min(boot_times_s) * constants.DEMAND_FORECAST_HORIZON_RATIO
         )
 
-    def ready_in_s(self, job: Job) -> float:
-        """Time until all prerequisites are complete.
+    def time_to_ready_s(self, job: Job) -> float:
+        """Return the time in seconds until all prerequisites of the job are complete.
 
-        Infinite if it cannot be estimated, or if one of them waits for others itself.
+        The result is infinite if the time cannot be estimated, or if a prerequisite itself waits
+        for other jobs.
         """
         prerequisites = self._replica.dependencies.unfinished_prerequisites(job.id)
-        return max(map(self._complete_in_s, prerequisites), default=0.0)
+        return max(map(self._time_to_completion_s, prerequisites), default=0.0)
 
-    def _complete_in_s(self, job_id: str) -> float:
-        """Time until an open job is complete, by its owner's estimate."""
+    def _time_to_completion_s(self, job_id: str) -> float:
+        """Return the time in seconds until a job is complete, by the estimate of its run time."""
         job = self._replica.jobs.get(job_id)
         if job is None or job.spec.service or job_id in self._replica.dependencies.waiting_jobs:
             return math.inf
@@ -116,12 +120,12 @@
         running_since = worker.status.running_since.get(key)
         if running_since is None:
             return job.spec.estimate_s
-        return remaining_by_estimate_s(job.spec, self._runtime.now - running_since)
+        return estimated_remaining_s(job.spec, self._runtime.now - running_since)
 
 
-def remaining_by_estimate_s(spec: wire.JobSpec, ran_s: float) -> float:
-    """How long a task that has run for `ran_s` may still run.
+def estimated_remaining_s(spec: wire.JobSpec, elapsed_s: float) -> float:
+    """Return the time in seconds that a task which has run for `elapsed_s` may still run.
 
-    Past its estimate it may take as long again as it is late.
+    A task that has exceeded its estimate is assumed to need the time of the excess once more.
     """
-    return abs(spec.estimate_s - ran_s)
+    return abs(spec.estimate_s - elapsed_s)
--- a/appledock/core/fleet/offers.py
+++ b/appledock/core/fleet/offers.py
@@ -1,4 +1,4 @@
-"""Which kinds of machines can be rented, and at what price."""
+"""Selection of the machine kinds to rent, by price and availability."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 
 
 class InstanceOffers:
-    """Selects kinds by price, without those that the cloud had no capacity for lately."""
+    """Selects kinds by price, except those for which the cloud recently had no capacity."""
 
     def __init__(self, runtime: Runtime, machine_types: Mapping[str, wire.MachineType]) -> None:
         self._runtime = runtime
         self._machine_types = machine_types
         self.unavailable_until: dict[MachineKind, float] = {}
-        """kinds without capacity -> when they are requested again"""
+        """kind without capacity -> when it may be requested again"""
 
     def mark_unavailable(self, kind: MachineKind) -> None:
-        """The cloud has no more machines of this kind for now."""
+        """Exclude a kind for `NO_CAPACITY_BACKOFF_S`, since the cloud has no capacity for it."""
         self.unavailable_until[kind] = self._runtime.now + constants.NO_CAPACITY_BACKOFF_S
 
     def cheapest(
         self, spec: wire.JobSpec, tasks: int, zone: str | None = None
     ) -> MachineKind | None:
-        """Find the available kind that costs least per task of the job.
+        """Return the available kind with the lowest price per task of the job.
 
-        With `zone` only there; None: no kind that the job can run on is available.
+        If `zone` is given, only kinds in that zone are considered. The result is None if no kind
+        on which the job can run is available.
         """
         now = self._runtime.now
         best: tuple[float, MachineKind] | None = None
@@ -44,7 +45,7 @@
     def _kinds_for(
         self, spec: wire.JobSpec, only_zone: str | None
     ) -> Iterator[tuple[wire.MachineType, MachineKind]]:
-        """All kinds on which a task of the job may and can run."""
+        """Yield the kinds on which a task of the job is allowed and fits, with their types."""
         for machine_type in self._machine_types.values():
             if not can_run_on_type(spec, machine_type):
                 continue
--- a/appledock/core/fleet/scale_out.py
+++ b/appledock/core/fleet/scale_out.py
@@ -1,4 +1,4 @@
-"""Scale out: rental requests, repeated until they are answered, and broadcast to the peers."""
+"""Scale out: sends and retries rental requests, and broadcasts rented machines to the peers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ScaleOut:
-    """Rents machines, each request exactly once however often it is sent."""
+    """Rents machines; the cloud executes each request once, even if it is sent several times."""
 
     def __init__(
         self,
@@ -32,7 +32,11 @@
         offers: InstanceOffers,
         on_no_capacity: Callable[[], None],
     ) -> None:
-        """Build it; `on_no_capacity` is called when another kind should be requested."""
+        """Initialize with no requests.
+
+        `on_no_capacity` is called when the cloud has no capacity for the requested kind, so that
+        another kind can be requested.
+        """
         self._runtime = runtime
         self._membership = membership
         self._cloud = cloud
@@ -40,35 +44,38 @@
         self._offers = offers
         self._on_no_capacity = on_no_capacity
         self.requests: list[ScaleOutRequest] = []
-        """those under way"""
-        self._last_number = 0
+        """requests without a final answer"""
+        self._last_request_number = 0
 
     def rent(self, kind: MachineKind, count: int) -> None:
-        """Begin a new request.
+        """Send a new rental request.
 
-        Its name must never be used twice, by any controller: it is made of term, incarnation
-        and a counter.
+        No controller may ever use the name of a request for another request, so the name consists
+        of the term, the incarnation and a counter.
         """
         membership = self._membership
-        self._last_number += 1
-        name = f"r-{membership.term}-{membership.incarnation}-{self._last_number}"
+        self._last_request_number += 1
+        name = f"r-{membership.term}-{membership.incarnation}-{self._last_request_number}"
         request = ScaleOutRequest(name, kind, count)
         self.requests.append(request)
         self._send(request)
 
     def retry(self) -> None:
-        """Repeat the requests whose outcome is unknown."""
+        """Repeat the requests whose outcome is unknown and whose retry delay has passed."""
         now = self._runtime.now
         for request in self.requests:
             if now >= request.next_attempt_at:
                 self._send(request)
 
     def announce(self, machines: list[str], kind: MachineKind, peer: str | None = None) -> None:
-        """Send one peer, or all, what was rented: each may become leader soon."""
+        """Send rented machines to one peer, or to all peers if `peer` is None.
+
+        Each peer needs to know them since it may become leader.
+        """
         self._runtime.emit(PeerSend(MachinesRented(machines, kind), peer))
 
     def _send(self, request: ScaleOutRequest) -> None:
-        request.next_attempt_at = math.inf  # not while a reply is awaited
+        request.next_attempt_at = math.inf  # no retry while a reply is awaited
         request.attempts += 1
         rental = wire.Rent(request.name, *request.kind, count=request.count)
         self._cloud.rent(rental, lambda result: self._on_result(request, result))
--- a/appledock/core/fleet/supply.py
+++ b/appledock/core/fleet/supply.py
@@ -1,4 +1,4 @@
-"""Free capacity counted by class, for bin packing over a whole cluster at once."""
+"""Free capacity grouped by class, for bin packing over a whole cluster at once."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CapacityClass(NamedTuple):
-    """Machines that are alike in kind and free capacity."""
+    """Kind and free capacity, which all machines of a class have in common."""
 
     machine_type: str
     zone: str
@@ -20,18 +20,18 @@
 
 
 class CapacitySupply:
-    """How many machines there are of each class.
+    """Number of machines in each class.
 
-    Thousands of machines are a few classes, and a job takes of a class as many as it needs at
-    once: the cost of a pass doesn't grow with the cluster.
+    Thousands of machines form only a few classes, and all machines that a job needs of a class
+    are taken in one operation, so the cost of a pass does not grow with the cluster.
     """
 
     def __init__(self) -> None:
         self._classes: dict[CapacityClass, tuple[MachineCapacity, int]] = {}
-        """class -> free capacity of one of its machines, and their number"""
+        """class -> free capacity of one of its machines, and the number of machines"""
 
     def add(self, machine: MachineCapacity, count: int) -> None:
-        """Count `count` more machines with such free capacity."""
+        """Add `count` machines with this free capacity."""
         key = CapacityClass(
             machine.type.name,
             machine.zone,
@@ -40,11 +40,11 @@
             round(machine.gpus, 3),
             round(machine.memory_gb, 2),
         )
-        _, known = self._classes.get(key, (machine, 0))
-        self._classes[key] = (machine, known + count)
+        _, known_count = self._classes.get(key, (machine, 0))
+        self._classes[key] = (machine, known_count + count)
 
     def count_slots(self, spec: wire.JobSpec, zone: str) -> int:
-        """How many tasks of this size fit in the zone."""
+        """Return how many tasks of the job fit in the zone."""
         return sum(
             machine.free_slots(spec) * count
             for machine, count in self._classes.values()
@@ -52,20 +52,23 @@
         )
 
     def reserve(self, spec: wire.JobSpec, tasks: int, zone: str | None = None) -> int:
-        """Place up to `tasks` tasks, least free CPUs first; return how many are left over."""
+        """Place up to `tasks` tasks, and return how many of them do not fit.
+
+        Machines with the least free CPUs are used first.
+        """
         for key in self._least_free_first(spec, zone):
             if tasks <= 0:
                 break
             machine, count = self._classes.pop(key)
-            per_machine = machine.free_slots(spec)
-            full = min(count, tasks // per_machine)
-            tasks -= full * per_machine
-            self._add_remainder(machine, spec, per_machine, full)
-            if full < count and tasks > 0:
+            slots_per_machine = machine.free_slots(spec)
+            used_machines = min(count, tasks // slots_per_machine)
+            tasks -= used_machines * slots_per_machine
+            self._add_remainder(machine, spec, slots_per_machine, used_machines)
+            if used_machines < count and tasks > 0:
                 self._add_remainder(machine, spec, tasks, 1)
-                tasks, full = 0, full + 1
-            if full < count:
-                self.add(machine, count - full)
+                tasks, used_machines = 0, used_machines + 1
+            if used_machines < count:
+                self.add(machine, count - used_machines)
         return tasks
 
     def _least_free_first(self, spec: wire.JobSpec, zone: str | None) -> list[CapacityClass]:
@@ -79,7 +82,7 @@
     def _add_remainder(
         self, machine: MachineCapacity, spec: wire.JobSpec, tasks: int, count: int
     ) -> None:
-        """Count what `count` such machines have left with `tasks` tasks on each."""
+        """Add `count` machines with the capacity that `tasks` tasks leave free on `machine`."""
         if count > 0:
             remainder = MachineCapacity(
                 "",
--- a/appledock/core/fleet/zone_distribution.py
+++ b/appledock/core/fleet/zone_distribution.py
@@ -1,4 +1,4 @@
-"""In which zones capacity is provided for the tasks of a job with zone constraints."""
+"""Distribution of the tasks of a job with zone constraints over the zones."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 
 class ZoneTasks(NamedTuple):
-    """Tasks to provide capacity for in a zone; None: in any."""
+    """Number of tasks that need capacity in a zone, or in any zone if `zone` is None."""
 
     zone: str | None
     tasks: int
 
 
 class ZoneDistribution:
-    """Distributes tasks over zones, so that free capacity of two zones never counts as one.
+    """Distributes tasks over zones, so that free capacity of two zones is never added up.
 
-    Otherwise a job that must be in one zone would wait for ever with capacity for half of it in
-    each of two, and nothing would be rented; the same for half of a job that must spread.
+    Otherwise a job that must run in one zone would wait forever, and nothing would be rented for
+    it, if each of two zones had capacity for half of it. Half of a job that must spread over zones
+    would wait in the same way if all free capacity was in one zone.
     """
 
     def __init__(
@@ -38,27 +39,31 @@
         self._offers = offers
 
     def distribute(self, job: Job, tasks: int, supply: CapacitySupply) -> list[ZoneTasks]:
-        """How many of the tasks to provide for in which zone: first by what is free, then anew."""
+        """Return how many of the tasks need capacity in which zone.
+
+        Free capacity is used first. The remaining tasks go to zones where machines can be rented
+        before other zones.
+        """
         spec = job.spec
         if not (spec.one_zone or spec.spread):
             return [ZoneTasks(None, tasks)]
-        held = self._machine_zones.tasks_by_zone(job) or {}
-        free = self._free_slots_by_zone(spec, supply)
-        zones = self._preferred_zones(spec, tasks, held, free)
+        placed = self._machine_zones.tasks_by_zone(job) or {}
+        free_slots = self._free_slots_by_zone(spec, supply)
+        zones = self._preferred_zones(spec, tasks, placed, free_slots)
         rentable_first = sorted(zones, key=lambda zone: not self._can_rent(spec, tasks, zone))
-        cap = max_tasks_per_zone(spec)
-        parts = dict.fromkeys(zones, 0)
-        for order, limits in ((zones, free), (rentable_first, None)):
+        max_per_zone = max_tasks_per_zone(spec)
+        tasks_by_zone = dict.fromkeys(zones, 0)
+        for order, limits in ((zones, free_slots), (rentable_first, None)):
             for zone in order:
-                count = min(tasks, cap - held.get(zone, 0) - parts[zone])
+                count = min(tasks, max_per_zone - placed.get(zone, 0) - tasks_by_zone[zone])
                 if limits is not None:
                     count = min(count, limits[zone])
-                parts[zone] += max(0, count)
+                tasks_by_zone[zone] += max(0, count)
                 tasks -= max(0, count)
-        return [ZoneTasks(zone, count) for zone, count in parts.items() if count]
+        return [ZoneTasks(zone, count) for zone, count in tasks_by_zone.items() if count]
 
     def _free_slots_by_zone(self, spec: wire.JobSpec, supply: CapacitySupply) -> dict[str, int]:
-        """Zones where the job may run -> how many of its tasks fit there now."""
+        """Return how many tasks of the job fit now in each zone where it may run."""
         zones = dict.fromkeys(
             zone
             for machine_type in self._machine_types.values()
@@ -72,18 +77,21 @@
         return self._offers.cheapest(spec, tasks, zone) is not None
 
     def _preferred_zones(
-        self, spec: wire.JobSpec, tasks: int, held: dict[str, int], free: dict[str, int]
+        self, spec: wire.JobSpec, tasks: int, placed: dict[str, int], free_slots: dict[str, int]
     ) -> list[str]:
-        """Order the zones that may take tasks of the job: most free first, then rentable ones.
+        """Return the zones that may take tasks of the job, in order of preference.
 
-        A job of one zone gets only one: where it runs already, or else the first that has or
-        may get the capacity.
+        Zones where more of the tasks fit come first, and among equals those where machines can be
+        rented. A job that must run in one zone gets only the zone where it runs already, or else
+        the first zone that has the capacity or where machines can be rented.
         """
-        can_rent = {zone: self._can_rent(spec, tasks, zone) for zone in free}
-        zones = sorted(free, key=lambda zone: (-min(free[zone], tasks), not can_rent[zone], zone))
+        can_rent = {zone: self._can_rent(spec, tasks, zone) for zone in free_slots}
+        zones = sorted(
+            free_slots, key=lambda zone: (-min(free_slots[zone], tasks), not can_rent[zone], zone)
+        )
         if not spec.one_zone:
             return zones
-        bound = [zone for zone in zones if held.get(zone)]
-        if bound:
-            return bound
-        return [zone for zone in zones if free[zone] >= tasks or can_rent[zone]][:1]
+        zones_in_use = [zone for zone in zones if placed.get(zone)]
+        if zones_in_use:
+            return zones_in_use
+        return [zone for zone in zones if free_slots[zone] >= tasks or can_rent[zone]][:1]
--- a/tests/unit/fleet/test_offers.py
+++ b/tests/unit/fleet/test_offers.py
@@ -1,4 +1,4 @@
-"""Offers of the cloud from a clock and a table of machine types, without a controller."""
+"""Unit tests of the selection of machine kinds, without a controller."""
 
 from __future__ import annotations
 
--- a/tests/unit/fleet/test_supply.py
+++ b/tests/unit/fleet/test_supply.py
@@ -1,4 +1,4 @@
-"""Free capacity by class: plain values, no controller."""
+"""Unit tests of free capacity by class, without a controller."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def supply(machines_by_zone: dict[str, int]) -> CapacitySupply:
-    """Empty machines of four CPUs."""
+    """Return a supply of empty machines with four CPUs each."""
     result = CapacitySupply()
     for zone, count in machines_by_zone.items():
         result.add(MachineKind("small", zone, False).empty_capacity(SMALL), count)
