--- a/appledock/core/capacity/preferred_owners.py
+++ b/appledock/core/capacity/preferred_owners.py
@@ -57,7 +57,7 @@
         )
         return node if is_stable and self._heartbeats.is_reachable(node) else None
 
-    def places_everywhere(self, job: Job) -> bool:
+    def is_preferred_owner(self, job: Job) -> bool:
         """Is this controller the job's preferred owner?
 
         Then it alone fills the machines of the job's partition, whoever owns their workers.
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -58,7 +58,7 @@
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
-from appledock.core.scheduling.handoff import HandOff
+from appledock.core.scheduling.handoff import HandoffPolicy
 from appledock.core.scheduling.lost_launches import LostLaunchDetector
 from appledock.core.scheduling.moves import MovePolicy, Moves
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
@@ -222,9 +222,9 @@
             operator_settings=self.operator_settings,
             reconcile_queue=self.reconcile_queue,
             stop_requests=self.stop_requests,
-            places_everywhere=self.preferred_owners.places_everywhere,
+            is_preferred_owner=self.preferred_owners.is_preferred_owner,
         )
-        self.handoff = HandOff(self.runtime, self.replica)
+        self.handoff = HandoffPolicy(self.runtime, self.replica)
         self.pacing = Pacing(
             self.runtime,
             self.client.limiter,
--- a/appledock/core/scheduling/handoff.py
+++ b/appledock/core/scheduling/handoff.py
@@ -11,7 +11,7 @@
 from appledock.core.store.replica import Replica
 
 
-class HandOff:
+class HandoffPolicy:
     """Picks the controller whose machines have most free slots for a job."""
 
     def __init__(self, runtime: Runtime, replica: Replica) -> None:
--- a/appledock/core/scheduling/moves/coordinator.py
+++ b/appledock/core/scheduling/moves/coordinator.py
@@ -135,13 +135,13 @@
     # --- for placement ------------------------------------------------------
     def is_moving(self, job_id: str) -> bool:
         """Is capacity reserved for a task of this job of this controller?"""
-        return job_id in self.reservations.active
+        return job_id in self.reservations.as_job_owner
 
-    def place_held(
+    def place_moved_task(
         self, job: Job, unsettled: Job, zones: dict[str, int] | None
     ) -> list[PlacedTasks]:
         """Place the next attempt of a moved task; see `JobOwner.place_held`."""
-        return self.job_owner.place_held(job, unsettled, zones)
+        return self.job_owner.place_moved_task(job, unsettled, zones)
 
     def on_step_committed(self, job_id: str, reservations: list[StepReservation]) -> None:
         """A step of the job is committed."""
--- a/appledock/core/scheduling/moves/destination_owner.py
+++ b/appledock/core/scheduling/moves/destination_owner.py
@@ -48,52 +48,53 @@
             self._send(order.planner, MoveEnded(order, refusal))
             return
         job = self._replica.jobs[order.job]
-        self._reservations.hold(order, job.spec)
+        self._reservations.reserve_as_destination_owner(order, job.spec)
         self._send(self._replica.job_owner(job), MoveReserved(order))
 
     def refusal(self, order: MoveOrder) -> MoveOutcome | None:
         """Return why the order is refused here; None if its capacity can be reserved."""
         if not self._policy.is_enabled():
-            return MoveOutcome.OFF
+            return MoveOutcome.REBALANCING_OFF
         refusal = self._order_check.refusal(order)
         if refusal is not None:
             return refusal
         if not self._workers.owns(order.destination):
-            return MoveOutcome.NOT_OURS
-        if order.job in self._reservations.held or self._capacity_index.move_reservations.get(
-            order.destination
+            return MoveOutcome.OWNER_CHANGED
+        if (
+            order.job in self._reservations.as_destination_owner
+            or self._capacity_index.move_reservations.get(order.destination)
         ):
             # One move at a time: several planners may choose the same empty machine.
-            return MoveOutcome.BUSY
+            return MoveOutcome.MOVE_IN_PROGRESS
         return self._refusal_by_capacity(order)
 
     def _refusal_by_capacity(self, order: MoveOrder) -> MoveOutcome | None:
         self._capacity_index.recompute()
         machine = self._capacity_index.machines.get(order.destination)
         if machine is None:
-            return MoveOutcome.LOST
+            return MoveOutcome.DESTINATION_UNAVAILABLE
         spec = self._replica.jobs[order.job].spec
         if not is_allowed_on(spec, machine):
             return MoveOutcome.NOT_ALLOWED
         if not machine.fits(spec):
-            return MoveOutcome.NO_ROOM
+            return MoveOutcome.NO_CAPACITY
         if machine.load is None or machine.load.total > order.load + constants.MOVE_LOAD_TOLERANCE:
-            return MoveOutcome.FULLER
+            return MoveOutcome.LOAD_TOO_HIGH
         return None
 
     def on_ended(self, order: MoveOrder) -> None:
         """The job's owner says that the move is over."""
-        if self._reservations.is_held(order):
+        if self._reservations.is_reserved_as_destination_owner(order):
             self._drop(order)
 
     def tick(self) -> None:
         """Release capacity whose move has expired, or has arrived by the job's record."""
-        for move in list(self._reservations.held.values()):
+        for move in list(self._reservations.as_destination_owner.values()):
             if self._runtime.now >= move.expires_at or self._has_arrived(move.order):
                 self._drop(move.order)
 
     def _drop(self, order: MoveOrder) -> None:
-        del self._reservations.held[order.job]
+        del self._reservations.as_destination_owner[order.job]
         self._reservations.release(order)
 
     def _has_arrived(self, order: MoveOrder) -> bool:
--- a/appledock/core/scheduling/moves/job_owner.py
+++ b/appledock/core/scheduling/moves/job_owner.py
@@ -71,7 +71,7 @@
         if refusal is not None:
             self._end(order, refusal)
             return
-        self._reservations.activate(order, self._replica.jobs[order.job].spec)
+        self._reservations.reserve_as_job_owner(order, self._replica.jobs[order.job].spec)
         self._stop_requests.add(order.job, order.source, {order.task})
 
     def refusal(self, order: MoveOrder) -> MoveOutcome | None:
@@ -90,27 +90,27 @@
 
     def _refusal_by_policy(self, job: Job, order: MoveOrder) -> MoveOutcome | None:
         if not self._replica.owns_job(self._runtime.node, job):
-            return MoveOutcome.NOT_OURS
+            return MoveOutcome.OWNER_CHANGED
         if not self._policy.is_enabled():
-            return MoveOutcome.OFF
+            return MoveOutcome.REBALANCING_OFF
         must_leave = self._policy.must_leave(job.spec, order.source)
         if not must_leave and not self._policy.is_movable(job.spec):
             return MoveOutcome.NOT_ALLOWED
         return None
 
     def _refusal_by_pace(self, job: Job) -> MoveOutcome | None:
-        if job.id in self._reservations.active or not self._writer.can_write(job):
-            return MoveOutcome.BUSY
+        if job.id in self._reservations.as_job_owner or not self._writer.can_write(job):
+            return MoveOutcome.MOVE_IN_PROGRESS
         if self._cooldowns.is_cooling_down(job.id):
-            return MoveOutcome.COOLING
+            return MoveOutcome.COOLING_DOWN
         if self._pacing.is_step_rate_limited() or self._pacing.is_service_rate_limited():
-            return MoveOutcome.WRITES
+            return MoveOutcome.RATE_LIMITED
         return None
 
     def _refusal_by_task(self, job: Job, order: MoveOrder) -> MoveOutcome | None:
         attempt = find_open_attempt(job, order)
         if attempt is None or attempt.stopping or job.queued_task_count > 0:
-            return MoveOutcome.CHANGED
+            return MoveOutcome.TASK_CHANGED
         worker = self._workers.table.get(order.source)
         if worker is None:
             return MoveOutcome.NOT_RUNNING
@@ -126,7 +126,7 @@
         """A service keeps its replicas, less a configured number, running during moves."""
         least = job.spec.tasks - self._policy.settings.replicas_down
         if job.spec.service and self._count_running(job) - 1 < least:
-            return MoveOutcome.REPLICAS
+            return MoveOutcome.TOO_FEW_REPLICAS
         return None
 
     def _refusal_by_capacity(self, job: Job, order: MoveOrder) -> MoveOutcome | None:
@@ -136,18 +136,18 @@
         takes meanwhile, on a machine of another controller that it places on as well: its next
         attempt then preempted others' work.
         """
-        if self._reservations.is_held(order):
+        if self._reservations.is_reserved_as_destination_owner(order):
             return None
         self._capacity_index.recompute()
         machine = self._capacity_index.machines.get(order.destination)
         if machine is None:
-            return MoveOutcome.LOST
+            return MoveOutcome.DESTINATION_UNAVAILABLE
         if not machine.fits(job.spec):
-            return MoveOutcome.NO_ROOM
+            return MoveOutcome.NO_CAPACITY
         return None if is_allowed_on(job.spec, machine) else MoveOutcome.NOT_ALLOWED
 
     # --- the next attempt ---------------------------------------------------
-    def place_held(
+    def place_moved_task(
         self, job: Job, unsettled: Job, zones: dict[str, int] | None
     ) -> list[PlacedTasks]:
         """Place the next attempt of the stopped task on the capacity reserved for it.
@@ -156,24 +156,24 @@
         Empty while the stopped attempt is not settled; also if the capacity is there no more:
         the move has ended then, and the task is placed as any other.
         """
-        move = self._reservations.active.get(job.id)
+        move = self._reservations.as_job_owner.get(job.id)
         if move is None or find_open_attempt(unsettled, move.order) is not None:
             return []
         machine = self._capacity_index.machines.get(move.order.destination)
         if machine is None or not self._preemption.is_available_to(machine.name, job):
-            self._end(move.order, MoveOutcome.LOST)
+            self._end(move.order, MoveOutcome.DESTINATION_UNAVAILABLE)
             return []
         machine.release(job.spec, 1)  # what is reserved for this task
         sampling = Sampling(self._runtime.rng)
         placed = placement.place(job.spec, 1, [machine], sampling, zones or {})
         if not placed:
             machine.reserve(job.spec, 1)
-            self._end(move.order, MoveOutcome.LOST)
+            self._end(move.order, MoveOutcome.DESTINATION_UNAVAILABLE)
         return placed
 
     def on_step_committed(self, job_id: str, reservations: list[StepReservation]) -> None:
         """A step of the job is committed: its move is done if the step used the destination."""
-        move = self._reservations.active.get(job_id)
+        move = self._reservations.as_job_owner.get(job_id)
         if move is not None and any(
             reservation.machine == move.order.destination for reservation in reservations
         ):
@@ -182,8 +182,8 @@
     # --- the end ------------------------------------------------------------
     def _end(self, order: MoveOrder, outcome: MoveOutcome) -> None:
         """End the move, and tell its requester and the destination's owner."""
-        if self._reservations.is_active(order):
-            del self._reservations.active[order.job]
+        if self._reservations.is_reserved_as_job_owner(order):
+            del self._reservations.as_job_owner[order.job]
             self._cooldowns.start(order.job, self._cooldowns.duration_s(order))
         self._reservations.release(order)
         destination_owner = self._replica.owner_of(order.destination)
@@ -192,7 +192,7 @@
 
     def tick(self) -> None:
         """End the moves that take too long, or are over by the records."""
-        for move in list(self._reservations.active.values()):
+        for move in list(self._reservations.as_job_owner.values()):
             outcome = self._outcome_by_records(move)
             if outcome is not None:
                 self._end(move.order, outcome)
@@ -203,13 +203,13 @@
             return MoveOutcome.JOB_OVER
         job = self._replica.jobs[order.job]
         if not self._replica.owns_job(self._runtime.node, job):
-            return MoveOutcome.NOT_OURS
+            return MoveOutcome.OWNER_CHANGED
         if self._runtime.now >= move.expires_at:
-            return MoveOutcome.LATE
+            return MoveOutcome.TIMED_OUT
         if (
             find_open_attempt(job, order) is None
             and job.queued_task_count == 0
             and self._writer.can_write(job)
         ):
-            return MoveOutcome.CHANGED  # it completed before the stop reached it
+            return MoveOutcome.TASK_CHANGED  # it completed before the stop reached it
         return None
--- a/appledock/core/scheduling/moves/order_check.py
+++ b/appledock/core/scheduling/moves/order_check.py
@@ -19,7 +19,7 @@
     def refusal(self, order: MoveOrder) -> MoveOutcome | None:
         """Return why any controller would refuse the order; None if none would."""
         if not self._membership.can_act() or order.term != self._membership.term:
-            return MoveOutcome.STALE
+            return MoveOutcome.STALE_VIEW
         return None if self.is_job_open(order) else MoveOutcome.JOB_OVER
 
     def is_job_open(self, order: MoveOrder) -> bool:
--- a/appledock/core/scheduling/moves/outcome.py
+++ b/appledock/core/scheduling/moves/outcome.py
@@ -12,23 +12,23 @@
     """How a move ended; the values go to peers and into the administration API."""
 
     DONE = "done"
-    OFF = "rebalancing is off there"
-    STALE = "of an earlier view"
-    NOT_OURS = "machine or job changed hands"
+    REBALANCING_OFF = "rebalancing is off there"
+    STALE_VIEW = "of an earlier view"
+    OWNER_CHANGED = "machine or job changed hands"
     JOB_OVER = "job over or cancelled"
-    CHANGED = "task ended, stopped or moved meanwhile"
+    TASK_CHANGED = "task ended, stopped or moved meanwhile"
     NOT_RUNNING = "task not running"
     NOT_ALLOWED = "job may not run there"
-    NO_ROOM = "no room at the destination"
-    FULLER = "destination fuller than planned"
-    BUSY = "destination or job has a move under way"
-    COOLING = "job moved lately"
-    REPLICAS = "too few replicas up"
-    WRITES = "writes are scarce"
-    LOST = "destination gone, cordoned or full"
-    LATE = "not settled in time"
+    NO_CAPACITY = "no room at the destination"
+    LOAD_TOO_HIGH = "destination fuller than planned"
+    MOVE_IN_PROGRESS = "destination or job has a move under way"
+    COOLING_DOWN = "job moved lately"
+    TOO_FEW_REPLICAS = "too few replicas up"
+    RATE_LIMITED = "writes are scarce"
+    DESTINATION_UNAVAILABLE = "destination gone, cordoned or full"
+    TIMED_OUT = "not settled in time"
     NO_ANSWER = "no answer"
-    NEW_VIEW = "ended by a new view"
+    VIEW_CHANGED = "ended by a new view"
     DRY_RUN = "dry run"
 
 
@@ -46,7 +46,7 @@
     """A past move, kept for operators."""
 
     order: MoveOrder
-    ended_wall: float
+    ended_at: float
     """time of day, s since the epoch"""
     outcome: str
     """a `MoveOutcome`, or the text of one that only a later version knows"""
--- a/appledock/core/scheduling/moves/requester.py
+++ b/appledock/core/scheduling/moves/requester.py
@@ -88,7 +88,7 @@
     def on_view(self) -> None:
         """A new view ends all moves: owners may have changed."""
         for move in list(self.requested.values()):
-            self._record(move.order, MoveOutcome.NEW_VIEW)
+            self._record(move.order, MoveOutcome.VIEW_CHANGED)
         self.requested.clear()
 
     def tick(self) -> None:
@@ -111,7 +111,7 @@
         """Return for how long no move of the job is requested: its owner would refuse it."""
         unanswered = self._unanswered.pop(order.job, 0)
         match outcome:
-            case MoveOutcome.DONE | MoveOutcome.COOLING:
+            case MoveOutcome.DONE | MoveOutcome.COOLING_DOWN:
                 return self._cooldowns.duration_s(order)
             case MoveOutcome.NO_ANSWER:
                 # The owner may run a version without moves: capacity would be reserved for
--- a/appledock/core/scheduling/moves/reservations.py
+++ b/appledock/core/scheduling/moves/reservations.py
@@ -23,40 +23,40 @@
         self._runtime = runtime
         self._capacity_index = capacity_index
         self._reconcile_queue = reconcile_queue
-        self.held: dict[str, OngoingMove] = {}
+        self.as_destination_owner: dict[str, OngoingMove] = {}
         """job -> its move to a machine of this controller"""
-        self.active: dict[str, OngoingMove] = {}
+        self.as_job_owner: dict[str, OngoingMove] = {}
         """job of this controller -> its move"""
 
-    def hold(self, order: MoveOrder, spec: wire.JobSpec) -> None:
+    def reserve_as_destination_owner(self, order: MoveOrder, spec: wire.JobSpec) -> None:
         """Reserve capacity as the destination's owner."""
-        self.held[order.job] = begin_move(order, self._runtime.now)
+        self.as_destination_owner[order.job] = begin_move(order, self._runtime.now)
         self._capacity_index.reserve_for_move(order.destination, spec)
 
-    def activate(self, order: MoveOrder, spec: wire.JobSpec) -> None:
+    def reserve_as_job_owner(self, order: MoveOrder, spec: wire.JobSpec) -> None:
         """Reserve capacity as the job's owner."""
-        self.active[order.job] = begin_move(order, self._runtime.now)
+        self.as_job_owner[order.job] = begin_move(order, self._runtime.now)
         self._capacity_index.reserve_for_move(order.destination, spec)
 
-    def is_held(self, order: MoveOrder) -> bool:
+    def is_reserved_as_destination_owner(self, order: MoveOrder) -> bool:
         """Is the capacity for exactly this order held here, as the destination's owner?"""
-        held = self.held.get(order.job)
-        return held is not None and held.order == order
+        as_destination_owner = self.as_destination_owner.get(order.job)
+        return as_destination_owner is not None and as_destination_owner.order == order
 
-    def is_active(self, order: MoveOrder) -> bool:
+    def is_reserved_as_job_owner(self, order: MoveOrder) -> bool:
         """Is exactly this order carried out here, as the job's owner?"""
-        active = self.active.get(order.job)
-        return active is not None and active.order == order
+        as_job_owner = self.as_job_owner.get(order.job)
+        return as_job_owner is not None and as_job_owner.order == order
 
     def has_any(self, job_id: str) -> bool:
         """Is capacity reserved here for a move of the job, in either role?"""
-        return job_id in self.active or job_id in self.held
+        return job_id in self.as_job_owner or job_id in self.as_destination_owner
 
     def release(self, order: MoveOrder) -> None:
         """Release the capacity unless the other role of this controller still needs it."""
         is_needed = any(
             move is not None and move.order.destination == order.destination
-            for move in (self.held.get(order.job), self.active.get(order.job))
+            for move in (self.as_destination_owner.get(order.job), self.as_job_owner.get(order.job))
         )
         if not is_needed:
             self._capacity_index.release_move(order.destination, order.job)
@@ -64,9 +64,13 @@
 
     def release_all(self) -> None:
         """End all moves: the owners of machines and jobs may have changed."""
-        orders = [move.order for moves in (self.active, self.held) for move in moves.values()]
-        self.active.clear()
-        self.held.clear()
+        orders = [
+            move.order
+            for moves in (self.as_job_owner, self.as_destination_owner)
+            for move in moves.values()
+        ]
+        self.as_job_owner.clear()
+        self.as_destination_owner.clear()
         for order in orders:
             self.release(order)
 
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -70,7 +70,7 @@
 class Preemption:
     """Selects victims, has them stopped, and keeps the claims of the jobs that preempt.
 
-    `places_everywhere` says whether a job's partition is filled by this controller alone,
+    `is_preferred_owner` says whether a job's partition is filled by this controller alone,
     whoever owns the machines' shards.
     """
 
@@ -85,7 +85,7 @@
         operator_settings: OperatorSettings,
         reconcile_queue: ReconcileQueue,
         stop_requests: StopRequester,
-        places_everywhere: Callable[[Job], bool],
+        is_preferred_owner: Callable[[Job], bool],
     ) -> None:
         self._runtime = runtime
         self._replica = replica
@@ -95,7 +95,7 @@
         self._operator_settings = operator_settings
         self._reconcile_queue = reconcile_queue
         self._stop_requests = stop_requests
-        self._places_everywhere = places_everywhere
+        self._places_everywhere = is_preferred_owner
         self.claims: dict[str, list[Claim]] = {}
         """job -> its claims"""
         self.claimed_machines: dict[str, str] = {}
@@ -226,9 +226,9 @@
         if tasks <= 0:
             return None
         options = self._options(job, tasks_by_zone, within_team=within_team)
-        places_everywhere = self._places_everywhere(job)
+        is_preferred_owner = self._places_everywhere(job)
         node = self._runtime.node
-        own = [option for option in options if places_everywhere or option.machine.owner == node]
+        own = [option for option in options if is_preferred_owner or option.machine.owner == node]
         if not own:
             return options[0].machine.owner if options else None
         if job.spec.one_zone or job.spec.spread:
@@ -238,7 +238,7 @@
             self._preempt(job, option)
         return None
 
-    def find_faster_start(
+    def find_owner_with_faster_start(
         self, job: Job, machines: list[MachineCapacity], tasks_by_zone: dict[str, int]
     ) -> str | None:
         """The controller with which a task of the job starts sooner than on free capacity here.
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -11,7 +11,7 @@
 from appledock.core.jobs.team_record_writer import TeamRecordWriter
 from appledock.core.jobs.writer import JobWriter
 from appledock.core.runtime import Runtime
-from appledock.core.scheduling.handoff import HandOff
+from appledock.core.scheduling.handoff import HandoffPolicy
 from appledock.core.scheduling.lost_launches import LostLaunchDetector
 from appledock.core.scheduling.pacing import Pacing
 from appledock.core.scheduling.placement_pass import PlacementPass
@@ -35,7 +35,7 @@
         writer: JobWriter,
         team_record_writer: TeamRecordWriter,
         queue_order: QueueOrder,
-        handoff: HandOff,
+        handoff: HandoffPolicy,
         pacing: Pacing,
         lost_launches: LostLaunchDetector,
         recorder: SettlementRecorder,
--- a/appledock/core/scheduling/step_planner.py
+++ b/appledock/core/scheduling/step_planner.py
@@ -23,7 +23,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling import placement
 from appledock.core.scheduling.decisions import HandedOff, Placed, StepDecision, Waiting
-from appledock.core.scheduling.handoff import HandOff
+from appledock.core.scheduling.handoff import HandoffPolicy
 from appledock.core.scheduling.pacing import Pacing
 from appledock.core.scheduling.placement import PlacedTasks, Sampling, Scorer
 from appledock.core.scheduling.preemption import Preemption
@@ -32,7 +32,7 @@
 class Moves(Protocol):
     """Moves of running tasks to other machines."""
 
-    def place_held(
+    def place_moved_task(
         self, job: Job, unsettled: Job, zones: dict[str, int] | None, /
     ) -> list[PlacedTasks]:
         """Place the next attempt of a moved task on the capacity that is kept for it."""
@@ -48,7 +48,7 @@
 class Partitions(Protocol):
     """Partitions of the machines between classes and teams."""
 
-    def places_everywhere(self, job: Job) -> bool:
+    def is_preferred_owner(self, job: Job) -> bool:
         """Does this controller alone fill the machines of the job's partition?"""
 
 
@@ -89,7 +89,7 @@
         quota: QuotaAllocation,
         zones: MachineZones,
         preemption: Preemption,
-        handoff: HandOff,
+        handoff: HandoffPolicy,
         pacing: Pacing,
         moves: Moves,
         rebalancing: Rebalancing,
@@ -134,7 +134,7 @@
     def _build_request(
         self, job: Job, machines: list[MachineCapacity], own: list[MachineCapacity]
     ) -> StepRequest:
-        is_preferred_owner = self._partitions.places_everywhere(job)
+        is_preferred_owner = self._partitions.is_preferred_owner(job)
         if is_preferred_owner:
             own = [machine for machine in machines if machine.admission is not None]
         if self._preemption.claimed_machines:
@@ -189,7 +189,7 @@
     def _place_held_move(self, request: StepRequest) -> StepDecision | None:
         """Place the next attempt of a moved task on the capacity kept for it."""
         job, unsettled = request.job, request.unsettled
-        placed = self._moves.place_held(job, unsettled, request.tasks_by_zone)
+        placed = self._moves.place_moved_task(job, unsettled, request.tasks_by_zone)
         return Placed(unsettled, placed, ends_waiting=False) if placed else None
 
     def _hand_off_for_locality(self, request: StepRequest) -> StepDecision | None:
@@ -201,7 +201,9 @@
         is_local_only = request.is_preferred_owner or self._rebalancing.scorer(spec) is not None
         if not spec.service or spec.gang or request.tasks_by_zone is None or is_local_only:
             return None
-        node = self._preemption.find_faster_start(job, request.machines, request.tasks_by_zone)
+        node = self._preemption.find_owner_with_faster_start(
+            job, request.machines, request.tasks_by_zone
+        )
         if node is None:
             return None
         if node == self._runtime.node:
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -528,7 +528,7 @@
         return job
 
     def moves_under_way(self, controller: Any) -> list[Any]:
-        return [move.order for move in controller.moves.reservations.active.values()]
+        return [move.order for move in controller.moves.reservations.as_job_owner.values()]
 
     def hears(self, controller: Any, peer: str) -> bool:
         return bool(controller.heartbeats.is_reachable(peer))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -475,7 +475,7 @@
     e.capacity_index.recompute()
     assert e.capacity_index.machines_by_image["img"] == {"vm-150"}
     high = Job(spec(id="job-9", rank="production", shape="daemon", cores=4.0, crates=1), 0)
-    assert e.preemption.find_faster_start(high, [], {}) == "n0"
+    assert e.preemption.find_owner_with_faster_start(high, [], {}) == "n0"
     assert e.preemption.claimed_machines == {"vm-150": "job-9"}
 
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -283,20 +283,20 @@
 
     assert outcome() == MoveOutcome.DONE
     monkeypatch.setattr(CapacityIndex, "reserve_for_move", lambda self, machine, spec: None)
-    monkeypatch.setattr(JobOwner, "place_held", _place_without_hold)
+    monkeypatch.setattr(JobOwner, "place_moved_task", _place_without_hold)
     assert outcome() != MoveOutcome.DONE
 
 
 def _place_without_hold(self: JobOwner, job: Any, rest: Any, zones: Any) -> list[Any]:
-    """As `place_held`, for a room that was not kept."""
-    under_way = self._reservations.active.get(job.id)
+    """As `place_moved_task`, for a room that was not kept."""
+    under_way = self._reservations.as_job_owner.get(job.id)
     if under_way is None or any(
         attempt.attempt_number == under_way.order.attempt for attempt in rest.attempts
     ):
         return []
     room = self._capacity_index.machines.get(under_way.order.destination)
     if room is None or not room.fits(job.spec):
-        self._end(under_way.order, MoveOutcome.LOST)
+        self._end(under_way.order, MoveOutcome.DESTINATION_UNAVAILABLE)
         return []
     room.reserve(job.spec)
     return [PlacedTasks(room, 1)]
@@ -331,12 +331,15 @@
 def test_a_new_view_drops_the_plans_of_the_old() -> None:
     world, _ = play(6, job_owner_ends)
     engine = world.nodes["n0"].engine
-    assert all(node.engine.moves.reservations.active == {} for node in world.nodes.values())
+    assert all(node.engine.moves.reservations.as_job_owner == {} for node in world.nodes.values())
     assert all(node.engine.capacity_index.move_reservations == {} for node in world.nodes.values())
     order = MoveOrder("n0", 1, engine.membership.term - 1, "job-000001", 0, 1, "a", "b", 0.0)
     for message in (MoveRequested(order), MoveReserved(order)):
         engine.moves.on_peer_message(message)
-        assert not engine.moves.reservations.active and not engine.moves.reservations.held
+        assert (
+            not engine.moves.reservations.as_job_owner
+            and not engine.moves.reservations.as_destination_owner
+        )
 
 
 def test_two_controllers_choose_the_same_destination() -> None:
@@ -359,14 +362,14 @@
         )
     assert engine.moves.destination_owner.refusal(orders[0]) is None
     engine.moves.on_peer_message(MoveRequested(orders[0]))
-    assert engine.moves.destination_owner.refusal(orders[1]) is MoveOutcome.BUSY
-    engine.moves.reservations.held.clear()
+    assert engine.moves.destination_owner.refusal(orders[1]) is MoveOutcome.MOVE_IN_PROGRESS
+    engine.moves.reservations.as_destination_owner.clear()
     engine.capacity_index.release_move(destination, orders[0].job)
-    engine.moves.reservations.active.clear()
+    engine.moves.reservations.as_job_owner.clear()
     stale = MoveOrder(**{**_fields(orders[1]), "term": orders[1].term - 1})
-    assert engine.moves.destination_owner.refusal(stale) is MoveOutcome.STALE
+    assert engine.moves.destination_owner.refusal(stale) is MoveOutcome.STALE_VIEW
     fuller = MoveOrder(**{**_fields(orders[1]), "load": -0.5})
-    assert engine.moves.destination_owner.refusal(fuller) is MoveOutcome.FULLER
+    assert engine.moves.destination_owner.refusal(fuller) is MoveOutcome.LOAD_TOO_HIGH
 
 
 def test_room_that_a_step_of_the_job_s_owner_takes_is_not_moved_to() -> None:
@@ -393,9 +396,9 @@
     assert engine.moves.job_owner.refusal(order) is None
     others = [StepReservation(destination, record.spec, 4)]
     engine.capacity_index.reserve_step("job-000099", others)
-    assert engine.moves.job_owner.refusal(order) is MoveOutcome.NO_ROOM
+    assert engine.moves.job_owner.refusal(order) is MoveOutcome.NO_CAPACITY
     engine.moves.on_peer_message(MoveReserved(order))
-    assert not engine.moves.reservations.active and not engine.stop_requests.pending
+    assert not engine.moves.reservations.as_job_owner and not engine.stop_requests.pending
 
 
 def _fields(order: MoveOrder) -> dict[str, Any]:
--- a/tests/unit/scheduling/test_handoff.py
+++ b/tests/unit/scheduling/test_handoff.py
@@ -9,17 +9,17 @@
 from appledock.core.records.job import HandoffTarget, Job
 from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
-from appledock.core.scheduling.handoff import HandOff
+from appledock.core.scheduling.handoff import HandoffPolicy
 from appledock.core.store.replica import Replica
 from tests.test_decisions import room
 from tests.test_requests import settings, spec
 
 
-def parts(leader: str = "n2") -> tuple[HandOff, Runtime]:
+def parts(leader: str = "n2") -> tuple[HandoffPolicy, Runtime]:
     runtime = Runtime(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1))
     replica = Replica()
     replica.view = View(1, {"n0": "x", "n1": "y", "n2": "z"}, leader)
-    return HandOff(runtime, replica), runtime
+    return HandoffPolicy(runtime, replica), runtime
 
 
 def machine(owner: str, cpus: float) -> MachineCapacity:
--- a/tests/unit/scheduling/test_moves.py
+++ b/tests/unit/scheduling/test_moves.py
@@ -181,12 +181,12 @@
 def test_capacity_stays_reserved_until_neither_role_needs_it() -> None:
     parts = Parts()
     reservations = parts.reservations
-    reservations.hold(order(), parts.job.spec)
-    reservations.activate(order(), parts.job.spec)
-    del reservations.held["job-1"]
+    reservations.reserve_as_destination_owner(order(), parts.job.spec)
+    reservations.reserve_as_job_owner(order(), parts.job.spec)
+    del reservations.as_destination_owner["job-1"]
     reservations.release(order())
     assert parts.index.move_reservations and reservations.has_any("job-1")
-    del reservations.active["job-1"]
+    del reservations.as_job_owner["job-1"]
     reservations.release(order())
     assert not parts.index.move_reservations and not reservations.has_any("job-1")
     assert parts.queue.placement_due
@@ -195,16 +195,16 @@
 def test_the_destination_s_owner_reserves_for_one_move_at_a_time() -> None:
     parts = Parts()
     owner = parts.destination_owner()
-    assert owner.refusal(order()) is MoveOutcome.OFF
+    assert owner.refusal(order()) is MoveOutcome.REBALANCING_OFF
     parts.is_enabled = True
-    assert owner.refusal(order(term=4)) is MoveOutcome.STALE
-    assert owner.refusal(order()) is MoveOutcome.LOST  # no such machine
+    assert owner.refusal(order(term=4)) is MoveOutcome.STALE_VIEW
+    assert owner.refusal(order()) is MoveOutcome.DESTINATION_UNAVAILABLE  # no such machine
     machine = room("vm-2", 4.0)
     parts.index.machines["vm-2"] = machine
-    assert owner.refusal(order()) is MoveOutcome.FULLER  # its load is not known
-    parts.reservations.hold(order(), parts.job.spec)
+    assert owner.refusal(order()) is MoveOutcome.LOAD_TOO_HIGH  # its load is not known
+    parts.reservations.reserve_as_destination_owner(order(), parts.job.spec)
     owner.on_requested(order(number=2))
-    assert parts.sent == [("n0", MoveEnded(order(number=2), MoveOutcome.BUSY))]
+    assert parts.sent == [("n0", MoveEnded(order(number=2), MoveOutcome.MOVE_IN_PROGRESS))]
     parts.runtime.now += constants.MOVE_RESERVATION_S
     owner.tick()
     assert not parts.index.move_reservations
@@ -216,19 +216,24 @@
     parts.index.machines["vm-2"] = room("vm-2", 4.0)
     owner = parts.job_owner()
     parts.running = 1
-    assert owner.refusal(order()) is MoveOutcome.REPLICAS
+    assert owner.refusal(order()) is MoveOutcome.TOO_FEW_REPLICAS
     parts.running = 2
     owner.on_reserved(order())
     assert parts.stopped == [("job-1", "vm-1", {0})] and parts.sent == []
-    assert owner.refusal(order()) is MoveOutcome.BUSY
-    assert owner.place_held(parts.job, parts.job, {}) == []  # the stopped attempt is unsettled
+    assert owner.refusal(order()) is MoveOutcome.MOVE_IN_PROGRESS
+    assert (
+        owner.place_moved_task(parts.job, parts.job, {}) == []
+    )  # the stopped attempt is unsettled
     settled = Job(parts.job.spec, 0.0)
-    placed = owner.place_held(parts.job, settled, {})
+    placed = owner.place_moved_task(parts.job, settled, {})
     assert [(machine.name, tasks) for machine, tasks in placed] == [("vm-2", 1)]
     del parts.index.machines["vm-2"]
-    assert owner.place_held(parts.job, settled, {}) == []
+    assert owner.place_moved_task(parts.job, settled, {}) == []
     assert {node for node, _ in parts.sent} == {"n0", "n1"}
-    assert all(message == MoveEnded(order(), MoveOutcome.LOST) for _, message in parts.sent)
+    assert all(
+        message == MoveEnded(order(), MoveOutcome.DESTINATION_UNAVAILABLE)
+        for _, message in parts.sent
+    )
     assert parts.cooldowns.is_cooling_down("job-1") and not parts.index.move_reservations
 
 
@@ -237,6 +242,8 @@
     owner = parts.job_owner()
     owner.on_reserved(order())
     assert sorted(node for node, _ in parts.sent) == ["n0", "n1"]
-    assert all(message == MoveEnded(order(), MoveOutcome.OFF) for _, message in parts.sent)
+    assert all(
+        message == MoveEnded(order(), MoveOutcome.REBALANCING_OFF) for _, message in parts.sent
+    )
     assert MoveReserved(order()) not in [message for _, message in parts.sent]
     assert not parts.cooldowns.is_cooling_down("job-1")
--- a/tests/unit/scheduling/test_preemption.py
+++ b/tests/unit/scheduling/test_preemption.py
@@ -64,7 +64,7 @@
             operator_settings={"lost_work_weight": 1.0},
             reconcile_queue=ReconcileQueue(),
             stop_requests=self.stop_requests,
-            places_everywhere=lambda job: False,
+            is_preferred_owner=lambda job: False,
         )
 
 
--- a/tests/unit/scheduling/test_step_planner.py
+++ b/tests/unit/scheduling/test_step_planner.py
@@ -39,15 +39,15 @@
             claims={},
             claimed_machines={},
             preempt_for=lambda *args, **named: self.preempted_at,
-            find_faster_start=lambda *args: self.faster_start,
+            find_owner_with_faster_start=lambda *args: self.faster_start,
         )
         handoff: Any = SimpleNamespace(choose_target=lambda *args: self.handoff_target)
         pacing: Any = SimpleNamespace(
             should_batch=lambda *args: self.should_batch, is_service_rate_limited=lambda: False
         )
-        moves: Any = SimpleNamespace(place_held=lambda *args: [])
+        moves: Any = SimpleNamespace(place_moved_task=lambda *args: [])
         rebalancing: Any = SimpleNamespace(scorer=lambda spec: None)
-        partitions: Any = SimpleNamespace(places_everywhere=lambda job: False)
+        partitions: Any = SimpleNamespace(is_preferred_owner=lambda job: False)
         planner = StepPlanner(
             runtime=runtime,
             operator_settings=OperatorSettings(),
