--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -37,7 +37,7 @@
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
 from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
-from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
+from appledock.core.jobs.cancelled_task_machine_deleter import CancelledTaskMachineDeleter
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
@@ -58,7 +58,7 @@
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
-from appledock.core.scheduling.handoff import HandOff
+from appledock.core.scheduling.handoff import HandoffPolicy
 from appledock.core.scheduling.lost_launches import LostLaunchDetector
 from appledock.core.scheduling.moves import MovePolicy, Moves
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
@@ -134,7 +134,7 @@
                 on_task_completed=self._on_task_completed,
                 on_machine_deleted=self._on_machine_deleted,
                 on_unanswerable_heartbeat=self._on_unanswerable_heartbeat,
-                on_view_in_doubt=self._on_view_in_doubt,
+                on_view_confirmation_needed=self._on_view_confirmation_needed,
             ),
         )
         self.membership_protocol = MembershipProtocol(
@@ -144,8 +144,8 @@
             reader=self.reader,
             membership=self.membership,
             heartbeats=self.heartbeats,
-            requests=self.view_requests,
-            is_deleted=lambda machine: machine in self.workers.deleted_machines,
+            view_requests=self.view_requests,
+            is_machine_deleted=lambda machine: machine in self.workers.deleted_machines,
             newest_format=NEWEST_FORMAT if capacity is None else constants.CAPACITY_FORMAT,
         )
 
@@ -222,16 +222,16 @@
             operator_settings=self.operator_settings,
             reconcile_queue=self.reconcile_queue,
             stop_requests=self.stop_requests,
-            places_everywhere=self.preferred_owners.places_everywhere,
+            is_preferred_owner=self.preferred_owners.is_preferred_owner,
         )
-        self.handoff = HandOff(self.runtime, self.replica)
+        self.handoff = HandoffPolicy(self.runtime, self.replica)
         self.pacing = Pacing(
             self.runtime,
             self.client.limiter,
             self.replica,
             self.quota_usage,
             self.reconcile_queue,
-            self.heartbeats.is_any_peer_under_pressure,
+            self.heartbeats.is_any_peer_rate_limited,
         )
         self.moves = Moves(
             runtime=self.runtime,
@@ -346,7 +346,7 @@
             membership=self.membership,
             heartbeats=self.heartbeats,
             halter=self.cancelled_task_halter,
-            machines=CancelledTaskMachines(
+            machine_deleter=CancelledTaskMachineDeleter(
                 self.runtime,
                 self.workers,
                 lambda names: self.fleet.on_machines_deleted(names),  # noqa: PLW0108 -- built later
@@ -580,7 +580,7 @@
     def _on_unanswerable_heartbeat(self, report: wire.Report) -> None:
         self.cancelled_task_halter.halt_cancelled_tasks(report)
 
-    def _on_view_in_doubt(self) -> None:
+    def _on_view_confirmation_needed(self) -> None:
         self.membership_protocol.confirm_view()
 
     def _release_claims(self, job_id: str, reservations: list[StepReservation]) -> None:
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -261,7 +261,7 @@
         self.cordons.apply_operator_action(machine, OperatorAction(action))
 
     # --- peers ------------------------------------------------------------
-    def on_peer(self, message: FleetMessage) -> None:
+    def on_peer_message(self, message: FleetMessage) -> None:
         """Record the rentals and cordons that a peer has sent."""
         match message:
             case MachinesRented():
