--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -25,7 +25,7 @@
     effects: list[Effect] = []
     for step in range(int(seconds)):
         e.membership.lease_renewed_at = e.membership.view_confirmed_at = NOW + step
-        seq = e.workers.table["vm-1"].status.newest.seq + 1
+        seq = e.workers.table["vm-1"].status.newest_number.seq + 1
         effects += e.handle([HeartbeatReceived(seq, report(seq)), Tick()], NOW + step, 0.0)
     return effects
 
@@ -65,7 +65,7 @@
 
 def test_what_operators_cordon_stays() -> None:
     e = follower()
-    e.fleet.operate("vm-1", "cordon")
+    e.fleet.apply_operator_action("vm-1", "cordon")
     live_on(e, c.CORDON_TTL_S + 3)
     assert e.workers.table["vm-1"].placement.cordon_reason == "operator"
 
