--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -24,7 +24,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     Committed,
@@ -74,7 +74,7 @@
         runtime: Runtime,
         client: StoreClient,
         replica: Replica,
-        reader: StateReader,
+        reader: StoreReader,
         partitions: PartitionMap,
         usage: MachineUsage,
         summary: PartitionSummary,
--- a/appledock/core/api/health.py
+++ b/appledock/core/api/health.py
@@ -5,7 +5,7 @@
 from appledock import wire
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 
 
 class HealthCheck:
@@ -13,7 +13,7 @@
 
     def __init__(
         self,
-        reader: StateReader,
+        reader: StoreReader,
         membership: Membership,
         heartbeats: Heartbeats,
         machine_types: dict[str, wire.MachineType],
--- a/appledock/core/api/job_records.py
+++ b/appledock/core/api/job_records.py
@@ -7,14 +7,14 @@
 from appledock import constants
 from appledock.core.runtime import Runtime
 from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 
 
 class JobRecords:
     """Reads jobs that the replica lacks, or may have in an old version."""
 
-    def __init__(self, replica: Replica, reader: StateReader) -> None:
+    def __init__(self, replica: Replica, reader: StoreReader) -> None:
         self._replica = replica
         self._reader = reader
 
@@ -52,7 +52,7 @@
     """
 
     def __init__(
-        self, runtime: Runtime, replica: Replica, reader: StateReader, records: JobRecords
+        self, runtime: Runtime, replica: Replica, reader: StoreReader, records: JobRecords
     ) -> None:
         self._runtime = runtime
         self._replica = replica
--- a/appledock/core/api/open_requests.py
+++ b/appledock/core/api/open_requests.py
@@ -7,7 +7,7 @@
 from appledock import constants, wire
 from appledock.core.effects import Response
 from appledock.core.runtime import Runtime
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 class OpenRequests:
     """The requests of users that have no final answer yet, by request id."""
 
-    def __init__(self, runtime: Runtime, reader: StateReader) -> None:
+    def __init__(self, runtime: Runtime, reader: StoreReader) -> None:
         self._runtime = runtime
         self._reader = reader
         self._deadlines: dict[int, float] = {}
--- a/appledock/core/api/settings_api.py
+++ b/appledock/core/api/settings_api.py
@@ -20,7 +20,7 @@
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import SETTINGS_KEY
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Committed, Conflict, Put, StoreOutcome, Transaction
 
@@ -36,7 +36,7 @@
         self,
         client: StoreClient,
         replica: Replica,
-        reader: StateReader,
+        reader: StoreReader,
         operator_settings: OperatorSettings,
         reconcile_queue: ReconcileQueue,
         responder: AdminResponder,
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -21,7 +21,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     Committed,
@@ -60,7 +60,7 @@
         runtime: Runtime,
         client: StoreClient,
         replica: Replica,
-        reader: StateReader,
+        reader: StoreReader,
         membership: Membership,
         workers: Workers,
         machine_types: Mapping[str, wire.MachineType],
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -71,7 +71,7 @@
 from appledock.core.scheduling.step_planner import StepPlanner
 from appledock.core.scheduling.step_writer import StepWriter
 from appledock.core.store.client import StoreClient
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.workers import WorkerObservers, Workers
 from appledock.rebalancing.settings import Rebalancing
@@ -98,7 +98,7 @@
         self.client = StoreClient(self.runtime)
         self.replica = Replica()
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
-        self.reader = StateReader(
+        self.reader = StoreReader(
             self.runtime,
             self.client,
             self.replica,
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -45,7 +45,7 @@
 from appledock.core.scheduling.queue_order import QueueOrder
 from appledock.core.scheduling.reconciler import Reconciler
 from appledock.core.store.client import StoreClient
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.workers import Workers
 
@@ -65,7 +65,7 @@
         runtime: Runtime,
         client: StoreClient,
         replica: Replica,
-        reader: StateReader,
+        reader: StoreReader,
         membership_protocol: MembershipProtocol,
         heartbeats: Heartbeats,
         workers: Workers,
@@ -194,7 +194,7 @@
                 | messages.MachinesDeleted()
             ):
                 self._workers.on_peer_message(message)
-            case messages.MachinesRented() | messages.MachineCordoned():
+            case messages.MachinesRented() | messages.MachineCordonChanged():
                 self._fleet.on_peer_message(message)
             case messages.StopTasks():
                 self._stop_requests.add(message.job, message.machine, set(message.tasks))
--- a/appledock/core/fleet/cordons.py
+++ b/appledock/core/fleet/cordons.py
@@ -12,7 +12,7 @@
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.stop_requests import StopRequests
 from appledock.core.machines.capacity_index import CapacityIndex
-from appledock.core.messages import MachineCordoned
+from appledock.core.messages import MachineCordonChanged
 from appledock.core.records.job import Attempt
 from appledock.core.runtime import Runtime
 from appledock.core.store.replica import Replica
@@ -75,7 +75,7 @@
 
     def announce(self, machine: str, reason: str, peer: str | None = None) -> None:
         """Send a cordon, or its end, to one peer, or to all peers if `peer` is None."""
-        self._runtime.emit(PeerSend(MachineCordoned(machine, str(reason)), peer))
+        self._runtime.emit(PeerSend(MachineCordonChanged(machine, str(reason)), peer))
 
     def set_everywhere(self, machine: str, reason: str) -> None:
         """Set a cordon, or end it, on this controller and on all peers."""
--- a/appledock/core/fleet/manager.py
+++ b/appledock/core/fleet/manager.py
@@ -30,13 +30,13 @@
 from appledock.core.machines.zones import MachineZones
 from appledock.core.membership.heartbeats import Heartbeats
 from appledock.core.membership.membership import Membership
-from appledock.core.messages import FleetMessage, MachineCordoned, MachinesRented
+from appledock.core.messages import FleetMessage, MachineCordonChanged, MachinesRented
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.quota.usage import QuotaUsage
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.workers import Workers
 
@@ -54,7 +54,7 @@
         runtime: Runtime,
         client: StoreClient,
         replica: Replica,
-        reader: StateReader,
+        reader: StoreReader,
         membership: Membership,
         heartbeats: Heartbeats,
         workers: Workers,
@@ -266,7 +266,7 @@
         match message:
             case MachinesRented():
                 self.inventory.add_rented(message.machines, MachineKind(*message.machine_kind))
-            case MachineCordoned():
+            case MachineCordonChanged():
                 self.cordons.set_locally(message.worker, message.reason)
             case _:
                 assert_never(message)
--- a/appledock/core/jobs/team_record_writer.py
+++ b/appledock/core/jobs/team_record_writer.py
@@ -10,7 +10,7 @@
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import TEAMS_PREFIX
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     Committed,
@@ -30,7 +30,7 @@
         *,
         client: StoreClient,
         replica: Replica,
-        reader: StateReader,
+        reader: StoreReader,
         quota_allocation: QuotaAllocation,
         reconcile_queue: ReconcileQueue,
         fencing_conditions: Callable[[], dict[str, int]],
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -28,7 +28,7 @@
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX, TEAMS_PREFIX
 from appledock.core.store.rate_limiter import Priority, QueuedCall
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     Committed,
@@ -95,7 +95,7 @@
         runtime: Runtime,
         client: StoreClient,
         replica: Replica,
-        reader: StateReader,
+        reader: StoreReader,
         codec: JobRecordCodec,
         quota_allocation: QuotaAllocation,
         capacity_index: CapacityIndex,
--- a/appledock/core/membership/format_upgrade.py
+++ b/appledock/core/membership/format_upgrade.py
@@ -10,7 +10,7 @@
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import FORMAT_KEY, MEMBERS_PREFIX
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Committed, Conflict, Put, StoreOutcome, Transaction
 
@@ -31,7 +31,7 @@
         runtime: Runtime,
         client: StoreClient,
         replica: Replica,
-        reader: StateReader,
+        reader: StoreReader,
         membership: Membership,
         newest_format: int,
     ) -> None:
--- a/appledock/core/membership/joining.py
+++ b/appledock/core/membership/joining.py
@@ -13,7 +13,7 @@
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import MEMBERS_PREFIX, VIEW_KEY
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     Committed,
@@ -67,7 +67,7 @@
         runtime: Runtime,
         client: StoreClient,
         replica: Replica,
-        reader: StateReader,
+        reader: StoreReader,
         membership: Membership,
         next_view: Callable[[dict[str, str]], View],
         on_joined: Callable[[], None],
--- a/appledock/core/membership/protocol.py
+++ b/appledock/core/membership/protocol.py
@@ -15,7 +15,7 @@
 from appledock.core.records.membership_view import View
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 
 
@@ -31,7 +31,7 @@
         runtime: Runtime,
         client: StoreClient,
         replica: Replica,
-        reader: StateReader,
+        reader: StoreReader,
         membership: Membership,
         heartbeats: Heartbeats,
         view_requests: ViewChangeRequests,
--- a/appledock/core/membership/view_changes.py
+++ b/appledock/core/membership/view_changes.py
@@ -14,7 +14,7 @@
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import VIEW_KEY
 from appledock.core.store.rate_limiter import Priority
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Committed, Conflict, Put, StoreOutcome, Transaction
 
@@ -37,7 +37,7 @@
         runtime: Runtime,
         client: StoreClient,
         replica: Replica,
-        reader: StateReader,
+        reader: StoreReader,
         membership: Membership,
         heartbeats: Heartbeats,
         view_requests: ViewChangeRequests,
--- a/appledock/core/messages.py
+++ b/appledock/core/messages.py
@@ -95,7 +95,7 @@
     """Machine type, zone, and whether the machines are spot instances."""
 
 
-class MachineCordoned(Struct, frozen=True, tag_field="kind", tag="cordon"):
+class MachineCordonChanged(Struct, frozen=True, tag_field="kind", tag="cordon"):
     """Notification that a machine was cordoned or uncordoned.
 
     No step is placed on a cordoned machine.
@@ -166,7 +166,7 @@
 
 
 WorkerMessage = WorkerHeartbeat | UnchangedHeartbeats | AgentEpochExpired | MachinesDeleted
-FleetMessage = MachinesRented | MachineCordoned
+FleetMessage = MachinesRented | MachineCordonChanged
 MoveMessage = MoveRequested | MoveReserved | MoveEnded
 Message = (
     WorkerMessage | FleetMessage | MoveMessage | StopTasks | JobCancelled | ControllerHeartbeat
@@ -181,7 +181,7 @@
         MachinesDeleted,
         StopTasks,
         MachinesRented,
-        MachineCordoned,
+        MachineCordonChanged,
         JobCancelled,
         ControllerHeartbeat,
         MoveRequested,
--- a/appledock/core/store/reader.py
+++ b/appledock/core/store/reader.py
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 
-class StateReader:
+class StoreReader:
     """Keeps the replica up to date, and reads single keys on request."""
 
     def __init__(
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -101,7 +101,7 @@
                 lambda: self.jobs,
             ),
             FINAL_PREFIX: RecordHandler(
-                lambda _name: 0, lambda name, value, _: self.add_final(name, value["state"])
+                lambda _name: 0, lambda name, value, _: self.add_final_state(name, value["state"])
             ),
             MEMBERS_PREFIX: RecordHandler(
                 lambda name: self.members[name].version if name in self.members else 0,
@@ -198,7 +198,7 @@
         if job.version > self._newest_version(key, self._handlers[JOBS_PREFIX], job.id):
             self._store_job(job)
 
-    def add_final(self, job_id: str, state: str) -> None:
+    def add_final_state(self, job_id: str, state: str) -> None:
         """Store the final state of a job that has ended."""
         self.final_states[job_id] = state
         if len(self.final_states) > constants.FINAL_STATE_CACHE_MAX:
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -363,7 +363,7 @@
 def test_a_job_that_was_over_before_its_creation_was_answered_is_not_called_pending() -> None:
     """Its owner saw it in the watch and ended it with its need; so did this controller."""
     e = ready_engine()
-    e.replica.add_final("job-7", wire.CANCELLED)
+    e.replica.add_final_state("job-7", wire.CANCELLED)
     (create,) = calls(e.handle([SubmitJob(1, spec(tethers=["job-7"]))], 100.0, 0.0), Transaction)
     (write,) = create.request.writes
     e.replica.put(write.key, write.value, 5)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -49,7 +49,7 @@
         {"kind": "rented", "machines": ["vm-1"], "type": ["h4", "a", True]},
     ),
     (
-        messages.MachineCordoned("vm-1", "idle"),
+        messages.MachineCordonChanged("vm-1", "idle"),
         {"kind": "cordon", "worker": "vm-1", "why": "idle"},
     ),
     (
--- a/tests/unit/api/test_open_requests.py
+++ b/tests/unit/api/test_open_requests.py
@@ -10,13 +10,13 @@
 from appledock.core.api.open_requests import NO_SUCH_JOB, OpenRequests
 from appledock.core.effects import Response
 from appledock.core.runtime import Runtime
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from tests.standins.deployment import settings
 
 
 def build(loaded: bool = True) -> tuple[Runtime, OpenRequests]:
     runtime = Runtime(settings("n0", ["n0"]), "a", random.Random(1))
-    reader = cast("StateReader", SimpleNamespace(loaded=loaded))
+    reader = cast("StoreReader", SimpleNamespace(loaded=loaded))
     return runtime, OpenRequests(runtime, reader)
 
 
--- a/tests/unit/api/test_settings_api.py
+++ b/tests/unit/api/test_settings_api.py
@@ -17,7 +17,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import SETTINGS_KEY
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Committed, Conflict, GetKey, Put, Transaction, UnknownOutcome
 from tests.standins.deployment import settings
@@ -31,7 +31,7 @@
         self.runtime.now = 100.0
         self.client = StoreClient(self.runtime)
         self.replica = Replica()
-        self.reader = StateReader(self.runtime, self.client, self.replica, on_loaded=lambda: None)
+        self.reader = StoreReader(self.runtime, self.client, self.replica, on_loaded=lambda: None)
         self.operator_settings = OperatorSettings()
         self.reconcile_queue = ReconcileQueue(placement_due=False)
         self.api = SettingsApi(
--- a/tests/unit/api/test_status_polls.py
+++ b/tests/unit/api/test_status_polls.py
@@ -16,7 +16,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import Committed, StoreOutcome, Transaction
 from appledock.core.workers import Workers
@@ -32,7 +32,7 @@
         self.runtime.now = 100.0
         self.replica = Replica()
         self.client = StoreClient(self.runtime)
-        reader = cast("StateReader", SimpleNamespace(loaded=True))
+        reader = cast("StoreReader", SimpleNamespace(loaded=True))
         workers = cast("Workers", SimpleNamespace(table={}))
         self.requests = OpenRequests(self.runtime, reader)
         self.polls = StatusPolls(
--- a/tests/unit/store/test_reader.py
+++ b/tests/unit/store/test_reader.py
@@ -10,7 +10,7 @@
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX, MEMBERS_PREFIX
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.store_calls import (
     GetKey,
@@ -35,7 +35,7 @@
         self.client = StoreClient(self.runtime)
         self.replica = Replica()
         self.loaded_count = 0
-        self.reader = StateReader(self.runtime, self.client, self.replica, self._on_loaded)
+        self.reader = StoreReader(self.runtime, self.client, self.replica, self._on_loaded)
 
     def _on_loaded(self) -> None:
         self.loaded_count += 1
