--- a/appledock/core/messages.py
+++ b/appledock/core/messages.py
@@ -141,7 +141,9 @@
     task: int
     attempt: int
     source: str
+    """Machine on which the task runs."""
     destination: str
+    """Machine to which the task is to be moved."""
     load: float
     """Load of the destination according to the planner."""
 
--- a/appledock/core/store/rate_limiter.py
+++ b/appledock/core/store/rate_limiter.py
@@ -14,7 +14,11 @@
 
 
 class Priority(IntEnum):
-    """Priority of a queued call; lower values are served first."""
+    """Priority of a queued call, from the highest to the lowest.
+
+    Calls down to `USER` are served strictly by priority. Lower priorities are only served later by
+    the delays in `PRIORITY_DELAY_S`.
+    """
 
     LEASE = 0
     """Leases, joining the cluster, and the full listing after a start."""
--- a/tests/unit/store/test_reader.py
+++ b/tests/unit/store/test_reader.py
@@ -1,4 +1,4 @@
-"""The reader with a real replica and client, without a controller around them."""
+"""Unit tests of StoreReader with a real replica and store client, but without a controller."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 MEMBER = {"incarnation": "x", "lease": 1}
 
 
-class Parts:
+class ReaderFixture:
     def __init__(self) -> None:
         self.runtime = Runtime(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1))
         self.runtime.now = 100.0
@@ -49,46 +49,46 @@
 
 
 def test_the_watch_continues_from_the_first_page_of_the_listing() -> None:
-    parts = Parts()
-    parts.reader.tick()
-    [first] = parts.calls()
+    fixture = ReaderFixture()
+    fixture.reader.tick()
+    [first] = fixture.calls()
     assert isinstance(first.request, ListKeys) and first.request.after is None
-    parts.answer(first, Rows([wire.Row(MEMBERS_PREFIX + "n0", MEMBER, 3)], 7, True))
-    [second] = parts.calls()
+    fixture.answer(first, Rows([wire.Row(MEMBERS_PREFIX + "n0", MEMBER, 3)], 7, True))
+    [second] = fixture.calls()
     assert isinstance(second.request, ListKeys) and second.request.after == MEMBERS_PREFIX + "n0"
-    assert parts.loaded_count == 0 and not parts.reader.loaded
-    parts.answer(second, Rows([wire.Row(MEMBERS_PREFIX + "n1", MEMBER, 9)], 11, False))
-    assert parts.loaded_count == 1 and set(parts.replica.members) == {"n0", "n1"}
-    parts.reader.tick()
-    [watch] = parts.calls()
+    assert fixture.loaded_count == 0 and not fixture.reader.loaded
+    fixture.answer(second, Rows([wire.Row(MEMBERS_PREFIX + "n1", MEMBER, 9)], 11, False))
+    assert fixture.loaded_count == 1 and set(fixture.replica.members) == {"n0", "n1"}
+    fixture.reader.tick()
+    [watch] = fixture.calls()
     assert isinstance(watch.request, WatchKeys) and watch.request.after_revision == 7
 
 
 def test_a_compacted_history_is_followed_by_a_new_listing() -> None:
-    parts = Parts()
-    parts.reader.loaded = True
-    parts.reader.tick()
-    [watch] = parts.calls()
-    parts.answer(watch, HistoryCompacted())
-    assert not parts.reader.loaded
-    parts.reader.tick()
-    [listing] = parts.calls()
+    fixture = ReaderFixture()
+    fixture.reader.loaded = True
+    fixture.reader.tick()
+    [watch] = fixture.calls()
+    fixture.answer(watch, HistoryCompacted())
+    assert not fixture.reader.loaded
+    fixture.reader.tick()
+    [listing] = fixture.calls()
     assert isinstance(listing.request, ListKeys)
 
 
 def test_keys_are_read_one_after_the_other_up_to_the_first_failure() -> None:
-    parts = Parts()
+    fixture = ReaderFixture()
     events: list[str] = []
     keys = [JOBS_PREFIX + "job-1", FINAL_PREFIX + "job-1"]
-    parts.reader.read_keys(keys, lambda: events.append("read"), lambda: events.append("failure"))
-    [first] = parts.calls()
+    fixture.reader.read_keys(keys, lambda: events.append("read"), lambda: events.append("failure"))
+    [first] = fixture.calls()
     assert first.request == GetKey(JOBS_PREFIX + "job-1")
-    parts.answer(first, Missing())
-    [second] = parts.calls()
+    fixture.answer(first, Missing())
+    [second] = fixture.calls()
     assert second.request == GetKey(FINAL_PREFIX + "job-1") and events == []
-    parts.answer(second, Row(FINAL_PREFIX + "job-1", {"state": wire.DONE}, 5))
-    assert events == ["read"] and parts.replica.final_states == {"job-1": wire.DONE}
-    parts.reader.read_keys(keys, lambda: events.append("read"), lambda: events.append("failure"))
-    [third] = parts.calls()
-    parts.answer(third, NotExecuted())
-    assert parts.calls() == [] and events == ["read", "failure"]
+    fixture.answer(second, Row(FINAL_PREFIX + "job-1", {"state": wire.DONE}, 5))
+    assert events == ["read"] and fixture.replica.final_states == {"job-1": wire.DONE}
+    fixture.reader.read_keys(keys, lambda: events.append("read"), lambda: events.append("failure"))
+    [third] = fixture.calls()
+    fixture.answer(third, NotExecuted())
+    assert fixture.calls() == [] and events == ["read", "failure"]
--- a/tests/unit/store/test_replica.py
+++ b/tests/unit/store/test_replica.py
@@ -1,4 +1,4 @@
-"""The replica alone."""
+"""Unit tests of Replica."""
 
 from __future__ import annotations
 
