--- a/appledock/core/membership/joining.py
+++ b/appledock/core/membership/joining.py
@@ -1,4 +1,4 @@
-"""Joining the cluster: a lease, then member key and view in one transaction."""
+"""Joining the cluster: obtains a lease, then writes member key and view in one transaction."""
 
 from __future__ import annotations
 
@@ -33,32 +33,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Predecessor:
-    """The member key that an earlier incarnation of this node left behind."""
+class PreviousMemberKey:
+    """The member key that an earlier incarnation of this node has left in the store."""
 
     version: int = 0
-    """0: there is none"""
+    """version of the key; 0: the key does not exist"""
     lease: int | None = None
+    """id of the lease that the key is attached to"""
 
 
 class Joining:
     """Takes this controller from `NOT_JOINED` through `JOINING` to `JOINED`.
 
-    =====================  ===========================  ==================================
-    waiting for            outcome                      next
-    =====================  ===========================  ==================================
-    (`NOT_JOINED`)         a retry is due               grant a lease
-    the lease              granted                      read the view
-    the view               read                         read the predecessor's member key
-    the predecessor's key  read                         commit member key and view
-    the commit             committed                    (`JOINED`) revoke the old lease
-    the commit             conflict                     read the keys in conflict, then the
-                                                        view once more
-    any of them            anything else                (`NOT_JOINED`) retry after a pause
-    =====================  ===========================  ==================================
-
-    Several controllers that start at once conflict in the commit. Each conflict is one
-    controller's success, so reading again ends after a few rounds.
+    =======================  ===============  ==============================================
+    waiting for              outcome          next step
+    =======================  ===============  ==============================================
+    (`NOT_JOINED`)           a retry is due   request a lease
+    the lease                granted          read the view
+    the view                 read             read the previous member key
+    the previous member key  read             commit member key and view
+    the commit               committed        (`JOINED`) revoke the previous lease
+    the commit               conflict         read the keys in conflict, then the view again
+    any of them              anything else    (`NOT_JOINED`) retry after a delay
+    =======================  ===============  ==============================================
+
+    The commits of controllers that start at the same time conflict. Each conflict means that
+    another controller has succeeded, so the retries end after a few rounds.
     """
 
     def __init__(  # noqa: PLR0913 -- it connects the store, the lease and the view
@@ -73,7 +73,12 @@
         on_joined: Callable[[], None],
         newest_format: int,
     ) -> None:
-        """`next_view` computes the view with the members (node -> incarnation) given to it."""
+        """Start in `NOT_JOINED`, with the first attempt due at once.
+
+        `next_view` computes the next view from its members (node -> incarnation). `on_joined` is
+        called as soon as member key and view are committed. `newest_format` is the newest record
+        format that this controller supports.
+        """
         self._runtime = runtime
         self._client = client
         self._replica = replica
@@ -85,11 +90,11 @@
         self._retry_at = 0.0
 
     def is_due(self) -> bool:
-        """Is the pause after the last failed attempt over?"""
+        """Return whether the delay after the last failed attempt has passed."""
         return self._runtime.now >= self._retry_at
 
     def start(self) -> None:
-        """Ask for a lease; it counts from the moment at which the request is sent."""
+        """Request a lease, whose duration counts from the moment at which the request is sent."""
         self._membership.begin_joining()
         sent_at = self._runtime.now
 
@@ -116,33 +121,35 @@
                 return
             if isinstance(outcome, Row):
                 self._replica.put(VIEW_KEY, outcome.value, outcome.version)
-            self._read_predecessor()
+            self._read_previous_member_key()
 
         self._client.submit(GetKey(VIEW_KEY), Priority.LEASE, on_outcome)
 
-    def _read_predecessor(self) -> None:
+    def _read_previous_member_key(self) -> None:
         node = self._membership.node
 
         def on_outcome(outcome: StoreOutcome) -> None:
             match outcome:
                 case Row():
-                    self._commit(Predecessor(outcome.version, outcome.value.get("lease")))
+                    self._commit(PreviousMemberKey(outcome.version, outcome.value.get("lease")))
                 case Missing():
                     self._replica.members.pop(node, None)
-                    self._commit(Predecessor())
+                    self._commit(PreviousMemberKey())
                 case _:
                     self._retry_later()
 
         self._client.submit(GetKey(MEMBERS_PREFIX + node), Priority.LEASE, on_outcome)
 
-    def _commit(self, predecessor: Predecessor) -> None:
+    def _commit(self, previous: PreviousMemberKey) -> None:
         """Write the member key, attached to the lease, and a new view in one transaction.
 
-        The predecessor's lease is not waited for: a node runs one process, so it has ended.
+        This does not wait until the lease of the previous incarnation expires: a node runs one
+        process at a time, so the previous process has ended.
         """
         membership, view = self._membership, self._membership.view
-        # Every member joins by writing the view, so the view just read names all of them. The
-        # watch may lag behind: members taken from there would exclude those that it lacks.
+        # Every member joins by writing the view, so the view just read names all members. The
+        # watch may lag behind: a list of members taken from the watched member keys would
+        # exclude the members whose keys have not arrived yet.
         members = dict(view.members) if view else {}
         members[membership.node] = membership.incarnation
         new_view = self._next_view(members)
@@ -153,7 +160,7 @@
         }
         transaction = Transaction(
             {
-                MEMBERS_PREFIX + membership.node: predecessor.version,
+                MEMBERS_PREFIX + membership.node: previous.version,
                 VIEW_KEY: view.version if view else 0,
             },
             [
@@ -168,17 +175,17 @@
                 case Committed():
                     self._replica.put(MEMBERS_PREFIX + membership.node, member, outcome.revision)
                     self._replica.put(VIEW_KEY, new_view.encode(), outcome.revision)
-                    self._on_committed(new_view, predecessor, sent_at)
+                    self._on_committed(new_view, previous, sent_at)
                 case Conflict():
-                    # With a way out if reading fails: else joining would never go on after
-                    # a conflict whose keys the store then refuses to read.
+                    # If the read fails, joining is retried later. Without this second callback,
+                    # joining never continued when the store refused the read after a conflict.
                     self._reader.read_keys(outcome.failed, self._read_view, self._retry_later)
                 case _:
                     self._retry_later()
 
         self._client.submit(transaction, Priority.LEASE, on_outcome)
 
-    def _on_committed(self, view: View, predecessor: Predecessor, sent_at: float) -> None:
+    def _on_committed(self, view: View, previous: PreviousMemberKey, sent_at: float) -> None:
         membership = self._membership
         membership.on_joined()
         membership.on_view_confirmed(sent_at)
@@ -190,5 +197,5 @@
             view.leader,
             sorted(view.members),
         )
-        if predecessor.lease is not None and predecessor.lease != membership.lease:
-            self._client.submit(RevokeLease(predecessor.lease), Priority.VIEW, lambda _: None)
+        if previous.lease is not None and previous.lease != membership.lease:
+            self._client.submit(RevokeLease(previous.lease), Priority.VIEW, lambda _: None)
