--- a/appledock/core/membership/format_upgrade.py
+++ b/appledock/core/membership/format_upgrade.py
@@ -1,4 +1,4 @@
-"""Brings a newer format of records into use, once no controller can come back without it."""
+"""Raises the record format in use once every node of the cluster supports the newer one."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 log = logging.getLogger(__name__)
 
 NEWEST_FORMAT = 2
-"""Of records that this version reads and writes without capacity shares. 1: as the versions
-before dependencies wrote them, which refuse a description with a field unknown to them. 2:
-descriptions may name needed jobs, and open attempts stand in groups
-(`core/records/attempt_groups`)."""
+"""Newest record format that this version reads and writes if capacity shares are disabled.
+
+Format 1 is that of the versions without job dependencies, which reject a job description with an
+unknown field. In format 2, descriptions may name the jobs that they depend on, and open attempts
+are stored in groups (`core/records/attempt_groups`)."""
 
 
 class RecordFormatUpgrade:
-    """On the leader: records in the store, once and for all, that a newer format is in use."""
+    """On the leader, records in the store that a newer format is in use; this is irreversible."""
 
     def __init__(
         self,
@@ -35,7 +36,10 @@
         membership: Membership,
         newest_format: int,
     ) -> None:
-        """`newest_format` is the newest one that this controller reads."""
+        """Start without a write in flight.
+
+        `newest_format` is the newest record format that this controller supports.
+        """
         self._runtime = runtime
         self._client = client
         self._replica = replica
@@ -47,30 +51,33 @@
         self._next_attempt_at = 0.0
 
     def tick(self) -> None:
-        """Record the newest format, if every node of the cluster reads it.
+        """Record the newest format if every node of the cluster supports it.
 
-        A node that is down may come back with an older version, and there is no way back. So
-        every node of the cluster, not just every member of the view, must have been seen with
-        the format at the same moment.
+        A node that is down may restart with an older version, and the format cannot be lowered
+        again. So every node of the cluster, not only every member of the view, must support the
+        format at the same moment.
         """
         if (
             self._replica.record_format.value >= self._newest_format
             or self._is_recording
             or self._runtime.now < self._next_attempt_at
             or not self._membership.is_leader()
-            or not self._do_all_nodes_read_it()
+            or not self._do_all_nodes_support_it()
         ):
             return
-        self._record()
+        self._record_newest_format()
 
-    def _do_all_nodes_read_it(self) -> bool:
+    def _do_all_nodes_support_it(self) -> bool:
         members = self._replica.members
         return len(members) >= self._cluster_size and all(
             member.record_format >= self._newest_format for member in members.values()
         )
 
-    def _record(self) -> None:
-        """Write the format, conditional on every member's key: together they prove the moment."""
+    def _record_newest_format(self) -> None:
+        """Write the format, conditional on the version of every member key.
+
+        If the write is committed, all nodes supported the format at the same moment.
+        """
         self._is_recording = True
         replica = self._replica
         record = {"format": self._newest_format}
--- a/appledock/core/membership/next_view.py
+++ b/appledock/core/membership/next_view.py
@@ -1,4 +1,4 @@
-"""Computes the view that follows a view: pure functions on values."""
+"""Computation of the next view from the current one: pure functions on values."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     is_machine_deleted: Callable[[str], bool],
     max_bytes: int,
 ) -> View:
-    """The view that `node` writes after `old`, with these members (node -> incarnation).
+    """Return the view that `node` writes after `old`, with these members (node -> incarnation).
 
     Its term is one higher. A machine for which `is_machine_deleted` returns true keeps no override;
     `max_bytes` is the largest size of a record that the store accepts.
@@ -31,14 +31,17 @@
         leader = node
     overrides = next_overrides(old, members, detached, view_requests, is_machine_deleted)
     view = View((old.term if old else 0) + 1, members, leader, overrides, detached)
-    _drop_overrides_beyond(view, max_bytes)
+    _limit_overrides(view, max_bytes)
     return view
 
 
 def next_leader(
     old: View | None, node: str, members: dict[str, str], view_requests: ViewChangeRequests
 ) -> str:
-    """The present leader if it is a member under the same incarnation, or else `node`."""
+    """Return the next leader: the current one if its incarnation is still a member, or `node`.
+
+    A request for the leadership makes `node` the leader in any case.
+    """
     if (
         old is None
         or old.leader not in members
@@ -52,9 +55,10 @@
 def next_detached(
     old: View | None, node: str, members: dict[str, str], view_requests: ViewChangeRequests
 ) -> dict[str, str]:
-    """Members (node -> incarnation) that shall own nothing.
+    """Return the members (node -> incarnation) that own nothing.
 
-    None if that would be all of them: then it is the workers that are cut off.
+    The result is empty if it would contain all members: then the workers are cut off, and not
+    the members.
     """
     before = old.detached if old else {}
     detached = {
@@ -79,10 +83,10 @@
     view_requests: ViewChangeRequests,
     is_machine_deleted: Callable[[str], bool],
 ) -> dict[str, ControllerInstance]:
-    """Worker -> an owner other than the hash gives.
+    """Return the overrides: worker -> its owner in place of the one derived by hashing.
 
-    An override ends with its owner's incarnation, with the owner's detachment, and with the
-    machine.
+    An override is removed when its owner leaves, restarts or is detached, or when the machine
+    is deleted.
     """
     overrides = {
         worker: owner
@@ -97,11 +101,11 @@
     return overrides
 
 
-def _drop_overrides_beyond(view: View, max_bytes: int) -> None:
-    """Drop overrides until the record fits, a tenth of them at a time.
+def _limit_overrides(view: View, max_bytes: int) -> None:
+    """Drop overrides, a tenth of them at a time, until the record fits into `max_bytes`.
 
-    A worker without its override is redirected once more; a view that the store rejects as too
-    large would leave the cluster without one.
+    A worker that loses its override is redirected again. The store would reject a larger view,
+    and the cluster would be left without a new view.
     """
     requested = len(view.overrides)
     while view.overrides and len(wire.encode(view.encode())) > max_bytes:
--- a/appledock/core/membership/view_changes.py
+++ b/appledock/core/membership/view_changes.py
@@ -1,4 +1,4 @@
-"""Changes the view when its members or its owners have to change."""
+"""Writes a new view when members or owners have to change."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class ViewChanger:
-    """Writes a new view by one compare-and-swap; whoever's is committed first wins.
+    """Writes a new view by compare-and-swap; the first one committed wins.
 
-    Members follow the member keys, which the store deletes when their leases expire. So a member
-    has left the view only after its lease, when it has no authority any more: it counts its lease
-    from the moment of sending, which is earlier than the store's own count. Besides, pending
-    requests are carried out: those to detach a member at once, the others no sooner than
-    `TERM_BUMP_INTERVAL_MIN_S` after the last view.
+    The members of the view follow the member keys, which the store deletes when their leases
+    expire. So a member is removed from the view only when it has no authority any more: it
+    counts its lease from the sending of the request, which is earlier than the start of the lease
+    at the store. A new view also carries out the pending requests: a request to detach a member
+    at once, the others no earlier than `TERM_BUMP_INTERVAL_MIN_S` after the last view.
     """
 
     def __init__(  # noqa: PLR0913 -- it connects the store, the lease and the failure detector
@@ -43,7 +43,10 @@
         view_requests: ViewChangeRequests,
         next_view: Callable[[dict[str, str]], View],
     ) -> None:
-        """`next_view` computes the view with the members (node -> incarnation) given to it."""
+        """Start without a change pending.
+
+        `next_view` computes the next view from its members (node -> incarnation).
+        """
         self._runtime = runtime
         self._client = client
         self._replica = replica
@@ -53,46 +56,46 @@
         self._view_requests = view_requests
         self._next_view = next_view
         self._change_at = 0.0
-        """when the change that is needed is written; 0: none is needed"""
-        self._is_changing = False
-        self._leader_alive_at = 0.0
-        """when the leader was last seen to work"""
+        """when to write the view if a change is needed; 0: no change is needed"""
+        self._is_writing = False
+        self._leader_healthy_at = 0.0
+        """last time at which the leader had not failed"""
         self._view_known_at = constants.DISTANT_PAST
         """when the newest view became known"""
 
     def on_view(self) -> None:
-        """A newer view is known: what it does not bring is requested again."""
-        self._view_known_at = self._leader_alive_at = self._runtime.now
+        """Clear the requests: those that are still needed under the new view are filed again."""
+        self._view_known_at = self._leader_healthy_at = self._runtime.now
         self._view_requests.clear()
 
     def tick(self) -> None:
-        """Write a new view if one is needed, and this controller's turn has come."""
+        """Write a new view if one is needed and the delay of this controller has passed."""
         view, now = self._membership.view, self._runtime.now
         if (
             view is None
-            or self._is_changing
+            or self._is_writing
             or not self._membership.is_member()
             or not self._replica.has_reached_view()
             or self._membership.node not in self._replica.members
         ):
             return
         members = {node: member.incarnation for node, member in self._replica.members.items()}
-        self._check_leader(view)
+        self._update_leadership_request(view)
         if not self._is_change_needed(view, members):
             self._change_at = 0.0
             return
         if not self._change_at:
             self._change_at = now + self._delay_s(view)
         if now >= self._change_at:
-            self._change(members)
+            self._write_view(members)
 
-    def _check_leader(self, view: View) -> None:
-        """Ask for the leadership once the leader has failed for `LEADER_FAILURE_TIMEOUT_S`."""
+    def _update_leadership_request(self, view: View) -> None:
+        """Request the leadership once the leader has failed for `LEADER_FAILURE_TIMEOUT_S`."""
         now = self._runtime.now
         if view.leader == self._membership.node or not self._heartbeats.has_leader_failed():
-            self._leader_alive_at = now
+            self._leader_healthy_at = now
         self._view_requests.take_leadership = (
-            now - self._leader_alive_at > constants.LEADER_FAILURE_TIMEOUT_S
+            now - self._leader_healthy_at > constants.LEADER_FAILURE_TIMEOUT_S
         )
 
     def _is_change_needed(self, view: View, members: dict[str, str]) -> bool:
@@ -111,13 +114,13 @@
         )
 
     def _delay_s(self, view: View) -> float:
-        """None for the leader; a random one for the others, which would conflict otherwise."""
+        """Return 0 for the leader and a random delay for the others, to avoid conflicts."""
         if view.leader == self._membership.node:
             return 0.0
         return constants.VIEW_JITTER_S * (0.3 + self._runtime.rng.random())
 
-    def _change(self, members: dict[str, str]) -> None:
-        self._is_changing = True
+    def _write_view(self, members: dict[str, str]) -> None:
+        self._is_writing = True
         view = self._next_view(members)
         sent_at = self._runtime.now
         transaction = Transaction(
@@ -125,11 +128,12 @@
         )
 
         def on_outcome(outcome: StoreOutcome) -> None:
-            self._is_changing = False
+            self._is_writing = False
             self._change_at = 0.0
             match outcome:
                 case Committed():
-                    # Committed against the version before: none newer existed when it was sent.
+                    # The commit was conditional on the previous version, so no newer view
+                    # existed when the transaction was sent.
                     self._membership.on_view_confirmed(sent_at)
                     self._replica.put(VIEW_KEY, view.encode(), outcome.revision)
                     log.info(
--- a/appledock/core/membership/view_requests.py
+++ b/appledock/core/membership/view_requests.py
@@ -1,4 +1,4 @@
-"""Requests for a change of the view, collected until the next view is written."""
+"""Requests for a change of the view, collected until a new view is known."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 @dataclass(slots=True)
 class ViewChangeRequests:
-    """What the next view shall change, besides following the members that hold a lease.
+    """Changes requested for the next view, besides those of its members that follow the leases.
 
-    Any part of the controller may file a request; only the view changer carries requests out.
-    They hold for one view: whatever is still needed under a newer view is requested again.
+    Any part of the controller may file a request; only `ViewChanger` carries requests out. They
+    apply to one view: a change that is still needed under a newer view has to be requested again.
     """
 
     new_term: bool = False
-    """a higher term (fencing token) is needed, with members and owners as they are"""
+    """a higher term (fencing token) is needed, even if members and owners stay the same"""
     take_leadership: bool = False
-    """the leader has failed; whoever commits the next view leads"""
+    """the leader has failed; this controller becomes leader if it commits the next view"""
     overrides: dict[str, str] = field(default_factory=dict)
-    """worker -> node that shall own it in place of the one that the hash gives"""
+    """worker -> node that becomes its owner in place of the one derived by hashing"""
     members_to_detach: set[str] = field(default_factory=set)
-    """members that their workers cannot reach, though they hold a lease"""
+    """members that their workers cannot reach, although they hold a lease"""
     attach_self: bool = False
-    """workers answer this controller again, so it may own workers and jobs"""
+    """workers answer this detached controller again, so it may own workers and jobs"""
 
     def clear(self) -> None:
-        """Drop all requests: a newer view is known."""
+        """Drop all requests, because a newer view is known."""
         self.new_term = self.take_leadership = self.attach_self = False
         self.overrides.clear()
         self.members_to_detach.clear()
