--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -1,8 +1,9 @@
-"""Heartbeats between the controllers: which of them are served by the store, and reachable.
+"""Heartbeats between the controllers: which controllers are reachable and served by the store.
 
-An outage of the key-value store cannot be told from a refusal that only this controller meets,
-unless the others say how they fare. This is a failure detector and no more: it decides who is
-asked, and who asks for a change of the view; rights come from view and lease alone.
+A controller that the key-value store does not serve cannot know by itself whether the others
+are affected as well, so each controller sends the others the age of its last answer from the
+store. The heartbeats serve only as a failure detector: they decide which controller is called
+and which controller requests a change of the view. Rights follow from view and lease alone.
 """
 
 from __future__ import annotations
@@ -21,28 +22,28 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalStatus:
-    """What other parts of this controller contribute to its heartbeats."""
+    """The part of a heartbeat that other parts of this controller provide."""
 
     reporting_fraction: float
-    """part of its workers that lately reported to it"""
+    """fraction of the live workers of this controller that recently sent their heartbeats to it"""
     owner_timeouts: dict[str, int]
-    """owner -> workers that came here after waiting for that owner's answer in vain"""
+    """owner -> number of its workers that reported to this controller after the owner timed out"""
     is_service_rate_limited: bool
-    """do services wait here for writes to the store?"""
+    """whether steps of services wait here for the write rate of the store"""
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedHeartbeat:
-    """The last heartbeat of a peer; moments by the local clock."""
+    """The last heartbeat of a peer; times are those of the local clock."""
 
     received_at: float
-    served_at: float
-    """when the store last served the peer"""
+    store_answered_at: float
+    """when the store last answered the peer"""
     heartbeat: ControllerHeartbeat
 
 
 class Heartbeats:
-    """Sends this controller's heartbeats, and judges the peers by theirs."""
+    """Sends the heartbeats of this controller, and detects failures by those of the peers."""
 
     def __init__(
         self,
@@ -52,6 +53,7 @@
         membership: Membership,
         local_status: Callable[[], LocalStatus],
     ) -> None:
+        """Start without a heartbeat of any peer; `local_status` returns the current status."""
         self._runtime = runtime
         self._client = client
         self._replica = replica
@@ -59,24 +61,27 @@
         self._local_status = local_status
         self._peers = [peer.name for peer in runtime.settings.peers]
         self.last_heartbeats: dict[str, ReceivedHeartbeat] = {}
-        """peer -> its last heartbeat"""
+        """peer -> the last heartbeat received from it"""
         self._next_heartbeat_at = 0.0
-        self._not_isolated_at = 0.0
-        """when the store last served this controller, or was known to serve nobody"""
+        self._last_not_isolated_at = 0.0
+        """last time at which this controller was not behind its peers (`_is_behind_peers`)"""
 
     # --- sending and receiving --------------------------------------------
     def tick(self) -> None:
-        """Send a heartbeat if one is due, and tell the rate limiter what the peers write."""
+        """Send a heartbeat if one is due, and pass the peers' write rate to the rate limiter."""
         now = self._runtime.now
-        if not self._is_served_less_than_peers():
-            self._not_isolated_at = now
+        if not self._is_behind_peers():
+            self._last_not_isolated_at = now
         if now < self._next_heartbeat_at:
             return
         self._next_heartbeat_at = now + constants.CONTROLLER_HEARTBEAT_INTERVAL_S
         self._send()
         if self.last_heartbeats:
             self._client.limiter.on_peer_write_rate(
-                sum(received.heartbeat.write_rate for received in self._from_reachable_peers()),
+                sum(
+                    received.heartbeat.write_rate
+                    for received in self._heartbeats_of_reachable_peers()
+                ),
                 self._runtime.settings.cluster.state.write_rps * constants.STORE_RATE_BUDGET_SHARE,
             )
 
@@ -94,15 +99,18 @@
         self._runtime.emit(PeerSend(heartbeat))
 
     def on_peer_message(self, message: ControllerHeartbeat) -> None:
-        """A peer's heartbeat has arrived."""
+        """Store the heartbeat that a peer sent."""
         now = self._runtime.now
         self.last_heartbeats[message.node] = ReceivedHeartbeat(
             now, now - message.store_answer_age_s, message
         )
 
-    # --- a single controller ----------------------------------------------
+    # --- state of one controller ------------------------------------------
     def is_reachable(self, node: str) -> bool:
-        """Did the last heartbeat of the node arrive within `CONTROLLER_HEARTBEAT_TIMEOUT_S`?"""
+        """Return whether a heartbeat arrived within `CONTROLLER_HEARTBEAT_TIMEOUT_S`.
+
+        The node of this controller itself is always reachable.
+        """
         if node == self._runtime.node:
             return True
         received = self.last_heartbeats.get(node)
@@ -112,75 +120,79 @@
         )
 
     def is_served_by_store(self, node: str) -> bool:
-        """Is the node reachable, and lately served by the store, as far as it says?"""
+        """Return whether the node is reachable and reports recent answers from the store."""
         if node == self._runtime.node:
             return self._membership.can_act()
         return self.is_reachable(node) and (
-            self._runtime.now - self.last_heartbeats[node].served_at
+            self._runtime.now - self.last_heartbeats[node].store_answered_at
             < constants.STORE_UNREACHABLE_TIMEOUT_S
         )
 
     def receives_worker_reports(self, node: str) -> bool:
-        """Is the node reachable, and do most of its workers reach it, as far as it says?"""
+        """Return whether the node is reachable and reports that most of its workers reach it."""
         received = self.last_heartbeats.get(node)
         fraction = received.heartbeat.reporting_fraction if received is not None else 1.0
         return self.is_reachable(node) and fraction >= constants.REPORTING_SHARE_MIN
 
-    # --- all peers --------------------------------------------------------
-    def _from_reachable_peers(self) -> Iterator[ReceivedHeartbeat]:
+    # --- summaries over the peers -----------------------------------------
+    def _heartbeats_of_reachable_peers(self) -> Iterator[ReceivedHeartbeat]:
         return (
             received for peer, received in self.last_heartbeats.items() if self.is_reachable(peer)
         )
 
     def is_any_peer_rate_limited(self) -> bool:
-        """Do services of another controller wait for the writes that all share?"""
+        """Return whether services of a reachable peer wait for the shared write rate."""
         return any(
-            received.heartbeat.is_service_rate_limited for received in self._from_reachable_peers()
+            received.heartbeat.is_service_rate_limited
+            for received in self._heartbeats_of_reachable_peers()
         )
 
     def owner_timeouts_at_peers(self, owner: str) -> int:
-        """Workers that came to a reachable peer after waiting for the owner in vain."""
+        """Return how many workers reported to a reachable peer after the owner timed out."""
         return sum(
             received.heartbeat.owner_timeouts.get(owner, 0)
-            for received in self._from_reachable_peers()
+            for received in self._heartbeats_of_reachable_peers()
         )
 
     def peer_with_most_owner_timeouts(self, owner: str) -> str | None:
-        """The reachable peer to which most of those workers came; None if none did."""
+        """Return the reachable peer that counts the most such workers; None if none does."""
         counts = {
             received.heartbeat.node: received.heartbeat.owner_timeouts.get(owner, 0)
-            for received in self._from_reachable_peers()
+            for received in self._heartbeats_of_reachable_peers()
         }
         peer = max(sorted(counts), key=counts.__getitem__, default=None)
         return peer if peer is not None and counts[peer] else None
 
     # --- failures ---------------------------------------------------------
-    def _is_served_less_than_peers(self) -> bool:
-        """Was the store's last answer to this controller well before its last one to a peer?
+    def _is_behind_peers(self) -> bool:
+        """Return whether the store answered a peer well after its last answer to this controller.
 
-        In an outage, the peers were last served at about the same time. True as well if no peer
-        is reachable.
+        In an outage of the store, all controllers received their last answers at about the same
+        time. Also true if no peer is reachable.
         """
-        served_at = self._membership.store_answered_at
-        if not self._peers or self._runtime.now - served_at < constants.ISOLATION_TIMEOUT_S:
+        answered_at = self._membership.store_answered_at
+        if not self._peers or self._runtime.now - answered_at < constants.ISOLATION_TIMEOUT_S:
             return False
         reachable = [peer for peer in self._peers if self.is_reachable(peer)]
         return not reachable or any(
-            self.last_heartbeats[peer].served_at - served_at > constants.ISOLATION_PEER_AHEAD_S
+            self.last_heartbeats[peer].store_answered_at - answered_at
+            > constants.ISOLATION_PEER_AHEAD_S
             for peer in reachable
         )
 
     def is_isolated(self) -> bool:
-        """Is this controller the only one that the store does not serve, for some time now?
+        """Return whether the store has stopped serving this controller but not its peers.
 
-        True as well if it reaches no peer: then the others probably go on without it.
+        This must have lasted for `ISOLATION_CONFIRMATION_S`. Also true if no peer is reachable:
+        then the others probably continue without this controller.
         """
-        return self._runtime.now - self._not_isolated_at > constants.ISOLATION_CONFIRMATION_S
+        return self._runtime.now - self._last_not_isolated_at > constants.ISOLATION_CONFIRMATION_S
 
     def has_leader_failed(self) -> bool:
-        """Does the leader, and not the network between all controllers, fail?
+        """Return whether the leader has failed, and not the network between all controllers.
 
-        It says itself that the store does not serve it, or it alone is unreachable.
+        Either the leader is reachable and reports that the store does not serve it, or the leader
+        is unreachable while another member is reachable and served by the store.
         """
         view = self._replica.view
         if view is None or self.is_served_by_store(view.leader):
--- a/appledock/core/membership/lease_renewal.py
+++ b/appledock/core/membership/lease_renewal.py
@@ -1,4 +1,4 @@
-"""Keeps the lease alive and the view confirmed while this controller is joined."""
+"""Renews the lease and confirms the view while this controller is joined."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class LeaseRenewal:
-    """Renews the lease and reads the view; at most one call of each kind is in flight."""
+    """Renews the lease and confirms the view; at most one call of each kind is in flight."""
 
     def __init__(
         self, runtime: Runtime, client: StoreClient, replica: Replica, membership: Membership
@@ -31,20 +31,20 @@
         self._membership = membership
         self._next_renewal_at = 0.0
         self._is_renewing = False
-        self._is_confirming = False
+        self._is_confirming_view = False
 
     def tick(self) -> None:
-        """Renew the lease and confirm the view, if it is time to."""
+        """Renew the lease and confirm the view if a renewal is due."""
         if self._runtime.now >= self._next_renewal_at and not self._is_renewing:
             self._renew()
-            self.confirm()
+            self.confirm_view()
 
     def on_joined(self) -> None:
-        """The lease is new: its first renewal is due in half the usual interval."""
+        """Schedule the first renewal of a new lease after half the usual interval."""
         self._next_renewal_at = self._runtime.now + constants.LEASE_RENEWAL_INTERVAL_S / 2
 
     def _renew(self) -> None:
-        """Renew the lease, which counts from now on if that succeeds, not from the answer."""
+        """Renew the lease; a renewed lease counts from the sending of the request."""
         self._is_renewing = True
         sent_at = self._runtime.now
         lease = self._membership.lease
@@ -52,7 +52,7 @@
         def on_outcome(outcome: StoreOutcome) -> None:
             self._is_renewing = False
             if lease != self._membership.lease:
-                return  # of an earlier incarnation
+                return  # answers the renewal of an earlier incarnation's lease
             match outcome:
                 case Acknowledged():
                     self._membership.on_lease_renewed(sent_at)
@@ -60,7 +60,7 @@
                         self._runtime.now, sent_at + constants.LEASE_RENEWAL_INTERVAL_S
                     )
                 case Missing():
-                    self._membership.on_lost("lease expired")
+                    self._membership.on_membership_lost("lease expired")
                 case _:
                     self._next_renewal_at = (
                         self._runtime.now
@@ -68,23 +68,23 @@
                         * (0.75 + self._runtime.rng.random() / 2)
                     )
 
-        assert lease is not None  # joined, so there is one
+        assert lease is not None  # a joined controller has a lease
         self._client.submit(RenewLease(lease), Priority.LEASE, on_outcome)
 
-    def confirm(self) -> None:
-        """Read the view: a linearizable read proves that none newer existed when it was sent.
+    def confirm_view(self) -> None:
+        """Read the view: a linearizable read proves that no newer view existed when it was sent.
 
-        Counts for authority only if it returns the very view that this controller goes by, and
-        that view names its present incarnation.
+        The read extends the authority of this controller only if it returns the view that the
+        controller knows, and if that view contains the controller's current incarnation.
         """
-        if self._is_confirming or not self._membership.is_joined():
+        if self._is_confirming_view or not self._membership.is_joined():
             return
-        self._is_confirming = True
+        self._is_confirming_view = True
         sent_at = self._runtime.now
         incarnation = self._membership.incarnation
 
         def on_outcome(outcome: StoreOutcome) -> None:
-            self._is_confirming = False
+            self._is_confirming_view = False
             membership = self._membership
             if not isinstance(outcome, Row) or incarnation != membership.incarnation:
                 return
@@ -94,6 +94,6 @@
             if membership.is_member():
                 membership.on_view_confirmed(sent_at)
             else:
-                membership.on_lost("excluded from the view")
+                membership.on_membership_lost("excluded from the view")
 
         self._client.submit(GetKey(VIEW_KEY), Priority.LEASE, on_outcome)
--- a/appledock/core/membership/membership.py
+++ b/appledock/core/membership/membership.py
@@ -1,20 +1,21 @@
-"""Lease, view and leadership of this controller: the questions that decide whether it may act.
-
-The safety argument (`docs/design.md`) rests on four invariants, each kept where it is named:
-
-1. *A lease is counted from the moment of sending.* `lease_renewed_at` is the moment at which the
-   last successful grant or renewal was **sent**. The store starts the lease no earlier, so this
-   controller's own count ends before the store can delete its member key (`LeaseRenewal`,
-   `Joining`).
-2. *A view is confirmed by a linearizable read.* `view_confirmed_at` is the moment at which the
-   last read (or write) was sent that proved that no newer view existed (`LeaseRenewal.confirm`,
-   `ViewChanger`). So a member's authority under an older view ends within one lease of a newer
-   one, even if it never learns of it.
-3. *Clocks drift.* Authority lasts one lease less `CLOCK_DRIFT` of it and less
-   `AUTHORITY_MARGIN_S` (`authority_duration_s`).
+"""Lease, view and leadership of this controller, which decide whether it may act.
+
+The safety argument (`docs/design.md`) rests on four invariants. The names in parentheses show
+where each of them is maintained:
+
+1. *The lease counts from the sending of the request.* `lease_renewed_at` is the moment at which
+   the last successful grant or renewal was **sent**. The store starts the lease no earlier, so
+   the lease ends for this controller before the store can delete its member key
+   (`LeaseRenewal`, `Joining`).
+2. *The view is confirmed by a linearizable read.* `view_confirmed_at` is the moment at which the
+   last read or write was sent that proved that no newer view existed
+   (`LeaseRenewal.confirm_view`, `ViewChanger`). So the authority of a member under an old view
+   ends within one lease after a newer view was committed, even if the member never receives it.
+3. *Clocks drift.* Authority lasts for the duration of the lease, reduced by the fraction
+   `CLOCK_DRIFT` and by `AUTHORITY_MARGIN_S` (`authority_duration_s`).
 4. *Writes are fenced.* Every scheduling write is conditional on the versions of the view and of
-   this controller's member key (`fencing_conditions`): without lease, or under another view, it
-   fails by itself, however late it arrives.
+   this controller's member key (`fencing_conditions`): after the lease was lost or the view has
+   changed, the write fails, however late it arrives.
 """
 
 from __future__ import annotations
@@ -32,18 +33,18 @@
 
 
 class MembershipState(enum.Enum):
-    """Where this controller stands in joining; `Joining` and `LeaseRenewal` change it."""
+    """Progress of this controller in joining the cluster, set by `Joining` and `LeaseRenewal`."""
 
     NOT_JOINED = enum.auto()
-    """no lease; joining begins when it is due"""
+    """no lease; the next attempt to join starts when it is due"""
     JOINING = enum.auto()
-    """a lease is asked for, or held; member key and view are not committed yet"""
+    """a lease is requested or held; member key and view are not committed yet"""
     JOINED = enum.auto()
-    """member key and view were committed under the present incarnation"""
+    """member key and view were committed under the current incarnation"""
 
 
 class Membership:
-    """This controller's lease and its place in the view; sends nothing itself."""
+    """State of this controller's lease and of its place in the view; sends no calls itself."""
 
     def __init__(self, runtime: Runtime, replica: Replica) -> None:
         self._runtime = runtime
@@ -52,39 +53,39 @@
         self.authority_duration_s = (
             runtime.lease_ttl_s * (1 - constants.CLOCK_DRIFT) - constants.AUTHORITY_MARGIN_S
         )
-        """how long authority lasts by the local clock, from the moment of sending"""
+        """s; how long authority lasts by the local clock after a request was sent"""
         self.state = MembershipState.NOT_JOINED
         self.incarnation = ""
-        """as in the member key and the view; a new one each time this controller joins"""
-        self._joins_begun = 0
+        """the value in the member key and the view; each attempt to join uses a new one"""
+        self._join_attempts = 0
         self.lease: int | None = None
         """id of the lease that the member key is attached to"""
         self.lease_renewed_at = constants.DISTANT_PAST
         """when the last successful grant or renewal of the lease was sent"""
         self.view_confirmed_at = constants.DISTANT_PAST
-        """when the last call was sent that proved the known view to be the newest one"""
+        """when the last call was sent that proved the known view to be the newest"""
         self.store_answered_at = constants.DISTANT_PAST
-        """when the store last answered a renewal or the joining transaction with success"""
+        """when the store last answered that a renewal or the joining transaction succeeded"""
         self.can_act_since = constants.DISTANT_PAST
-        """when `can_act` last said no"""
+        """when `can_act` last returned false"""
 
-    # --- questions --------------------------------------------------------
+    # --- queries ----------------------------------------------------------
     @property
     def view(self) -> View | None:
-        """The newest view known."""
+        """The newest view known, None before the first."""
         return self._replica.view
 
     @property
     def term(self) -> int:
-        """Term of the newest view known, the fencing token of workers; 0 before the first."""
+        """Term of the newest view known, which is the workers' fencing token; 0 without a view."""
         return self.view.term if self.view else 0
 
     def is_joined(self) -> bool:
-        """Does this controller hold a lease and a member key, as far as it knows?"""
+        """Return whether this controller holds a lease and a member key, as far as it knows."""
         return self.state is MembershipState.JOINED
 
     def is_member(self) -> bool:
-        """Does the newest view known name the present incarnation of this controller?"""
+        """Return whether the newest view known contains this controller's current incarnation."""
         return (
             self.is_joined()
             and self.view is not None
@@ -92,21 +93,21 @@
         )
 
     def has_authority(self) -> bool:
-        """May this controller answer workers and start work right now?
+        """Return whether this controller may answer workers and start work now.
 
-        Authority lasts one lease, less drift and margin, from the moment at which the older of
-        two calls was sent: the last renewal, and the last proof that the view is the newest one.
-        Thus it ends before the store can delete the member key, and within one lease of any
-        newer view.
+        Authority lasts for one lease, less drift and margin, after the older of two calls was
+        sent: the last successful renewal, and the last call that proved the view to be the
+        newest. So authority ends before the store can delete the member key, and within one lease
+        after a newer view was committed.
         """
         valid_from = min(self.lease_renewed_at, self.view_confirmed_at)
         return self.is_member() and self._runtime.now < valid_from + self.authority_duration_s
 
     def can_act(self) -> bool:
-        """Has it authority, and a replica that has every change up to the view?
+        """Return whether this controller has authority and its replica has reached the view.
 
-        The second part makes sure that it knows each step which an earlier owner may have
-        launched under an older view.
+        A replica that contains every change up to the view contains every step that an earlier
+        owner may have launched under an older view.
         """
         can_act = self.has_authority() and self._replica.has_reached_view()
         if not can_act:
@@ -114,19 +115,19 @@
         return can_act
 
     def is_leader(self) -> bool:
-        """Does the view name this controller as leader, and can it act?"""
+        """Return whether the view names this controller as leader and it can act."""
         return self.can_act() and self.view is not None and self.view.leader == self.node
 
     def is_detached(self) -> bool:
-        """Does the view say that this controller owns nothing, since workers cannot reach it?"""
+        """Return whether the view lists this controller as detached, so that it owns nothing."""
         return self.view is not None and self.node in self.view.detached
 
     def fencing_conditions(self) -> dict[str, int]:
-        """Versions (by key) that every scheduling write is conditional on.
+        """Return the key versions (key -> version) that every scheduling write is conditional on.
 
-        The member key disappears with the lease, and a renewal leaves its version alone; the view
-        has another version after each change. So the writes of a controller that has lost its
-        lease, or does not know the newest view, fail whenever they arrive.
+        The store deletes the member key when the lease ends, and a renewal does not change its
+        version; the view gets a new version with each change. So the writes of a controller that
+        has lost its lease, or does not know the newest view, fail whenever they arrive.
         """
         assert self.view is not None
         return {
@@ -136,39 +137,39 @@
 
     # --- transitions ------------------------------------------------------
     def begin_joining(self) -> None:
-        """A lease is about to be asked for, under a new incarnation."""
+        """Start an attempt to join under a new incarnation, before the lease is requested."""
         self.state = MembershipState.JOINING
-        self._joins_begun += 1
-        self.incarnation = f"{self._runtime.incarnation}.{self._joins_begun}"
+        self._join_attempts += 1
+        self.incarnation = f"{self._runtime.incarnation}.{self._join_attempts}"
 
     def on_lease_granted(self, lease: int, sent_at: float) -> None:
-        """The lease asked for at `sent_at` is granted."""
+        """Record that the lease requested at `sent_at` was granted."""
         self.lease = lease
         self.lease_renewed_at = sent_at
 
     def abandon_joining(self) -> None:
-        """The attempt to join failed."""
+        """Record that the attempt to join failed."""
         self.state = MembershipState.NOT_JOINED
 
     def on_joined(self) -> None:
-        """Member key and view are committed."""
+        """Record that member key and view were committed."""
         self.state = MembershipState.JOINED
         self.store_answered_at = self._runtime.now
 
     def on_lease_renewed(self, sent_at: float) -> None:
-        """The renewal sent at `sent_at` succeeded."""
+        """Record that the renewal sent at `sent_at` succeeded."""
         self.lease_renewed_at = sent_at
         self.store_answered_at = self._runtime.now
 
     def on_view_confirmed(self, sent_at: float) -> None:
-        """A call sent at `sent_at` proved the known view to be the newest one.
+        """Record that a call sent at `sent_at` proved the known view to be the newest.
 
-        Answers may arrive out of order: the later moment of sending counts.
+        Answers may arrive out of order, so the latest time of sending is kept.
         """
         self.view_confirmed_at = max(self.view_confirmed_at, sent_at)
 
-    def on_lost(self, reason: str) -> None:
-        """Lease or place in the view is lost: authority ends at once."""
+    def on_membership_lost(self, reason: str) -> None:
+        """Record that the lease or the place in the view was lost, which ends authority at once."""
         log.warning("membership lost: incarnation=%s reason=%s", self.incarnation, reason)
         self.state = MembershipState.NOT_JOINED
         self.lease = None
--- a/appledock/core/membership/protocol.py
+++ b/appledock/core/membership/protocol.py
@@ -1,4 +1,4 @@
-"""The membership protocol: joins, renews the lease, and changes the view as time passes."""
+"""The membership protocol: joins the cluster, renews the lease, and changes the view."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class MembershipProtocol:
-    """Drives joining, renewal, view changes and the upgrade of the record format.
+    """Runs joining, lease renewal, view changes and the upgrade of the record format.
 
-    What they keep true about this controller is asked of `Membership`.
+    The resulting state of this controller is kept in `Membership`.
     """
 
     def __init__(  # noqa: PLR0913 -- it builds the parts of the protocol
@@ -38,7 +38,11 @@
         is_machine_deleted: Callable[[str], bool],
         newest_format: int,
     ) -> None:
-        """`is_machine_deleted` says of a machine whether it was deleted."""
+        """Build the parts of the protocol.
+
+        `is_machine_deleted` returns whether a machine was deleted; `newest_format` is the newest
+        record format that this controller supports.
+        """
         self._client = client
         self._reader = reader
         self._membership = membership
@@ -70,7 +74,7 @@
         )
 
     def tick(self) -> None:
-        """Do what is due; nothing before the replica has been loaded."""
+        """Take the steps that are due; none before the replica has been loaded."""
         if not self._reader.loaded:
             return
         match self._membership.state:
@@ -85,18 +89,19 @@
                 self.format_upgrade.tick()
 
     def on_view(self) -> None:
-        """A newer view is known."""
+        """Handle a newer view."""
         self.view_changer.on_view()
         if self._membership.is_joined() and not self._membership.is_member():
-            # The member key may still exist; only a linearizable read decides.
+            # The view may be outdated, and the member key may still exist: only a linearizable
+            # read shows whether this controller has lost its membership.
             self.confirm_view()
 
     def confirm_view(self) -> None:
-        """Read the view, so that authority counts from now if it is still the newest one."""
-        self.renewal.confirm()
+        """Read the view; if it is still the newest, authority counts from now."""
+        self.renewal.confirm_view()
 
     def next_view(self, members: dict[str, str]) -> View:
-        """The view that follows the known one, with these members (node -> incarnation)."""
+        """Return the view that follows the known one, with these members (node -> incarnation)."""
         return next_view(
             self._membership.view,
             self._membership.node,
--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -24,6 +24,29 @@
     "test_budget_leaves_the_others_what_they_use_and_users_wait_for_nobody": (
         "test_rate_limiter_leaves_the_others_what_they_use_and_users_wait_for_nobody"
     ),
+    # membership
+    "test_a_heartbeat_carries_the_figures_of_the_other_parts": (
+        "test_a_heartbeat_carries_the_status_of_the_other_parts"
+    ),
+    "test_isolated_is_only_who_is_served_later_than_a_reachable_peer": (
+        "test_a_controller_is_isolated_only_if_the_store_still_serves_a_reachable_peer"
+    ),
+    "test_the_leader_has_failed_if_it_alone_is_silent_or_not_served": (
+        "test_the_leader_has_failed_if_it_alone_is_unreachable_or_not_served_by_the_store"
+    ),
+    "test_authority_ends_one_lease_after_sending_less_drift_and_margin": (
+        "test_authority_ends_one_lease_less_drift_and_margin_after_the_request_was_sent"
+    ),
+    "test_a_lost_lease_ends_authority_and_the_next_incarnation_is_a_new_one": (
+        "test_a_lost_lease_ends_authority_and_the_next_join_uses_a_new_incarnation"
+    ),
+    "test_a_detached_member_stays_so_until_it_restarts_or_attaches_itself": (
+        "test_a_member_stays_detached_until_it_restarts_or_attaches_itself"
+    ),
+    "test_never_are_all_members_detached": "test_all_members_are_never_detached_at_the_same_time",
+    "test_an_override_ends_with_its_owner_and_with_its_machine": (
+        "test_an_override_is_removed_with_its_owner_and_with_its_machine"
+    ),
 }
 """name of a test -> its later name"""
 
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -540,7 +540,7 @@
     def _heartbeat_fields(self, controller: Any, peer: str, heard: Any) -> dict[str, Any]:
         return {
             "node": peer,
-            "served_s": round(controller.runtime.now - heard.served_at, 3),
+            "served_s": round(controller.runtime.now - heard.store_answered_at, 3),
             "writes": heard.heartbeat.write_rate,
             "reporting": heard.heartbeat.reporting_fraction,
             "vain": heard.heartbeat.owner_timeouts,
--- a/tests/unit/membership/test_heartbeats.py
+++ b/tests/unit/membership/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Failure detection by heartbeats, built from its collaborators."""
+"""Failure detection by heartbeats, tested without a whole controller."""
 
 from __future__ import annotations
 
@@ -15,8 +15,11 @@
 from tests.test_requests import settings
 
 
-def parts() -> tuple[Heartbeats, Runtime]:
-    """n0 of three under the leader n1, last served by the store at 100 s, now at 100 s."""
+def build_heartbeats() -> tuple[Heartbeats, Runtime]:
+    """Return the heartbeats of n0, one of three members whose leader is n1.
+
+    It is 100 s, which is also when the store last answered n0.
+    """
     runtime, replica = Runtime(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1)), Replica()
     replica.view = View(1, {"n0": "x", "n1": "y", "n2": "z"}, "n1")
     membership = Membership(runtime, replica)
@@ -26,8 +29,8 @@
     return Heartbeats(runtime, client, replica, membership, lambda: status), runtime
 
 
-def test_a_heartbeat_carries_the_figures_of_the_other_parts() -> None:
-    heartbeats, runtime = parts()
+def test_a_heartbeat_carries_the_status_of_the_other_parts() -> None:
+    heartbeats, runtime = build_heartbeats()
     runtime.now += 1.5
     heartbeats.tick()
     heartbeats.tick()  # the next one is not due
@@ -38,19 +41,19 @@
     assert [effect.message for effect in sent] == [message]
 
 
-def test_isolated_is_only_who_is_served_later_than_a_reachable_peer() -> None:
-    for peers_served_s, isolated in ((0.1, True), (10.0, False)):  # False: an outage for all
-        heartbeats, runtime = parts()
+def test_a_controller_is_isolated_only_if_the_store_still_serves_a_reachable_peer() -> None:
+    for peer_answer_age_s, isolated in ((0.1, True), (10.0, False)):  # False: an outage for all
+        heartbeats, runtime = build_heartbeats()
         heartbeats.tick()
         runtime.now += 10.0
-        heartbeats.on_peer_message(ControllerHeartbeat("n1", peers_served_s))
+        heartbeats.on_peer_message(ControllerHeartbeat("n1", peer_answer_age_s))
         heartbeats.tick()
         assert heartbeats.is_isolated() == isolated
 
 
-def test_the_leader_has_failed_if_it_alone_is_silent_or_not_served() -> None:
-    heartbeats, _ = parts()
-    assert not heartbeats.has_leader_failed()  # no peer is reachable: the network fails
+def test_the_leader_has_failed_if_it_alone_is_unreachable_or_not_served_by_the_store() -> None:
+    heartbeats, _ = build_heartbeats()
+    assert not heartbeats.has_leader_failed()  # no peer is reachable: the network has failed
     heartbeats.on_peer_message(ControllerHeartbeat("n2", 0.1))
     assert heartbeats.has_leader_failed()
     heartbeats.on_peer_message(ControllerHeartbeat("n1", 0.1))
--- a/tests/unit/membership/test_membership.py
+++ b/tests/unit/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Lease and authority of one controller, without store and peers."""
+"""Lease and authority of one controller, tested without store and peers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 def joined() -> tuple[Membership, Runtime, Replica]:
-    """n0 of three, its lease asked for at 100 s, its view written at 103 s, now at 105 s."""
+    """Return the membership of n0, which has joined a cluster of three nodes.
+
+    Its lease was requested at 100 s, its view was written at 103 s, and it is 105 s.
+    """
     runtime, replica = Runtime(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1)), Replica()
     membership = Membership(runtime, replica)
     runtime.now = 105.0
@@ -37,15 +40,15 @@
     replica.advance(version)
 
 
-def test_authority_ends_one_lease_after_sending_less_drift_and_margin() -> None:
+def test_authority_ends_one_lease_less_drift_and_margin_after_the_request_was_sent() -> None:
     membership, runtime, _ = joined()
-    lasts_s = membership.authority_duration_s
-    assert lasts_s == pytest.approx(
+    duration_s = membership.authority_duration_s
+    assert duration_s == pytest.approx(
         runtime.lease_ttl_s * (1 - constants.CLOCK_DRIFT) - constants.AUTHORITY_MARGIN_S
     )
-    runtime.now = GRANT_SENT_AT + lasts_s - 0.001
+    runtime.now = GRANT_SENT_AT + duration_s - 0.001
     assert membership.has_authority() and membership.can_act() and membership.is_leader()
-    runtime.now = GRANT_SENT_AT + lasts_s
+    runtime.now = GRANT_SENT_AT + duration_s
     assert not membership.has_authority() and not membership.can_act()
     assert membership.can_act_since == runtime.now
 
@@ -57,7 +60,7 @@
     assert not membership.has_authority()
     membership.on_view_confirmed(110.0)
     assert membership.has_authority()
-    membership.on_view_confirmed(104.0)  # an earlier read, answered later
+    membership.on_view_confirmed(104.0)  # a read that was sent earlier and answered later
     assert membership.view_confirmed_at == 110.0
 
 
@@ -68,10 +71,10 @@
     assert not membership.has_authority()
 
 
-def test_a_lost_lease_ends_authority_and_the_next_incarnation_is_a_new_one() -> None:
+def test_a_lost_lease_ends_authority_and_the_next_join_uses_a_new_incarnation() -> None:
     membership, _, _ = joined()
     before = membership.incarnation
-    membership.on_lost("lease expired")
+    membership.on_membership_lost("lease expired")
     assert membership.state is MembershipState.NOT_JOINED and membership.lease is None
     assert not membership.has_authority()
     membership.begin_joining()
