--- a/appledock/core/workers/heartbeat_intake.py
+++ b/appledock/core/workers/heartbeat_intake.py
@@ -1,4 +1,4 @@
-"""Heartbeat intake: a heartbeat is taken in if it is newer than what is known."""
+"""Heartbeat intake: applies a heartbeat if it is newer than the known one."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class HeartbeatIntake:
-    """Keeps each worker's row up to date with its heartbeats."""
+    """Updates the workers' rows from their heartbeats."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
         self.dissemination = dissemination
 
     def ingest_and_broadcast(self, report: wire.Report) -> bool:
-        """Take in a heartbeat that came straight from its worker, and broadcast it to the peers.
+        """Apply a heartbeat received directly from its worker, and broadcast it to the peers.
 
-        False: it is no newer than the one known, and nothing was done.
+        Return False, without any effect, if the heartbeat is not newer than the known one.
         """
         if not self.ingest(report):
             return False
@@ -49,27 +49,28 @@
         return True
 
     def ingest(self, report: wire.Report, healthy_age_s: float | None = None) -> bool:
-        """Take the heartbeat in if it is newer than the one known.
+        """Apply the heartbeat if it is newer than the known one; return whether it was.
 
-        `healthy_age_s`: a peer forwarded it, and knows how long ago the worker was last healthy.
+        `healthy_age_s` is set if a peer forwarded the heartbeat: how long ago, in seconds, the
+        worker was last known to be healthy.
         """
         if report.worker in self.table.deleted_machines:
-            # Guards against copies of old heartbeats: each brought a machine back that
-            # nothing removes from the table, and the leader, most of whose machines seemed
-            # unresponsive then, never again deleted one that really was.
+            # Guards against copies of old heartbeats. Each of them brought a deleted machine
+            # back, which nothing removed from the table again. Most machines then seemed
+            # unresponsive, and the leader never again deleted one that really was.
             return False
         worker = self.table.get_or_create(report.worker)
         old, old_tasks = worker.report, worker.tasks
         number = HeartbeatNumber(report.session, report.seq)
-        # A number may be known without its heartbeat: a link that lost the heartbeat brought
-        # the message that later ones showed nothing new. Then the heartbeat itself is still new.
+        # The number may be known without the heartbeat itself: a link may lose a heartbeat and
+        # then deliver the message that nothing has changed since. The heartbeat is still new then.
         if number < worker.status.newest_number or (
             old is not None and number <= (old.session, old.seq)
         ):
             return False
         worker.status.newest_number = number
         if old is None:
-            worker.status.first_term = self.membership.term
+            worker.status.term_at_first_heartbeat = self.membership.term
         self._record_reachability(worker, report, healthy_age_s)
         self._replace_status(worker, report)
         self._record_task_times(worker)
@@ -84,17 +85,17 @@
     def _record_reachability(
         self, worker: Worker, report: wire.Report, healthy_age_s: float | None
     ) -> None:
-        """Record that the worker was received from, and whether answers reach it.
+        """Record that a heartbeat arrived, and whether the worker receives its answers.
 
-        `worker.report` is still the heartbeat before this one.
+        `worker.report` is still the previous heartbeat.
         """
         now, old, reachability = self.runtime.now, worker.report, worker.reachability
         if healthy_age_s is not None:
             reachability.last_healthy_at = max(reachability.last_healthy_at, now - healthy_age_s)
         else:
             reachability.last_direct_heartbeat_at = now
-            # A worker whose answers do not arrive still sends heartbeats, but only after
-            # each answer has timed out.
+            # A worker that does not receive its answers continues to send heartbeats, but each
+            # of them only after the answer to the previous one has timed out.
             if old is None or (
                 old.session == report.session
                 and now - reachability.last_heartbeat_at < constants.ANSWERED_HEARTBEAT_GAP_MAX_S
@@ -104,7 +105,7 @@
 
     @staticmethod
     def _replace_status(worker: Worker, report: wire.Report) -> None:
-        """Make this the newest heartbeat; what an ended agent epoch took along is dropped."""
+        """Store the newest heartbeat, and drop state that a new agent epoch invalidates."""
         status, old = worker.status, worker.status.report
         status.report = report
         status.tasks = {(task.task, task.attempt): task for task in report.tasks}
@@ -117,7 +118,7 @@
         )
 
     def _record_task_times(self, worker: Worker) -> None:
-        """Since when tasks run, which images they show as fetched, whether any task is left."""
+        """Record since when tasks run, which images are present, and whether the worker is idle."""
         now, jobs = self.runtime.now, self.replica.jobs
         was_running = worker.status.running_since
         running_since: dict[TaskKey, float] = {}
@@ -127,7 +128,7 @@
             is_done = entry.why == wire.DONE
             if is_running:
                 if key not in was_running:
-                    self._log_start(worker, entry)
+                    self._log_task_start(worker, entry)
                 running_since[key] = was_running.get(key, now)
             elif is_done and key in was_running:
                 completed = jobs.get(split_task_name(entry.task)[0])
@@ -144,7 +145,7 @@
         elif not worker.placement.idle_since:
             worker.placement.idle_since = now
 
-    def _log_start(self, worker: Worker, entry: wire.TaskReport) -> None:
+    def _log_task_start(self, worker: Worker, entry: wire.TaskReport) -> None:
         if self.replica.view is not None and self.table.owns(worker.id):
             log.debug("task started: task=%s machine=%s", entry.task, worker.id)
 
@@ -155,7 +156,7 @@
     new: wire.Report,
     tasks: dict[TaskKey, wire.TaskReport],
 ) -> bool:
-    """Does the heartbeat show anything new that decisions depend on?"""
+    """Return whether the heartbeat shows a change that decisions depend on."""
     return (
         old_tasks.keys() != tasks.keys()
         or old.session != new.session
--- a/appledock/core/workers/heartbeat_responder.py
+++ b/appledock/core/workers/heartbeat_responder.py
@@ -1,4 +1,4 @@
-"""Answers to workers' heartbeats: commands from the owner, else a redirect to it."""
+"""Answers to workers' heartbeats: commands from the owner, or a redirect to the owner."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class HeartbeatResponder:
-    """Answers heartbeats as far as this controller has the authority to.
+    """Answers heartbeats within the authority of this controller.
 
-    An answer renews the worker's lease, so it is given only under a valid lease of this
-    controller, for a worker that it owns, whose agent epoch has not expired. `renewable_until`
-    is raised with each answer: lease expiry counts from the last possible one.
+    An answer renews the worker's lease. So it is given only while this controller has authority,
+    and only to a worker that it owns and whose agent epoch has not expired. Each answer raises
+    `renewable_until`, since lease expiry counts from the last possible answer.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self.observers = observers
 
     def on_heartbeat(self, request_id: int, report: wire.Report) -> None:
-        """Take in a heartbeat that came straight from its worker, and answer it."""
+        """Apply a heartbeat received directly from its worker, and answer it."""
         if not self.membership.can_act():
             self._ingest_without_authority(report)
             self._refuse(request_id, "not entitled")
@@ -56,9 +56,10 @@
         self.runtime.emit(Response(request_id, 503, {"error": reason}))
 
     def _ingest_without_authority(self, report: wire.Report) -> None:
-        """Take in a heartbeat that may not be answered here.
+        """Apply a heartbeat that this controller must not answer.
 
-        It still shows which tasks are over, and which of cancelled jobs are not.
+        The heartbeat still shows which tasks have ended, and which tasks of cancelled jobs have
+        not.
         """
         worker = self.table.rows.get(report.worker)
         if worker is not None and worker.report is not None:
@@ -69,7 +70,7 @@
         worker = self.table.get_or_create(report.worker)
         worker.reachability.misdirected = NOT_MISDIRECTED
         if report.token > self.membership.term:
-            # A newer view exists; the worker would drop an answer under an older token.
+            # A newer view exists, and the worker would reject an answer with an older token.
             self.observers.on_view_confirmation_needed()
             self._refuse(request_id, "newer view")
             return
--- a/appledock/core/workers/observers.py
+++ b/appledock/core/workers/observers.py
@@ -1,4 +1,4 @@
-"""What the workers' parts publish to the parts above them."""
+"""Interfaces by which this package notifies the parts that depend on it."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class ReconcileTriggers(Protocol):
-    """The part of the reconcile queue that the workers' parts fill."""
+    """The part of the reconcile queue that this package fills."""
 
     changed_workers: set[str]
-    """workers whose heartbeat, agent epoch or existence has changed in this batch"""
+    """workers whose status, agent epoch or existence has changed in this batch"""
     placement_due: bool
-    """something has changed that may let a queued job start"""
+    """a change may allow a queued job to start"""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerObservers:
-    """Callbacks, each called at the moment at which it happens."""
+    """Callbacks, each called as soon as its event occurs."""
 
     on_capacity_changed: Callable[[str], None]
-    """the free capacity of this machine may have changed"""
+    """(machine): the free capacity of the machine may have changed"""
     has_capacity: Callable[[str], bool]
-    """is the machine in the capacity index?"""
+    """(machine): returns whether the machine is in the capacity index"""
     on_task_completed: Callable[[str, Job, float], None]
-    """a task of this job completed on this machine after so many seconds"""
+    """(machine, job, run time in s): a task of the job completed on the machine"""
     on_machine_deleted: Callable[[str], None]
-    """this machine no longer exists"""
+    """(machine): the machine no longer exists"""
     on_unanswerable_heartbeat: Callable[[wire.Report], None]
-    """a heartbeat came that this controller has no authority to answer"""
+    """a heartbeat arrived that this controller has no authority to answer"""
     on_view_confirmation_needed: Callable[[], None]
-    """a decision needs the newest view, which is to be read"""
+    """a decision depends on the newest view, so the view has to be read"""
--- a/appledock/core/workers/redirects.py
+++ b/appledock/core/workers/redirects.py
@@ -1,4 +1,4 @@
-"""Redirects: heartbeats of workers that another controller owns."""
+"""Redirects: answers to heartbeats of workers that another controller owns."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-_RECENT_S = 2.0
-"""s; a misdirected worker's heartbeats follow each other at shorter gaps"""
+_HEARTBEAT_GAP_MAX_S = 2.0
+"""s; the heartbeats of a misdirected worker arrive at shorter intervals"""
 
 
 class Redirects:
-    """Sends workers back to their owners, and takes over those that cannot reach theirs."""
+    """Redirects workers to their owners, and takes over workers that cannot reach their owner."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self.detached_members = detached_members
 
     def redirect(self, report: wire.Report) -> wire.Redirect:
-        """Take in a heartbeat whose worker another controller owns; say where it shall report."""
+        """Apply a heartbeat of a worker that another controller owns; return the redirect."""
         owner = self.replica.owner_of(report.worker)
         worker = self.table.get_or_create(report.worker)
         silent_s = self.runtime.now - worker.reachability.last_heartbeat_at
@@ -56,16 +56,17 @@
         return wire.Redirect(self._destination(owner, has_timed_out))
 
     def on_view(self) -> None:
-        """Workers may have other owners now: what was counted was for the former ones."""
+        """Reset the counts, which apply to the owners under the previous view."""
         for worker in self.table.rows.values():
             worker.reachability.misdirected = NOT_MISDIRECTED
 
     def _destination(self, owner: str, has_timed_out: bool) -> str | None:
-        """The node to report to; None: the worker tries the next one.
+        """Return the node that the worker is redirected to; None: it tries the next node itself.
 
-        Sent back to an owner that does not receive from its workers, it would time out there
-        again, perhaps until its lease expires. Without a node it comes to the next one a second
-        later, and from there back here: until then a new view should have moved it.
+        If the owner does not receive its workers' heartbeats, a worker redirected to it would
+        time out again, possibly until its lease expires. A worker without a node to report to
+        tries the next one after a second, and then returns here. Until then, a new view should
+        have assigned another owner to it.
         """
         if self.heartbeats.receives_worker_reports(owner):
             return owner
@@ -75,27 +76,31 @@
         return reached_peer or owner
 
     def _count_misdirected(self, worker: Worker, owner: str, has_timed_out: bool) -> None:
-        """Count the heartbeats of a worker that cannot reach its owner.
+        """Count the redirects of a worker, and request an override if it cannot reach its owner.
 
-        It must not be redirected until its lease expires: after some tries a new view overrides
-        its owner with this controller.
+        Otherwise the worker would be redirected until its lease expires. The override makes this
+        controller the owner of the worker.
         """
         now, reachability = self.runtime.now, worker.reachability
-        since_at, tries = reachability.misdirected
+        started_at, redirects = reachability.misdirected
+        # The count restarts if it is too old, or if this heartbeat arrived between one and two
+        # times `_HEARTBEAT_GAP_MAX_S` after its start.
         if (
-            now - since_at > 2 * constants.OWNER_OVERRIDE_DELAY_S
-            or reachability.last_heartbeat_at > since_at + _RECENT_S > now - _RECENT_S
+            now - started_at > 2 * constants.OWNER_OVERRIDE_DELAY_S
+            or reachability.last_heartbeat_at
+            > started_at + _HEARTBEAT_GAP_MAX_S
+            > now - _HEARTBEAT_GAP_MAX_S
         ):
-            since_at, tries = now, 0
+            started_at, redirects = now, 0
         if has_timed_out:
-            # It has waited for an answer until its timeout, and not for ours.
+            # The worker has waited for an answer of its owner until the timeout.
             self.detached_members.on_owner_timeout(owner, worker.id)
-            tries += 1
-        tries += 1
-        reachability.misdirected = MisdirectedHeartbeats(since_at, tries)
+            redirects += 1
+        redirects += 1
+        reachability.misdirected = MisdirectedHeartbeats(started_at, redirects)
         if (
-            tries >= constants.OWNER_OVERRIDE_REDIRECTS_MIN
-            and now - since_at >= constants.OWNER_OVERRIDE_DELAY_S
+            redirects >= constants.OWNER_OVERRIDE_REDIRECTS_MIN
+            and now - started_at >= constants.OWNER_OVERRIDE_DELAY_S
         ):
             log.warning("worker cannot reach its owner: machine=%s owner=%s", worker.id, owner)
             self.view_requests.overrides[worker.id] = self.runtime.node
--- a/appledock/core/workers/table.py
+++ b/appledock/core/workers/table.py
@@ -12,7 +12,7 @@
 
 
 class WorkerTable:
-    """All workers known, by machine."""
+    """All known workers by machine, and the machines that no longer exist."""
 
     def __init__(
         self,
@@ -21,6 +21,7 @@
         triggers: ReconcileTriggers,
         observers: WorkerObservers,
     ) -> None:
+        """Start without workers; `triggers` and `observers` are notified of changes."""
         self.runtime = runtime
         self.replica = replica
         self.triggers = triggers
@@ -28,18 +29,22 @@
         self.rows: dict[str, Worker] = {}
         """machine -> its worker"""
         self.deleted_machines: dict[str, float] = {}
-        """machines whose deletion was confirmed, or that the cloud calls failed -> since when"""
+        """machine whose deletion was confirmed, or that the cloud reported as failed -> since when
+        this is known"""
         self._initial_renewable_until = 0.0
 
     def on_start(self) -> None:
-        """The process starts: a controller not known of yet may answer any worker for one lease."""
+        """Record the start of the process.
+
+        A controller that this process does not know of yet may answer any worker for one lease.
+        """
         self._initial_renewable_until = self.runtime.now + self.runtime.lease_ttl_s
 
     def get_or_create(self, machine: str) -> Worker:
-        """The worker's row, made if it is new.
+        """Return the worker's row, which is created if the worker is new.
 
-        Another controller may have answered the worker under a view that it still believes in;
-        that ends within one lease from now. So a new row's lease counts as renewable until then.
+        Another controller may still answer the worker under an older view, for at most one lease
+        from now. So the lease in a new row counts as renewable until then.
         """
         worker = self.rows.get(machine)
         if worker is None:
@@ -50,11 +55,11 @@
         return worker
 
     def owns(self, machine: str) -> bool:
-        """Does this controller own the worker?"""
+        """Return whether this controller owns the worker."""
         return self.replica.owner_of(machine) == self.runtime.node
 
     def mark_expired(self, machine: str, agent_epoch: int) -> None:
-        """This agent epoch and all before it have ended."""
+        """Record that this agent epoch and all earlier ones of the worker have ended."""
         worker = self.get_or_create(machine)
         if agent_epoch > worker.lease.expired_epoch:
             worker.lease.expired_epoch = agent_epoch
@@ -63,10 +68,11 @@
             self.triggers.placement_due = True
 
     def mark_deleted(self, machines: Iterable[str]) -> None:
-        """These machines no longer exist.
+        """Record that these machines no longer exist.
 
-        They are remembered: copies of their old heartbeats must not bring them back. Beyond
-        `DELETED_MACHINES_MAX` the oldest are dropped, except those that open attempts still name.
+        Deleted machines are remembered so that copies of their old heartbeats do not bring them
+        back. Above `DELETED_MACHINES_MAX` entries, the oldest ones, half of that number, are
+        dropped, except machines with open attempts.
         """
         for machine in machines:
             if machine not in self.deleted_machines:
