--- a/appledock/core/workers/__init__.py
+++ b/appledock/core/workers/__init__.py
@@ -1,7 +1,7 @@
 """Workers: heartbeats, leases, commands, and proof that an attempt of a task is over.
 
-`Workers` is what the rest of the core deals with; `Worker` is the record of one machine, grouped
-by concern, and `WorkerObservers` what the package publishes to the parts above it.
+`Workers` is the interface for the rest of the core. `Worker` is the record of one machine, grouped
+by concern. `WorkerObservers` holds the callbacks by which this package notifies other parts.
 """
 
 from appledock.core.workers.manager import Workers
--- a/appledock/core/workers/command_reconciler.py
+++ b/appledock/core/workers/command_reconciler.py
@@ -1,4 +1,4 @@
-"""Command reconciliation: what a worker lacks or has too much, compared with the records."""
+"""Command reconciliation: compares a worker's tasks with the records and issues commands."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class RecordedTask(NamedTuple):
-    """What the records say of a task that they want on a worker."""
+    """Job and attempt of a task that, according to the records, belongs on a worker."""
 
     job: Job
     attempt: Attempt
 
 
 class CommandReconciler:
-    """Makes the commands for a worker."""
+    """Determines the commands that make a worker's tasks match the records."""
 
     def __init__(
         self,
@@ -36,10 +36,11 @@
         self.view_requests = view_requests
 
     def commands_for(self, worker: Worker, pushed: bool) -> list[wire.Command]:
-        """The commands due now: halts and forgets first, then launches.
+        """Return the commands due now: halts and forgets first, then launches.
 
-        `pushed`: they are sent to the worker without a heartbeat of it. A pushed request may be
-        executed again, later; so `forget` goes only with the answer to a heartbeat.
+        `pushed` says that they are sent in a call to the worker and not as the answer to a
+        heartbeat. A duplicate of a pushed request may be executed later, so `forget` is only sent
+        in answers to heartbeats.
         """
         recorded = self._recorded_tasks(worker)
         commands: list[wire.Command] = []
@@ -50,10 +51,12 @@
                 if known is None or known.job.cancelled or known.attempt.stopping:
                     commands += self._halt(worker, key, entry, known)
             elif known is None and not pushed and self._is_outcome_certain(worker, key):
-                # Forgotten only once recorded: until then the worker's memory is the only proof.
+                # `forget` is sent only after the end of the attempt was recorded: until then,
+                # the worker's report is the only proof.
                 if self.may_run_again(worker, key):
-                    # Those of earlier terms go as soon as the worker shows the present one:
-                    # another new term would cost the cluster a view and gain nothing.
+                    # Attempts launched under earlier terms can be forgotten as soon as the worker
+                    # shows the current term. For them, one more new term would cost a view change
+                    # without any gain.
                     launch_term = worker.sent_commands.replayable_launches[key]
                     retained += launch_term >= self.membership.term
                 else:
@@ -65,23 +68,24 @@
 
     @staticmethod
     def may_run_again(worker: Worker, key: TaskKey) -> bool:
-        """Would a repeat of the launch that brought this attempt run it anew?
-
-        Guards against copies of requests that were executed: after `forget` the worker takes the
-        launch for a new one, and the task would run here while its next attempt runs elsewhere,
-        or long after its job was cancelled. A completed one would only be there for a moment, its
-        result being kept, but that moment counts for its team's limit and for its job's zones.
-        So the worker remembers attempts until a higher term makes the copy void.
+        """Return whether a duplicate of the attempt's launch request would run the task again.
+
+        Guards against late duplicates of requests that were executed. After `forget`, the worker
+        would take the duplicate for a new launch, and the task would run here while its next
+        attempt runs elsewhere, or long after its job was cancelled. A completed task would only
+        reappear for a moment, since its result is kept, but that moment counts towards its team's
+        limit and its job's zones. So the worker has to remember the attempt until a higher term
+        makes the duplicate invalid.
         """
         return worker.sent_commands.replayable_launches.get(key, -1) >= worker.fencing_token
 
     @staticmethod
     def _is_outcome_certain(worker: Worker, key: TaskKey) -> bool:
-        """Is no launch of it under way? After `forget` such a launch would start it."""
+        """Return whether no launch of the task is in flight: after `forget`, it would start it."""
         return key not in worker.sent_commands.unconfirmed_launches
 
     def _recorded_tasks(self, worker: Worker) -> dict[TaskKey, RecordedTask]:
-        """Tasks with an open attempt in the worker's agent epoch."""
+        """Return the tasks with an open attempt in the worker's agent epoch."""
         agent_epoch = worker.agent_epoch
         recorded = {}
         for job_id, attempts in sorted(self.replica.attempts_by_machine.get(worker.id, {}).items()):
@@ -96,7 +100,7 @@
     def _halt(
         self, worker: Worker, key: TaskKey, entry: wire.TaskReport, known: RecordedTask | None
     ) -> list[wire.Command]:
-        """The halt, if it is due, of a task that is there and should not be."""
+        """Return the halt, if it is due, of a task that should no longer be on the worker."""
         if known is None:
             return [wire.Command(wire.HALT, *key, grace_s=0.0)]
         job = known.job
@@ -115,10 +119,10 @@
     def _launches(
         self, worker: Worker, recorded: dict[TaskKey, RecordedTask]
     ) -> list[wire.Command]:
-        """Launches of tasks that are not there yet.
+        """Return the launches of tasks that are not on the worker yet.
 
-        Only of attempts recorded in the present term: the worker's fencing token then proves
-        those of earlier terms void.
+        Only attempts recorded under the current term are launched. So once the worker shows a
+        higher fencing token, it can no longer start attempts of lower terms.
         """
         now, term = self.runtime.now, self.membership.term
         launched_at = worker.sent_commands.launched_at
--- a/appledock/core/workers/detached_members.py
+++ b/appledock/core/workers/detached_members.py
@@ -1,9 +1,9 @@
-"""Detached members: controllers that workers do not reach shall own no workers.
+"""Detached members: controllers that their workers cannot reach must not own workers.
 
-A member that hangs, or that loses its workers but not the key-value store, keeps its lease and
-owns its part of all workers, whose own leases expire meanwhile. Once many of them have come here
-after their heartbeats to it timed out, a view in which it owns nothing moves them in one write,
-however many they are.
+A member that hangs, or that is cut off from its workers but not from the key-value store, keeps
+its lease and still owns its part of the workers, whose own leases then expire. Once many workers
+have reported to this controller after a timeout at such a member, a view in which the member is
+detached assigns other owners to all its workers in a single write.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class DetachedMembers:
-    """Finds members that their workers do not reach, and asks for a view that detaches them."""
+    """Finds members that their workers cannot reach, and requests a view that detaches them."""
 
     def __init__(
         self,
@@ -37,24 +37,24 @@
         self.heartbeats = heartbeats
         self.table = table
         self._timed_out: dict[str, dict[str, float]] = {}
-        """owner -> workers that came here after its answer timed out -> when last"""
+        """owner -> worker that reported here after a timeout at the owner -> when last"""
 
     def on_owner_timeout(self, owner: str, machine: str) -> None:
-        """The worker came here after its heartbeat to its owner had timed out."""
+        """Record that the worker reported here after its heartbeat to its owner had timed out."""
         self._timed_out.setdefault(owner, {})[machine] = self.runtime.now
 
     def owner_timeout_counts(self) -> dict[str, int]:
-        """Owner -> how many of its workers came here lately after its answer timed out."""
-        return {owner: len(rows) for owner, rows in self._timed_out.items()}
+        """Return owner -> how many of its workers recently reported here after a timeout at it."""
+        return {owner: len(machines) for owner, machines in self._timed_out.items()}
 
     def on_view(self) -> None:
-        """Workers may have other owners now."""
+        """Drop all timeouts, since workers may have other owners under the new view."""
         self._timed_out.clear()
 
     def tick(self) -> None:
-        """Ask for a view without the members that too many workers do not reach."""
+        """Request to detach the members that too many of their workers cannot reach."""
         for owner in list(self._timed_out):
-            self._drop_old(owner)
+            self._drop_old_timeouts(owner)
             if owner in self._timed_out and self._is_unreachable(owner):
                 self.view_requests.members_to_detach.add(owner)
                 del self._timed_out[owner]
@@ -74,15 +74,15 @@
         )
         return True
 
-    def _drop_old(self, owner: str) -> None:
+    def _drop_old_timeouts(self, owner: str) -> None:
         now = self.runtime.now
-        rows = {
+        recent = {
             machine: at
             for machine, at in self._timed_out[owner].items()
             if now - at < constants.OWNER_TIMEOUT_WINDOW_S
         }
-        if rows:
-            self._timed_out[owner] = rows
+        if recent:
+            self._timed_out[owner] = recent
         else:
             del self._timed_out[owner]
 
@@ -94,7 +94,7 @@
         )
 
     def _live_workers_of(self, owner: str) -> int:
-        """Workers of the owner of which any controller has received a heartbeat lately."""
+        """Return how many of the owner's workers recently sent a heartbeat to any controller."""
         now = self.runtime.now
         return sum(
             now - worker.reachability.last_heartbeat_at < 2 * constants.OWNER_TIMEOUT_WINDOW_S
--- a/appledock/core/workers/dissemination.py
+++ b/appledock/core/workers/dissemination.py
@@ -1,8 +1,9 @@
-"""Dissemination: what this controller sends its peers about workers.
+"""Dissemination: the messages about workers that this controller sends to its peers.
 
-Every controller knows of every worker, so that it can take over at any time. Heartbeats that show
-something new are sent whole; of the others, their numbers and ages are enough. Expired epochs and
-deleted machines are repeated while recorded attempts wait for them: a link may lose any message.
+Every controller knows every worker, so that it can take over any of them at any time. Heartbeats
+with a change are sent completely; of the others, only number and age are sent. Expired agent
+epochs and deleted machines are sent repeatedly while recorded attempts depend on them, because a
+link may lose any message.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class Dissemination:
-    """Sends heartbeats, expired epochs and deleted machines to the peers."""
+    """Sends heartbeats, expired agent epochs and deleted machines to the peers."""
 
     def __init__(
         self,
@@ -41,14 +42,14 @@
         self.table = table
         self.triggers = triggers
         self._unchanged: set[str] = set()
-        """workers whose heartbeats came and showed nothing new: sent with the next summary"""
+        """workers with a heartbeat without changes since the last summary"""
         self._backlogs: dict[str, deque[str]] = {}
-        """peer whose link has opened -> workers that it has not been sent yet"""
+        """newly connected peer -> workers whose state has not been sent to it yet"""
         self._next_summary_at = 0.0
         self._next_repeat_at = 0.0
 
     def tick(self) -> None:
-        """Send what is due."""
+        """Send the messages that are due."""
         now = self.runtime.now
         self._send_backlogs()
         if now >= self._next_summary_at:
@@ -57,12 +58,13 @@
             self._unchanged.clear()
         if now >= self._next_repeat_at:
             self._next_repeat_at = now + constants.WORKER_RESEND_INTERVAL_S
-            self._repeat_proofs()
+            self._resend_proofs()
 
     def broadcast(self, worker: Worker) -> None:
-        """Send the worker's heartbeat to the peers.
+        """Send the worker's newest heartbeat to the peers.
 
-        Whole heartbeats go when they show something new, else that they came is enough.
+        A heartbeat with a change is sent completely and at once. A heartbeat without changes is
+        part of the next summary, and is sent completely once per `WORKER_RESEND_INTERVAL_S`.
         """
         report = worker.report
         if report is None:
@@ -76,11 +78,11 @@
             self._unchanged.add(worker.id)
 
     def announce_expired(self, machine: str, agent_epoch: int, to: str | None = None) -> None:
-        """Send to one peer, or to all, that the agent epoch is proven to have ended."""
+        """Tell one peer, or all peers, that the agent epoch is proven to have ended."""
         self.runtime.emit(PeerSend(AgentEpochExpired(machine, agent_epoch), to))
 
     def on_peer_connected(self, peer: str) -> None:
-        """A link (re)opened: what the peer missed is sent again, part by part."""
+        """Start sending the state of all workers, in parts, to a peer that has connected."""
         self._backlogs[peer] = deque(self.table.rows)
         if self.table.deleted_machines:
             newest = list(self.table.deleted_machines)[-constants.DELETED_MACHINES_RESENT_MAX :]
@@ -88,9 +90,9 @@
         self._send_backlogs()
 
     def send_unchanged_heartbeats(self, machines: Iterable[str], to: str | None = None) -> None:
-        """Send of these workers the number and the ages of their last heartbeats.
+        """Send number and ages of these workers' last heartbeats to one peer, or to all peers.
 
-        In messages of at most `UNCHANGED_HEARTBEATS_MAX` workers, so that each fits a frame.
+        A message contains at most `UNCHANGED_HEARTBEATS_MAX` workers, so that it fits a frame.
         """
         rows = [
             UnchangedHeartbeat(
@@ -107,7 +109,7 @@
             self.runtime.emit(PeerSend(UnchangedHeartbeats(part), to))
 
     def _send_backlogs(self) -> None:
-        """Send one part more to each peer whose link has opened."""
+        """Send the next part of the workers to each newly connected peer."""
         for peer, machines in list(self._backlogs.items()):
             part = [
                 machines.popleft()
@@ -136,11 +138,11 @@
         self.runtime.emit(PeerSend(MachinesDeleted(machines), to))
 
     def _age_s(self, at: float) -> float:
-        """How long ago that was: the controllers' clocks differ, ages do not."""
+        """Return the age of an event; messages carry ages since the controllers' clocks differ."""
         return round(min(self.runtime.now - at, constants.PEER_AGE_MAX_S), 3)
 
-    def _repeat_proofs(self) -> None:
-        """Repeat proofs of settlement while attempts wait for them.
+    def _resend_proofs(self) -> None:
+        """Resend proofs of settlement for all machines with open attempts.
 
         The first message may have been lost with its link.
         """
--- a/appledock/core/workers/own_reachability.py
+++ b/appledock/core/workers/own_reachability.py
@@ -1,4 +1,4 @@
-"""Own reachability: do workers reach this controller, and again once it is detached?"""
+"""Own reachability: whether workers reach this controller, also while it is detached."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 class OwnReachability:
-    """Measures which workers reach this controller; while detached, probes some of them.
+    """Measures how many workers reach this controller; while detached, probes some of them.
 
-    A detached member owns no workers, so it receives no heartbeats that would show the way is
-    open again. It asks for its workers back after rounds of probes that all were answered.
+    A detached member owns no workers, so it receives no heartbeats that would show that the
+    network works again. After consecutive rounds in which all probes were answered, it requests
+    to be attached.
     """
 
     def __init__(
@@ -35,12 +36,12 @@
         self.table = table
         self._next_round_at = 0.0
         self._answered_rounds = 0
-        """rounds of probes in a row that were answered while detached"""
+        """consecutive rounds of probes that were answered completely while detached"""
 
     def reporting_fraction(self) -> float:
-        """Part of the owned workers that sent their heartbeats here lately.
+        """Return the fraction of the owned live workers that recently sent a heartbeat here.
 
-        Counted among those of which any controller has received a heartbeat.
+        A worker is live if any controller has recently received a heartbeat from it.
         """
         now = self.runtime.now
         if self.replica.view is None or self.membership.is_detached():
@@ -59,7 +60,7 @@
         return direct / len(live) if live else 1.0
 
     def tick(self) -> None:
-        """While detached, probe some workers; once they answer, ask to be attached."""
+        """While detached, probe some workers; once they answer, request to be attached."""
         now = self.runtime.now
         if not self.membership.is_detached():
             self._answered_rounds = 0
@@ -72,10 +73,11 @@
             worker for _, worker in sorted(self.table.rows.items()) if worker.report is not None
         ]
         if not known:
-            self._answered_rounds += 1  # nobody to probe, and nobody to lose
+            self._answered_rounds += 1  # no known worker: none to probe, and none to lose
             return
-        # Those that the peers receive heartbeats of are alive. Cut off from the peers as well,
-        # this controller knows of none, which is no reason to own them.
+        # Workers whose heartbeats the peers receive are alive. If this controller is cut off from
+        # the peers as well, it knows of no live worker. It then probes any of the known workers:
+        # without an answer from them, it must not own workers again.
         live = [
             worker
             for worker in known
@@ -84,17 +86,17 @@
         self._probe_round(self.runtime.rng.sample(live, min(len(live), constants.PROBE_WORKERS)))
 
     def _probe_round(self, workers: list[Worker]) -> None:
-        """Probe these workers; the round counts if all of them answer."""
-        left = len(workers)
+        """Probe these workers; the round counts as answered if all of them answer."""
+        unanswered = len(workers)
 
         def on_reply(reply: WorkerReply) -> None:
-            nonlocal left
+            nonlocal unanswered
             if reply.report is None:
-                self._answered_rounds, left = 0, -1
+                self._answered_rounds, unanswered = 0, -1
                 self.view_requests.attach_self = False
                 return
-            left -= 1
-            self._answered_rounds += left == 0
+            unanswered -= 1
+            self._answered_rounds += unanswered == 0
 
         def probe(addr: str) -> None:
             self.runtime.call(
--- a/appledock/core/workers/peer_updates.py
+++ b/appledock/core/workers/peer_updates.py
@@ -1,4 +1,4 @@
-"""Peer updates: what the peers send this controller about workers."""
+"""Peer updates: messages about workers that this controller receives from its peers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PeerUpdates:
-    """Takes in the peers' messages about workers."""
+    """Applies the peers' messages about workers."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self.observers = observers
 
     def apply(self, message: WorkerMessage) -> None:
-        """Take a message in; copies and late ones change nothing."""
+        """Apply a message; duplicated and outdated messages have no effect."""
         match message:
             case WorkerHeartbeat():
                 if message.report.worker not in self.table.deleted_machines:
@@ -41,18 +41,18 @@
             case UnchangedHeartbeats():
                 for row in message.heartbeats:
                     if row.worker not in self.table.deleted_machines:
-                        self._apply_alive(row)
+                        self._apply_unchanged(row)
             case AgentEpochExpired():
                 self.table.mark_expired(message.worker, message.agent_epoch)
             case MachinesDeleted():
                 self.table.mark_deleted(message.machines)
 
-    def _apply_alive(self, row: UnchangedHeartbeat) -> None:
-        """A peer received a heartbeat that showed nothing new."""
+    def _apply_unchanged(self, row: UnchangedHeartbeat) -> None:
+        """Record that a peer received a heartbeat without changes."""
         now = self.runtime.now
         worker = self.table.get_or_create(row.worker)
         number = HeartbeatNumber(row.agent_epoch, row.sequence_number)
-        # Copies of older heartbeats are recognized as such from now on.
+        # From now on, copies of older heartbeats are recognized by their number.
         worker.status.newest_number = max(worker.status.newest_number, number)
         if worker.agent_epoch != row.agent_epoch:
             return
--- a/appledock/core/workers/probes.py
+++ b/appledock/core/workers/probes.py
@@ -1,4 +1,4 @@
-"""Probes: workers without heartbeats are called directly."""
+"""Probes: direct calls to workers whose heartbeats do not arrive."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Probes:
-    """Calls workers for their status: their owner may be unable to forward heartbeats."""
+    """Calls workers for their status, since their owner may be unable to forward heartbeats."""
 
     def __init__(self, runtime: Runtime, replica: Replica, intake: HeartbeatIntake) -> None:
         self.runtime = runtime
@@ -20,7 +20,7 @@
         self.intake = intake
 
     def probe_if_due(self, worker: Worker) -> None:
-        """Probe the worker if a job of this controller waits for its status."""
+        """Probe a silent worker if a job that this controller owns depends on its status."""
         now, reachability = self.runtime.now, worker.reachability
         if (
             worker.report is not None
@@ -32,7 +32,7 @@
             self.probe(worker)
 
     def probe(self, worker: Worker) -> None:
-        """Call the worker for its status; it must have sent a heartbeat before."""
+        """Call the worker for its status; its address must be known from an earlier heartbeat."""
         assert worker.report is not None
         reachability = worker.reachability
         reachability.next_probe_at = self.runtime.now + constants.PROBE_INTERVAL_S
@@ -52,7 +52,7 @@
         )
 
     def _has_open_attempt(self, worker: Worker) -> bool:
-        """Does a job that this controller owns have an attempt in a live epoch of the worker?"""
+        """Return whether a job owned here has an attempt in an unexpired epoch of the worker."""
         replica = self.replica
         return any(
             replica.owns_job(self.runtime.node, replica.jobs[job_id])
--- a/appledock/core/workers/settlement_evidence.py
+++ b/appledock/core/workers/settlement_evidence.py
@@ -11,11 +11,12 @@
 
 
 class SettlementEvidence:
-    """Judges attempts by what the workers have shown.
+    """Decides from the workers' heartbeats whether attempts are over.
 
-    Proof is the end of the machine, of the attempt's agent epoch, or of the task itself as the
-    worker shows it, or that its launch can never be executed. Missing heartbeats, refused
-    connections and missing rows of the machine list prove nothing and are not looked at here.
+    Any of these proves it: the machine was deleted, the attempt's agent epoch has ended, the
+    worker reports that the task has ended, or the launch can never be executed. Missing
+    heartbeats, refused connections and machines missing from the cloud's list prove nothing and
+    are not considered here.
     """
 
     def __init__(self, membership: Membership, table: WorkerTable) -> None:
@@ -23,7 +24,10 @@
         self.table = table
 
     def verdict(self, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
-        """Is this attempt of a task over? None: it is open."""
+        """Return how this attempt of a task ended, or None while no proof exists that it is over.
+
+        `SETTLED` means that the attempt is over without a result of the task.
+        """
         if attempt.machine in self.table.deleted_machines:
             return AttemptVerdict.SETTLED
         worker = self.table.rows.get(attempt.machine)
@@ -44,11 +48,12 @@
         return None
 
     def _can_never_start(self, worker: Worker, job: Job, attempt: Attempt, key: TaskKey) -> bool:
-        """Is a task that the worker does not show unable to appear there?
+        """Return whether a task that the worker does not show can never start there.
 
-        Commands of the attempt's term are refused once the worker shows a higher one, and
-        launches are only sent under the term of their attempt. Under that term only the owner
-        launches; if it never did, the record forbids it now.
+        Once the worker shows a higher term, it rejects commands of the attempt's term, and
+        launches are only sent under the term of their attempt. Under that term, only the owner
+        sends launches: if this controller is the owner and has not sent one, it will not send one
+        any more, because the attempt is being stopped or the job is cancelled.
         """
         return worker.fencing_token > attempt.term or (
             (job.cancelled or attempt.stopping)
