--- a/appledock/core/workers/command_pusher.py
+++ b/appledock/core/workers/command_pusher.py
@@ -1,4 +1,4 @@
-"""Command push: commands sent straight to a worker, without waiting for its heartbeat."""
+"""Command push: commands sent directly to a worker, without waiting for its next heartbeat."""
 
 from __future__ import annotations
 
@@ -18,17 +18,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PushedLaunches:
-    """The launches of one call, and what was known of launches before it."""
+    """The launches of one call, and the state of earlier launches when it was sent."""
 
     sent_at: float
     term: int
     keys: list[TaskKey]
     launched_before: dict[TaskKey, float]
+    """copy of `SentCommands.launched_at` before the call"""
     unconfirmed_before: dict[TaskKey, int]
+    """copy of `SentCommands.unconfirmed_launches` before the call"""
 
 
 class CommandPusher:
-    """Sends commands at once to the workers that may need other ones than before."""
+    """Sends commands at once to the workers whose commands may have changed."""
 
     def __init__(
         self,
@@ -44,20 +46,20 @@
         self.commands = commands
         self.intake = intake
         self._due: set[str] = set()
-        """workers that may need other commands than before"""
+        """workers whose commands may have changed"""
 
-    def request(self, machines: Iterable[str]) -> None:
-        """The records of these machines have changed: their workers may need commands."""
+    def mark_due(self, machines: Iterable[str]) -> None:
+        """Record that these machines' records have changed: their workers may need commands."""
         self._due.update(machines)
 
     def on_view(self) -> None:
-        """A new term: launches are sent anew under it, and every worker is looked at."""
+        """Mark every worker as due, since launches have to be sent again under the new term."""
         for machine, worker in self.table.rows.items():
             worker.sent_commands.launched_at.clear()
             self._due.add(machine)
 
-    def flush(self) -> None:
-        """Push commands to the workers that are due; one with a call in flight stays due."""
+    def push_due(self) -> None:
+        """Push commands to the workers that are due; a worker with a call in flight stays due."""
         due, self._due = self._due, set()
         if not self.membership.can_act():
             return
@@ -115,8 +117,8 @@
         if executed:
             sent_commands.replayable_launches.update((key, pushed.term) for key in pushed.keys)
         for key in pushed.keys:
-            # What was not sent now says nothing of the same launch sent before:
-            # that one may still be on its way, or have been executed.
+            # If this call was not executed, that proves nothing about an earlier call with the
+            # same launch, which may still be in flight or may have been executed.
             if sent_commands.unconfirmed_launches.get(key) == pushed.term and (
                 executed or key not in pushed.unconfirmed_before
             ):
@@ -126,7 +128,7 @@
 
     @staticmethod
     def _restore_launched(worker: Worker, pushed: PushedLaunches, key: TaskKey) -> None:
-        """The launch was not executed: as if it had not been sent."""
+        """Restore the time of the previous launch, since this one was not executed."""
         if key in pushed.launched_before:
             worker.sent_commands.launched_at[key] = pushed.launched_before[key]
         else:
--- a/appledock/core/workers/lease_expiry.py
+++ b/appledock/core/workers/lease_expiry.py
@@ -1,4 +1,4 @@
-"""Lease expiry: which agent epochs are proven to have ended."""
+"""Lease expiry: detects agent epochs that are proven to have ended."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class LeaseExpiry:
-    """Watches the leases of the workers that this controller owns.
+    """Detects expired leases of the workers that this controller owns.
 
-    A worker ends its tasks one lease after the last answer to a heartbeat. That moment is never
-    known from outside, so expiry counts from the last moment at which any controller can have
-    answered (`renewable_until`), with drift and margin added.
+    A worker ends its tasks one lease after the last answer to a heartbeat. Controllers do not
+    know when that answer arrived, so expiry counts from the latest time at which any controller
+    may have answered (`renewable_until`), and adds clock drift and a margin.
     """
 
     def __init__(
@@ -41,12 +41,12 @@
         self.dissemination = dissemination
         self.observers = observers
 
-    def check(self, worker: Worker, lease_bound_s: float) -> None:
-        """Mark the worker's agent epoch expired, and broadcast that, if it is proven.
+    def expire_if_proven(self, worker: Worker, lease_bound_s: float) -> None:
+        """Mark the worker's agent epoch as expired, and broadcast that, if this is proven.
 
-        `lease_bound_s`: as `lease_bound_s()` says, computed once for all workers.
+        `lease_bound_s` is the result of `lease_bound_s()`, computed once for all workers.
         """
-        # An epoch that was received from lives on for a lease even if nobody answers it.
+        # The agent epoch of a heartbeat may last for one more lease even if nobody answers it.
         ends_at = (
             max(worker.lease.renewable_until, worker.reachability.last_heartbeat_at) + lease_bound_s
         )
@@ -55,8 +55,8 @@
         agent_epoch = max(self._newest_recorded_epoch(worker.id), worker.agent_epoch)
         if agent_epoch <= worker.lease.expired_epoch:
             return
-        # The view must be proven to have been the newest until then: the owner under a
-        # newer one may have renewed the lease.
+        # The view must be proven to have been the newest until `ends_at`: under a newer view,
+        # another owner may have renewed the lease.
         if self.membership.view_confirmed_at < ends_at:
             self.observers.on_view_confirmation_needed()
             return
@@ -65,17 +65,17 @@
         self.dissemination.announce_expired(worker.id, agent_epoch)
 
     def on_view(self, old: View | None) -> None:
-        """Ownership may have moved: how long may the former owners still answer?
+        """Raise `renewable_until` of the workers whose owners may have changed.
 
-        A former owner that is no longer in the view had no authority left when the view was
-        committed. One that is still a member may answer until it learns of the view, at most
-        one lease of a controller from now.
+        A former owner that is no longer in the view had no authority any more when the view was
+        committed. A former owner that is still a member may answer until it receives the view, at
+        most for one controller lease from now.
         """
         view, now = self.replica.view, self.runtime.now
         assert view is not None
         for machine, worker in self.table.rows.items():
             renewable_until = now + self.runtime.lease_ttl_s
-            # If there was a view in between, it may have had any owner.
+            # Under a view between the old and the new one, any controller may have been the owner.
             if old is not None and view.term == old.term + 1:
                 owner = old.owner_of(machine)
                 if view.members.get(owner) != old.members[owner]:
@@ -85,7 +85,7 @@
             worker.lease.renewable_until = max(worker.lease.renewable_until, renewable_until)
 
     def lease_bound_s(self) -> float:
-        """A worker's lease by this controller's clock, at most, and the margin."""
+        """Return the longest duration of a worker's lease by the local clock, plus the margin."""
         lease_s = self.runtime.settings.cluster.workers.lease_s
         return lease_s * (1 + constants.CLOCK_DRIFT) + constants.LEASE_EXPIRY_MARGIN_S
 
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -1,4 +1,4 @@
-"""The workers as the rest of the core sees them."""
+"""The interface of this package for the rest of the core."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Workers:
-    """Builds the parts that deal with workers, and passes each call to its part."""
+    """Builds the components of this package and forwards each call to one of them."""
 
     def __init__(
         self,
@@ -44,6 +44,7 @@
         triggers: ReconcileTriggers,
         observers: WorkerObservers,
     ) -> None:
+        """Build the components; `triggers` and `observers` are notified of changes."""
         self.runtime = runtime
         self.replica = replica
         self.membership = membership
@@ -97,29 +98,29 @@
     # --- the table --------------------------------------------------------
     @property
     def table(self) -> Mapping[str, Worker]:
-        """Machine -> its worker; rows are added and removed by this package only."""
+        """Machine -> its worker; only this package adds and removes rows."""
         return self.worker_table.rows
 
     @property
     def deleted_machines(self) -> Mapping[str, float]:
-        """Machines that no longer exist -> since when that is known."""
+        """Machine that no longer exists -> since when this is known."""
         return self.worker_table.deleted_machines
 
     def owns(self, machine: str) -> bool:
-        """Does this controller own the worker?"""
+        """Return whether this controller owns the worker."""
         return self.worker_table.owns(machine)
 
     def mark_deleted(self, machines: Iterable[str]) -> None:
-        """These machines no longer exist."""
+        """Record that these machines no longer exist."""
         self.worker_table.mark_deleted(machines)
 
     # --- the batch loop ---------------------------------------------------
     def on_start(self) -> None:
-        """The process starts: before the first command."""
+        """Record the start of the process, before the first command is handled."""
         self.worker_table.on_start()
 
     def tick(self) -> None:
-        """Send the peers what is due; check leases, and members that workers do not reach."""
+        """Send due messages to the peers, and check leases and the reachability of members."""
         if not self.membership.can_act():
             return
         self.dissemination.tick()
@@ -134,11 +135,11 @@
         for machine in list(self.replica.attempts_by_machine):
             worker = self.worker_table.get_or_create(machine)
             if machine not in self.worker_table.deleted_machines:
-                self.lease_expiry.check(worker, lease_bound_s)
+                self.lease_expiry.expire_if_proven(worker, lease_bound_s)
                 self.probes.probe_if_due(worker)
 
     def on_view(self, old: View | None) -> None:
-        """Ownership may have moved."""
+        """Handle a new view, under which workers may have other owners."""
         self.lease_expiry.on_view(old)
         self.command_pusher.on_view()
         self.redirects.on_view()
@@ -146,43 +147,46 @@
 
     # --- heartbeats and commands ------------------------------------------
     def on_heartbeat(self, request_id: int, report: wire.Report) -> None:
-        """A heartbeat came straight from its worker; it is answered in any case."""
+        """Handle a heartbeat received directly from its worker; every heartbeat is answered."""
         self.responder.on_heartbeat(request_id, report)
 
     def ingest_heartbeat(self, report: wire.Report) -> bool:
-        """Take a heartbeat in if it is newer than the one known, without a broadcast."""
+        """Apply a heartbeat if it is newer than the known one, without broadcasting it."""
         return self.intake.ingest(report)
 
     def request_commands(self, machines: Iterable[str]) -> None:
-        """The records of these machines have changed: their workers may need commands."""
-        self.command_pusher.request(machines)
+        """Record that these machines' records have changed: their workers may need commands."""
+        self.command_pusher.mark_due(machines)
 
     def push_commands(self) -> None:
-        """Send commands at once to all workers that may need them."""
-        self.command_pusher.flush()
+        """Send commands at once to the workers that may need them."""
+        self.command_pusher.push_due()
 
-    # --- questions --------------------------------------------------------
+    # --- status of workers and attempts -----------------------------------
     def verdict(self, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
-        """Is this attempt of a task over? None: it is open."""
+        """Return how this attempt of a task ended, or None while no proof exists that it is over.
+
+        `SETTLED` means that the attempt is over without a result of the task.
+        """
         return self.evidence.verdict(job, attempt, task)
 
     def probe(self, worker: Worker) -> None:
-        """Call the worker for its status; it must have sent a heartbeat before."""
+        """Call the worker for its status; its address must be known from an earlier heartbeat."""
         self.probes.probe(worker)
 
     def reporting_fraction(self) -> float:
-        """Part of the owned workers, among the live ones, that sent their heartbeats here."""
+        """Return the fraction of the owned live workers that recently sent a heartbeat here."""
         return self.own_reachability.reporting_fraction()
 
     def owner_timeout_counts(self) -> dict[str, int]:
-        """Owner -> how many of its workers came here after its answer timed out."""
+        """Return owner -> how many of its workers recently reported here after a timeout at it."""
         return self.detached_members.owner_timeout_counts()
 
     # --- peers ------------------------------------------------------------
     def on_peer_message(self, message: WorkerMessage) -> None:
-        """A peer sent an update about workers."""
+        """Apply a peer's message about workers."""
         self.peer_updates.apply(message)
 
     def on_peer_connected(self, peer: str) -> None:
-        """A link (re)opened: what the peer missed is sent again."""
+        """Send the state of all workers to a peer that has connected."""
         self.dissemination.on_peer_connected(peer)
--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -47,6 +47,37 @@
     "test_an_override_ends_with_its_owner_and_with_its_machine": (
         "test_an_override_is_removed_with_its_owner_and_with_its_machine"
     ),
+    # workers
+    "test_a_recorded_task_that_is_not_there_is_launched_and_again_only_after_a_while": (
+        "test_a_recorded_task_missing_on_the_worker_is_launched_and_retried_after_a_delay"
+    ),
+    "test_an_exited_task_is_forgotten_only_in_an_answer_once_recorded_and_no_launch_may_come": (
+        "test_an_exited_task_is_forgotten_only_in_an_answer_and_only_if_no_launch_can_follow"
+    ),
+    "test_a_heartbeat_no_newer_than_the_one_known_changes_nothing_and_is_not_broadcast": (
+        "test_a_heartbeat_that_is_not_newer_has_no_effect_and_is_not_broadcast"
+    ),
+    "test_a_completed_task_is_published_with_the_time_that_it_was_seen_running": (
+        "test_observers_receive_a_completed_task_with_the_time_for_which_it_was_seen_running"
+    ),
+    "test_only_what_decisions_depend_on_asks_for_reconciliation": (
+        "test_only_relevant_changes_trigger_reconciliation"
+    ),
+    "test_no_epoch_expires_under_a_view_that_is_not_confirmed_for_the_whole_lease": (
+        "test_no_epoch_expires_before_the_view_is_confirmed_up_to_the_end_of_the_lease"
+    ),
+    "test_a_former_owner_that_is_still_a_member_may_answer_for_one_lease_more": (
+        "test_a_former_owner_that_is_still_a_member_may_answer_for_one_more_lease"
+    ),
+    "test_the_verdict_on_a_task_that_the_worker_shows": (
+        "test_the_verdict_on_a_task_that_the_worker_reports"
+    ),
+    "test_a_missing_heartbeat_proves_nothing_and_an_ended_epoch_settles": (
+        "test_a_missing_heartbeat_proves_nothing_and_an_expired_epoch_settles_the_attempt"
+    ),
+    "test_a_deleted_machine_settles_whatever_was_there": (
+        "test_the_deletion_of_a_machine_settles_its_attempts"
+    ),
 }
 """name of a test -> its later name"""
 
--- a/tests/unit/workers/parts.py
+++ b/tests/unit/workers/parts.py
@@ -1,4 +1,4 @@
-"""The worker table and what it is built from, without a controller around it."""
+"""The worker table and its collaborators, built without a whole controller."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Parts:
-    """One controller `n0`, the only member of its view, so that it owns every worker."""
+    """Components of the controller `n0`, which owns every worker as the only member of its view."""
 
     def __init__(self) -> None:
         self.runtime = Runtime(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1))
@@ -38,7 +38,7 @@
         self.capacity_changed: list[str] = []
         self.completed: list[tuple[str, str, float]] = []
         self.unanswerable: list[wire.Report] = []
-        self.views_in_doubt = 0
+        self.view_confirmations = 0
         self.observers = WorkerObservers(
             on_capacity_changed=self.capacity_changed.append,
             has_capacity=lambda machine: machine in self.capacity_changed,
@@ -62,10 +62,10 @@
         )
 
     def _on_view_confirmation_needed(self) -> None:
-        self.views_in_doubt += 1
+        self.view_confirmations += 1
 
     def open_attempt(self, job_id: str = "job-1", **changes: Any) -> tuple[Job, Attempt]:
-        """A job with one open attempt of task 0 on the machine."""
+        """Add a job with one open attempt of task 0 on the machine."""
         attempt = Attempt(MACHINE, 1, 1, TERM, False, {0})
         job = Job(spec(id=job_id), 0.0, 2, attempts=[attempt], **changes)
         self.replica.set_job(job)
--- a/tests/unit/workers/test_command_reconciler.py
+++ b/tests/unit/workers/test_command_reconciler.py
@@ -1,4 +1,4 @@
-"""Command reconciliation, built from its collaborators."""
+"""Command reconciliation, tested without a whole controller."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return reconciler(parts).commands_for(parts.table.rows[MACHINE], pushed)
 
 
-def test_a_recorded_task_that_is_not_there_is_launched_and_again_only_after_a_while() -> None:
+def test_a_recorded_task_missing_on_the_worker_is_launched_and_retried_after_a_delay() -> None:
     parts = Parts()
     parts.open_attempt()
     parts.intake.ingest(heartbeat(1))
@@ -35,13 +35,11 @@
     assert commands(parts, pushed=True) == [wire.Command(wire.HALT, *KEY, grace_s=0.0)]
 
 
-def test_an_exited_task_is_forgotten_only_in_an_answer_once_recorded_and_no_launch_may_come() -> (
-    None
-):
+def test_an_exited_task_is_forgotten_only_in_an_answer_and_only_if_no_launch_can_follow() -> None:
     parts = Parts()
     parts.open_attempt()
     parts.intake.ingest(heartbeat(1, EXITED))
-    assert commands(parts) == []  # its record is still open
+    assert commands(parts) == []  # the attempt is still open in the record
     parts.replica.jobs.clear()
     parts.replica.attempts_by_machine.clear()
     sent_commands = parts.table.rows[MACHINE].sent_commands
--- a/tests/unit/workers/test_heartbeat_intake.py
+++ b/tests/unit/workers/test_heartbeat_intake.py
@@ -1,4 +1,4 @@
-"""Heartbeat intake, built from its collaborators."""
+"""Heartbeat intake, tested without a whole controller."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.unit.workers.parts import MACHINE, Parts, heartbeat, task
 
 
-def test_a_heartbeat_no_newer_than_the_one_known_changes_nothing_and_is_not_broadcast() -> None:
+def test_a_heartbeat_that_is_not_newer_has_no_effect_and_is_not_broadcast() -> None:
     parts = Parts()
     assert parts.intake.ingest_and_broadcast(heartbeat(7))
     (sent,) = parts.runtime.take_effects()
@@ -17,7 +17,7 @@
         assert not parts.intake.ingest_and_broadcast(heartbeat(seq, [task(wire.RUNNING)]))
     assert parts.runtime.take_effects() == []
     assert parts.table.rows[MACHINE].tasks == {}
-    assert parts.intake.ingest(heartbeat(1, agent_epoch=2))  # a new epoch counts from the start
+    assert parts.intake.ingest(heartbeat(1, agent_epoch=2))  # numbers restart in a new epoch
 
 
 def test_a_heartbeat_of_a_deleted_machine_does_not_bring_it_back() -> None:
@@ -27,7 +27,7 @@
     assert parts.table.rows == {}
 
 
-def test_a_completed_task_is_published_with_the_time_that_it_was_seen_running() -> None:
+def test_observers_receive_a_completed_task_with_the_time_for_which_it_was_seen_running() -> None:
     parts = Parts()
     parts.open_attempt()
     parts.intake.ingest(heartbeat(1, [task(wire.RUNNING)]))
@@ -38,7 +38,7 @@
     assert parts.table.rows[MACHINE].placement.idle_since == parts.runtime.now
 
 
-def test_only_what_decisions_depend_on_asks_for_reconciliation() -> None:
+def test_only_relevant_changes_trigger_reconciliation() -> None:
     parts = Parts()
     parts.intake.ingest(heartbeat(1))
     assert parts.queue.changed_workers == {MACHINE} and parts.queue.placement_due
--- a/tests/unit/workers/test_lease_expiry.py
+++ b/tests/unit/workers/test_lease_expiry.py
@@ -1,4 +1,4 @@
-"""Lease expiry, built from its collaborators."""
+"""Lease expiry, tested without a whole controller."""
 
 from __future__ import annotations
 
@@ -31,26 +31,26 @@
     ends_at = 110.0 + lease_s * (1 + constants.CLOCK_DRIFT) + constants.LEASE_EXPIRY_MARGIN_S
     parts.membership.view_confirmed_at = ends_at
     parts.runtime.now = ends_at - 0.01
-    expiry.check(worker, expiry.lease_bound_s())
+    expiry.expire_if_proven(worker, expiry.lease_bound_s())
     assert worker.lease.expired_epoch == 0 and parts.runtime.take_effects() == []
     parts.runtime.now = ends_at
-    expiry.check(worker, expiry.lease_bound_s())
+    expiry.expire_if_proven(worker, expiry.lease_bound_s())
     assert worker.lease.expired_epoch == 1
     assert parts.runtime.take_effects() == [PeerSend(AgentEpochExpired(MACHINE, 1), None)]
 
 
-def test_no_epoch_expires_under_a_view_that_is_not_confirmed_for_the_whole_lease() -> None:
+def test_no_epoch_expires_before_the_view_is_confirmed_up_to_the_end_of_the_lease() -> None:
     parts = Parts()
     parts.open_attempt()
     parts.intake.ingest(heartbeat(1))
     worker = parts.table.rows[MACHINE]
     parts.runtime.now = 1000.0
     expiry = lease_expiry(parts)
-    expiry.check(worker, expiry.lease_bound_s())  # the view was last confirmed at 100
-    assert worker.lease.expired_epoch == 0 and parts.views_in_doubt == 1
+    expiry.expire_if_proven(worker, expiry.lease_bound_s())  # the view was last confirmed at 100 s
+    assert worker.lease.expired_epoch == 0 and parts.view_confirmations == 1
 
 
-def test_a_former_owner_that_is_still_a_member_may_answer_for_one_lease_more() -> None:
+def test_a_former_owner_that_is_still_a_member_may_answer_for_one_more_lease() -> None:
     parts = Parts()
     parts.intake.ingest(heartbeat(1))
     worker = parts.table.rows[MACHINE]
--- a/tests/unit/workers/test_settlement_evidence.py
+++ b/tests/unit/workers/test_settlement_evidence.py
@@ -1,4 +1,4 @@
-"""Settlement evidence, built from its collaborators."""
+"""Settlement evidence, tested without a whole controller."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         (wire.EXITED, wire.STOPPED, AttemptVerdict.SETTLED),
     ],
 )
-def test_the_verdict_on_a_task_that_the_worker_shows(
+def test_the_verdict_on_a_task_that_the_worker_reports(
     state: str, why: str | None, expected: AttemptVerdict | None
 ) -> None:
     parts = Parts()
@@ -35,7 +35,7 @@
     assert verdict(parts) is expected
 
 
-def test_a_missing_heartbeat_proves_nothing_and_an_ended_epoch_settles() -> None:
+def test_a_missing_heartbeat_proves_nothing_and_an_expired_epoch_settles_the_attempt() -> None:
     parts = Parts()
     assert verdict(parts) is None
     parts.table.get_or_create(MACHINE)
@@ -49,7 +49,7 @@
 ):
     parts = Parts()
     parts.intake.ingest(heartbeat(1))
-    assert verdict(parts) is None  # a launch may be on its way
+    assert verdict(parts) is None  # a launch may be in flight
     assert verdict(parts, cancelled=True) is AttemptVerdict.SETTLED
     parts.table.rows[MACHINE].sent_commands.launched_at["job-1/0", 1] = 99.0
     assert verdict(parts, cancelled=True) is None
@@ -57,7 +57,7 @@
     assert verdict(parts, cancelled=True) is AttemptVerdict.SETTLED
 
 
-def test_a_deleted_machine_settles_whatever_was_there() -> None:
+def test_the_deletion_of_a_machine_settles_its_attempts() -> None:
     parts = Parts()
     parts.intake.ingest(heartbeat(1, [task(wire.RUNNING)]))
     parts.table.mark_deleted([MACHINE])
