--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -37,7 +37,7 @@
 from appledock.core.jobs.cancellation import CancellationEnforcer
 from appledock.core.jobs.cancellation_dissemination import CancellationDissemination
 from appledock.core.jobs.cancelled_task_halter import CancelledTaskHalter
-from appledock.core.jobs.cancelled_task_machines import CancelledTaskMachines
+from appledock.core.jobs.cancelled_task_machine_deleter import CancelledTaskMachineDeleter
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.jobs.settlement import Settlement
@@ -58,7 +58,7 @@
 from appledock.core.rebalancing.rebalancer import Rebalancer
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
-from appledock.core.scheduling.handoff import HandOff
+from appledock.core.scheduling.handoff import HandoffPolicy
 from appledock.core.scheduling.lost_launches import LostLaunchDetector
 from appledock.core.scheduling.moves import MovePolicy, Moves
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
@@ -71,7 +71,7 @@
 from appledock.core.scheduling.step_planner import StepPlanner
 from appledock.core.scheduling.step_writer import StepWriter
 from appledock.core.store.client import StoreClient
-from appledock.core.store.reader import StateReader
+from appledock.core.store.reader import StoreReader
 from appledock.core.store.replica import Replica
 from appledock.core.workers import WorkerObservers, Workers
 from appledock.rebalancing.settings import Rebalancing
@@ -98,7 +98,7 @@
         self.client = StoreClient(self.runtime)
         self.replica = Replica()
         self.codec = JobRecordCodec(self.replica, self.client, self.machine_types)
-        self.reader = StateReader(
+        self.reader = StoreReader(
             self.runtime,
             self.client,
             self.replica,
@@ -222,9 +222,9 @@
             operator_settings=self.operator_settings,
             reconcile_queue=self.reconcile_queue,
             stop_requests=self.stop_requests,
-            places_everywhere=self.preferred_owners.places_everywhere,
+            is_preferred_owner=self.preferred_owners.is_preferred_owner,
         )
-        self.handoff = HandOff(self.runtime, self.replica)
+        self.handoff = HandoffPolicy(self.runtime, self.replica)
         self.pacing = Pacing(
             self.runtime,
             self.client.limiter,
@@ -346,7 +346,7 @@
             membership=self.membership,
             heartbeats=self.heartbeats,
             halter=self.cancelled_task_halter,
-            machines=CancelledTaskMachines(
+            machine_deleter=CancelledTaskMachineDeleter(
                 self.runtime,
                 self.workers,
                 lambda names: self.fleet.on_machines_deleted(names),  # noqa: PLW0108 -- built later
--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -78,6 +78,12 @@
     "test_a_deleted_machine_settles_whatever_was_there": (
         "test_the_deletion_of_a_machine_settles_its_attempts"
     ),
+    "test_a_step_beyond_it_raises_the_allocation_from_what_nobody_has": (
+        "test_a_step_beyond_the_allocation_raises_it_from_the_unallocated_rest"
+    ),
+    "test_nothing_is_free_beside_a_task_that_no_record_explains": (
+        "test_no_capacity_is_free_beside_an_orphaned_task"
+    ),
 }
 """name of a test -> its later name"""
 
