--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -24,6 +24,60 @@
     "test_budget_leaves_the_others_what_they_use_and_users_wait_for_nobody": (
         "test_rate_limiter_leaves_the_others_what_they_use_and_users_wait_for_nobody"
     ),
+    # membership
+    "test_a_heartbeat_carries_the_figures_of_the_other_parts": (
+        "test_a_heartbeat_carries_the_status_of_the_other_parts"
+    ),
+    "test_isolated_is_only_who_is_served_later_than_a_reachable_peer": (
+        "test_a_controller_is_isolated_only_if_the_store_still_serves_a_reachable_peer"
+    ),
+    "test_the_leader_has_failed_if_it_alone_is_silent_or_not_served": (
+        "test_the_leader_has_failed_if_it_alone_is_unreachable_or_not_served_by_the_store"
+    ),
+    "test_authority_ends_one_lease_after_sending_less_drift_and_margin": (
+        "test_authority_ends_one_lease_less_drift_and_margin_after_the_request_was_sent"
+    ),
+    "test_a_lost_lease_ends_authority_and_the_next_incarnation_is_a_new_one": (
+        "test_a_lost_lease_ends_authority_and_the_next_join_uses_a_new_incarnation"
+    ),
+    "test_a_detached_member_stays_so_until_it_restarts_or_attaches_itself": (
+        "test_a_member_stays_detached_until_it_restarts_or_attaches_itself"
+    ),
+    "test_never_are_all_members_detached": "test_all_members_are_never_detached_at_the_same_time",
+    "test_an_override_ends_with_its_owner_and_with_its_machine": (
+        "test_an_override_is_removed_with_its_owner_and_with_its_machine"
+    ),
+    # workers
+    "test_a_recorded_task_that_is_not_there_is_launched_and_again_only_after_a_while": (
+        "test_a_recorded_task_missing_on_the_worker_is_launched_and_retried_after_a_delay"
+    ),
+    "test_an_exited_task_is_forgotten_only_in_an_answer_once_recorded_and_no_launch_may_come": (
+        "test_an_exited_task_is_forgotten_only_in_an_answer_and_only_if_no_launch_can_follow"
+    ),
+    "test_a_heartbeat_no_newer_than_the_one_known_changes_nothing_and_is_not_broadcast": (
+        "test_a_heartbeat_that_is_not_newer_has_no_effect_and_is_not_broadcast"
+    ),
+    "test_a_completed_task_is_published_with_the_time_that_it_was_seen_running": (
+        "test_observers_receive_a_completed_task_with_the_time_for_which_it_was_seen_running"
+    ),
+    "test_only_what_decisions_depend_on_asks_for_reconciliation": (
+        "test_only_relevant_changes_trigger_reconciliation"
+    ),
+    "test_no_epoch_expires_under_a_view_that_is_not_confirmed_for_the_whole_lease": (
+        "test_no_epoch_expires_before_the_view_is_confirmed_up_to_the_end_of_the_lease"
+    ),
+    "test_a_former_owner_that_is_still_a_member_may_answer_for_one_lease_more": (
+        "test_a_former_owner_that_is_still_a_member_may_answer_for_one_more_lease"
+    ),
+    "test_the_verdict_on_a_task_that_the_worker_shows": (
+        "test_the_verdict_on_a_task_that_the_worker_reports"
+    ),
+    "test_a_missing_heartbeat_proves_nothing_and_an_ended_epoch_settles": (
+        "test_a_missing_heartbeat_proves_nothing_and_an_expired_epoch_settles_the_attempt"
+    ),
+    "test_a_deleted_machine_settles_whatever_was_there": (
+        "test_the_deletion_of_a_machine_settles_its_attempts"
+    ),
     "test_a_step_beyond_it_raises_the_allocation_from_what_nobody_has": (
         "test_a_step_beyond_the_allocation_raises_it_from_the_unallocated_rest"
     ),
