--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -110,14 +110,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Taken for done instead."""
-    left = DependencyGraph._check
+    left = DependencyGraph._update_state
 
     def trusting(self: DependencyGraph, job_id: str) -> None:
         self.outcomes.update(dict.fromkeys(self.unknown_outcomes, "done"))
         self.unknown_outcomes.clear()
         left(self, job_id)
 
-    monkeypatch.setattr(DependencyGraph, "_check", trusting)
+    monkeypatch.setattr(DependencyGraph, "_update_state", trusting)
     days = [needs_of_the_old_version(seed)[0] for seed in (3, 6, 7)]
     assert any("too_early" in world.judge.kinds() for world in days)
 
