--- a/appledock/core/scheduling/decisions.py
+++ b/appledock/core/scheduling/decisions.py
@@ -1,4 +1,4 @@
-"""What is decided about a job's next step: values, which the step writer carries out."""
+"""Decisions about a job's next step, as values that the step writer carries out."""
 
 from __future__ import annotations
 
@@ -11,34 +11,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """A step is to be written; the capacity for its tasks is reserved on their machines."""
+    """Write a step; the capacity for its tasks is already reserved on their machines."""
 
     unsettled: Job
-    """the job without its settled attempts, which the step's record builds on"""
+    """the job without its settled attempts, on which the new record is based"""
     assignments: list[PlacedTasks]
-    """empty only where all that is left is handed off"""
+    """empty only if the whole remaining job is handed off"""
     handoff_to: str | None = None
-    """controller that owns the job from then on; None: its owner stays"""
+    """controller that owns the job after the step; None if its owner does not change"""
     ends_waiting: bool = True
-    """False for the next attempt of a moved task: what else is queued still waits"""
+    """False for the next attempt of a moved task, since other queued tasks still wait"""
 
 
 @dataclass(frozen=True, slots=True)
 class HandedOff:
-    """Nothing is placed here; another controller owns the job from then on."""
+    """Place nothing here, and make another controller the owner of the job."""
 
     node: str
+    """the new owner"""
     reason: PendingReason | None = None
-    """why it waits meanwhile; None: as before"""
+    """why the job's queued tasks wait; None if the reason does not change"""
 
 
 @dataclass(frozen=True, slots=True)
 class Waiting:
-    """Nothing can be done for the job in this pass."""
+    """Do nothing for the job in this pass."""
 
     reason: PendingReason
+    """why the job's queued tasks wait"""
     retry_soon: bool = False
-    """look again with the next pass, even if nothing happens until then"""
+    """True to examine the job in the next pass even if no event requests one"""
 
 
 StepDecision = Placed | HandedOff | Waiting
--- a/appledock/core/scheduling/step_planner.py
+++ b/appledock/core/scheduling/step_planner.py
@@ -1,8 +1,9 @@
-"""Decides a job's next step, in the phases of scheduler frameworks.
+"""Planning of a job's next step, in the phases of scheduler frameworks.
 
-Admit (quota, gang, zone constraints), held moves, hand-off for image locality, filter, score
-and reserve, hand-off of the rest, batching, preemption: the first phase that decides ends the
-pass for the job.
+A step is one write that assigns queued tasks of a job to machines. The phases are, in this
+order: admission (quota, gang, zone constraints), placement of a moved task, hand-off for image
+locality, filter, score and reserve, hand-off of the remaining tasks, batching, and preemption.
+The first phase that returns a decision ends the pass for the job.
 """
 
 from __future__ import annotations
@@ -30,55 +31,57 @@
 
 
 class Moves(Protocol):
-    """Moves of running tasks to other machines."""
+    """The part of task moves that the step planner uses."""
 
     def place_moved_task(
         self, job: Job, unsettled: Job, zones: dict[str, int] | None, /
     ) -> list[PlacedTasks]:
-        """Place the next attempt of a moved task on the capacity that is kept for it."""
+        """Place the next attempt of a moved task on the capacity reserved for it."""
 
 
 class Rebalancing(Protocol):
-    """Spread of load over machines."""
+    """The part of load rebalancing that the step planner uses."""
 
     def scorer(self, spec: wire.JobSpec) -> Scorer | None:
-        """Scorer for a class whose load is spread; None: the default score holds."""
+        """Return the scorer of the job's class; None if the default score applies."""
 
 
 class Partitions(Protocol):
-    """Partitions of the machines between classes and teams."""
+    """The part of the capacity partitions that the step planner uses."""
 
     def is_preferred_owner(self, job: Job) -> bool:
-        """Does this controller alone fill the machines of the job's partition?"""
+        """Return whether only this controller places on the machines of the job's partition."""
 
 
 @dataclass(frozen=True, slots=True)
 class StepRequest:
-    """One job in one placement pass."""
+    """Input of the phases: one job in one placement pass."""
 
     job: Job
     unsettled: Job
     """the job without its settled attempts"""
-    tasks: int
-    """most tasks that the step may have"""
+    max_tasks: int
+    """upper limit of the step's number of tasks"""
     tasks_by_zone: dict[str, int] | None
-    """unsettled tasks; None: the zone of one of them is not known"""
+    """zone -> number of unsettled tasks; None if the zone of one of them is unknown"""
     machines: list[MachineCapacity]
-    """all with free capacity"""
-    own: list[MachineCapacity]
-    """those that this controller may fill for the job"""
+    """all machines with free capacity"""
+    own_machines: list[MachineCapacity]
+    """those of `machines` on which this controller may place the job"""
     is_preferred_owner: bool
-    """does this controller alone fill the machines of the job's partition, whoever owns them?"""
+    """True if only this controller places on the machines of the job's partition, whichever
+    controllers own them"""
 
 
 class StepPlanner:
-    """Decides what comes next for one job.
+    """Decides the next step of a job.
 
-    A decision to place has reserved the capacity on the machines of the pass; one to wait for
-    preemption has requested the stops.
+    When `decide` returns a decision to place tasks, their capacity is already reserved on the
+    machines of the pass. When it returns a decision to wait for preemption, the stops of the
+    victims are already requested.
     """
 
-    def __init__(  # noqa: PLR0913 -- what the phases ask
+    def __init__(  # noqa: PLR0913 -- the collaborators of all phases
         self,
         *,
         runtime: Runtime,
@@ -110,20 +113,23 @@
         self._partitions = partitions
 
     def decide(
-        self, job: Job, machines: list[MachineCapacity], own: list[MachineCapacity]
+        self, job: Job, machines: list[MachineCapacity], own_machines: list[MachineCapacity]
     ) -> StepDecision:
-        """Decide the job's next step on the machines with free capacity.
+        """Return the decision about the job's next step.
 
-        `own`: those of them that this controller owns.
+        Args:
+            job: a job with queued tasks, or with lost tasks whose loss is not recorded yet
+            machines: all machines with free capacity
+            own_machines: those of `machines` that this controller owns
         """
         if job.spec.team not in self._runtime.teams:
             return Waiting(PendingReason.UNKNOWN_TEAM)
-        request = self._build_request(job, machines, own)
+        request = self._build_request(job, machines, own_machines)
         for phase in (
             self._admit_by_quota,
             self._check_gang_settled,
             self._check_zones_known,
-            self._place_held_move,
+            self._place_moved_task,
             self._hand_off_for_locality,
         ):
             decision = phase(request)
@@ -132,14 +138,16 @@
         return self._place(request)
 
     def _build_request(
-        self, job: Job, machines: list[MachineCapacity], own: list[MachineCapacity]
+        self, job: Job, machines: list[MachineCapacity], own_machines: list[MachineCapacity]
     ) -> StepRequest:
         is_preferred_owner = self._partitions.is_preferred_owner(job)
         if is_preferred_owner:
-            own = [machine for machine in machines if machine.admission is not None]
+            own_machines = [machine for machine in machines if machine.admission is not None]
         if self._preemption.claimed_machines:
-            own = [
-                machine for machine in own if self._preemption.is_available_to(machine.name, job)
+            own_machines = [
+                machine
+                for machine in own_machines
+                if self._preemption.is_available_to(machine.name, job)
             ]
         unsettled = self._settlement.without_settled_attempts(job) or job
         return StepRequest(
@@ -148,22 +156,25 @@
             self._max_tasks(job, unsettled),
             self._zones.tasks_by_zone(unsettled),
             machines,
-            own,
+            own_machines,
             is_preferred_owner,
         )
 
     def _max_tasks(self, job: Job, unsettled: Job) -> int:
-        """Count the tasks that the next step may have; 0: quota admits none."""
+        """Return the most tasks that the next step may have; 0 if the quota admits none."""
         queued = unsettled.queued_task_count
         admitted = self._quota.admitted_tasks(job, unsettled)
         if job.spec.gang:
             return queued if admitted >= queued else 0
         return min(queued, admitted, int(self._operator_settings["step_tasks"]))
 
-    # --- admit --------------------------------------------------------------
+    # --- admission ----------------------------------------------------------
     def _admit_by_quota(self, request: StepRequest) -> StepDecision | None:
-        """Wait for the team's limit, while its own work of lower rank is preempted."""
-        if request.tasks > 0:
+        """Make the job wait if its team is at its limit, and preempt the team's own work for it.
+
+        Only tasks of the team's jobs of lower rank are preempted.
+        """
+        if request.max_tasks > 0:
             return None
         job = request.job
         if request.tasks_by_zone is not None and not job.spec.gang:
@@ -173,33 +184,37 @@
         return Waiting(PendingReason.TEAM_LIMIT)
 
     def _check_gang_settled(self, request: StepRequest) -> StepDecision | None:
-        """A gang starts whole: not while attempts of an earlier step are unsettled."""
+        """Make a gang wait while attempts of an earlier step are unsettled.
+
+        All tasks of a gang start in the same step.
+        """
         if request.job.spec.kind == wire.GANG and request.unsettled.attempts:
             return Waiting(PendingReason.GANG_UNSETTLED)
         return None
 
     def _check_zones_known(self, request: StepRequest) -> StepDecision | None:
-        """Zone constraints can be kept only where the zones of all running tasks are known."""
+        """Make a job with zone constraints wait until the zones of all its tasks are known."""
         spec = request.job.spec
         if request.tasks_by_zone is None and (spec.one_zone or spec.spread):
             return Waiting(PendingReason.ZONES_UNKNOWN)
         return None
 
     # --- before placement ---------------------------------------------------
-    def _place_held_move(self, request: StepRequest) -> StepDecision | None:
-        """Place the next attempt of a moved task on the capacity kept for it."""
+    def _place_moved_task(self, request: StepRequest) -> StepDecision | None:
+        """Place the next attempt of a moved task on the capacity reserved for it."""
         job, unsettled = request.job, request.unsettled
         placed = self._moves.place_moved_task(job, unsettled, request.tasks_by_zone)
         return Placed(unsettled, placed, ends_waiting=False) if placed else None
 
     def _hand_off_for_locality(self, request: StepRequest) -> StepDecision | None:
-        """Hand a service to the controller with which a task waits least for its image.
+        """Hand a service off to the controller with which a task waits least for its image.
 
-        Users notice at once how long a service takes to start.
+        This is done for services only, because users notice immediately how long a service takes
+        to start.
         """
         job, spec = request.job, request.job.spec
-        is_local_only = request.is_preferred_owner or self._rebalancing.scorer(spec) is not None
-        if not spec.service or spec.gang or request.tasks_by_zone is None or is_local_only:
+        stays_here = request.is_preferred_owner or self._rebalancing.scorer(spec) is not None
+        if not spec.service or spec.gang or request.tasks_by_zone is None or stays_here:
             return None
         node = self._preemption.find_owner_with_faster_start(
             job, request.machines, request.tasks_by_zone
@@ -209,18 +224,18 @@
         if node == self._runtime.node:
             return Waiting(PendingReason.PREEMPTING)
         fits_here = any(
-            machine.fits(spec) and is_allowed_on(spec, machine) for machine in request.own
+            machine.fits(spec) and is_allowed_on(spec, machine) for machine in request.own_machines
         )
         return None if fits_here and self._pacing.is_service_rate_limited() else HandedOff(node)
 
     # --- filter, score, reserve ---------------------------------------------
     def _place(self, request: StepRequest) -> StepDecision:
-        """Place what fits, hand off the rest; with neither, preempt."""
+        """Place the tasks that fit and hand off the others; preempt if neither is possible."""
         job = request.job
         assignments = self._assign(request)
         if not assignments and self._preemption.claims.get(job.id):
             return Waiting(PendingReason.PREEMPTING)
-        handoff_to = self._choose_target_of_rest(request, assignments)
+        handoff_to = self._choose_handoff_target(request, assignments)
         tasks = sum(count for _, count in assignments)
         if (
             assignments
@@ -235,41 +250,47 @@
         return self._preempt(request)
 
     def _assign(self, request: StepRequest) -> list[PlacedTasks]:
-        """Place tasks on this controller's machines and reserve their capacity."""
+        """Place tasks on the machines that this controller may use, and reserve the capacity."""
         spec, zones = request.job.spec, request.tasks_by_zone or {}
         scorer = self._rebalancing.scorer(spec)
         sampling = Sampling(self._runtime.rng, int(self._operator_settings["sample"]), scorer)
-        placed = placement.place(spec, request.tasks, request.own, sampling, zones, spec.gang)
+        placed = placement.place(
+            spec, request.max_tasks, request.own_machines, sampling, zones, spec.gang
+        )
         if spec.gang and not placed and self._is_leader():
-            # What fits the machines of no controller is placed by the leader over all of them;
-            # others hand it on, or leader and owner would fill the same capacity twice.
+            # The leader places a gang that fits on no single controller's machines, and uses the
+            # machines of all controllers. Other controllers hand such a gang off: if they placed
+            # it as well, leader and owner would assign the same capacity twice.
             sampling = Sampling(self._runtime.rng, scorer=scorer)
             placed = placement.place(
-                spec, request.tasks, request.machines, sampling, zones, spec.gang
+                spec, request.max_tasks, request.machines, sampling, zones, spec.gang
             )
         return placed
 
-    def _choose_target_of_rest(
+    def _choose_handoff_target(
         self, request: StepRequest, assignments: list[PlacedTasks]
     ) -> str | None:
-        """Choose the controller for the tasks that found no capacity; None: they stay here."""
-        left = request.tasks - sum(count for _, count in assignments)
-        if not left or request.is_preferred_owner:
+        """Return the controller for the tasks that found no capacity; None to keep them here."""
+        remaining = request.max_tasks - sum(count for _, count in assignments)
+        if not remaining or request.is_preferred_owner:
             return None
         tasks_by_zone = dict(request.tasks_by_zone or {})
         for machine, count in assignments:
             tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + count
-        return self._handoff.choose_target(request.job, request.machines, left, tasks_by_zone)
+        return self._handoff.choose_target(request.job, request.machines, remaining, tasks_by_zone)
 
     # --- preemption ---------------------------------------------------------
     def _preempt(self, request: StepRequest) -> StepDecision:
-        """No controller has capacity: preempt work here, or hand off to where it could be."""
+        """Preempt other tasks for a job for which no controller has free capacity.
+
+        If only machines of another controller have suitable victims, hand the job off to it.
+        """
         job = request.job
         if job.spec.service and self._writer.withdraw_lower_priority_steps(job):
             return Waiting(PendingReason.PREEMPTING, retry_soon=True)
         node = None
         if not job.spec.gang and request.tasks_by_zone is not None:
-            node = self._preemption.preempt_for(job, request.tasks, request.tasks_by_zone)
+            node = self._preemption.preempt_for(job, request.max_tasks, request.tasks_by_zone)
         if node is None or request.is_preferred_owner:
             return Waiting(PendingReason.NO_CAPACITY)
         return Placed(request.unsettled, [], node)
