--- a/appledock/core/scheduling/placement.py
+++ b/appledock/core/scheduling/placement.py
@@ -1,13 +1,14 @@
 """Placement of a step's tasks on machines: filter, sample, score, reserve.
 
-The phases are those of scheduler frameworks. Filter keeps the machines that meet the job's
-hard constraints and have capacity. For each task, sample draws a few of them at random, score
-ranks these, and reserve takes the capacity on the best one.
-
-Best fit within a random sample in place of all machines is the rule of the architecture page
-("best fit among 8 sampled machines"; docs/design.md says why the sample is larger here). It is
-the power of several choices applied to packing: a pass costs little however many machines there
-are, and controllers that place at the same time on equal knowledge rarely choose alike.
+The phases are those of scheduler frameworks. The filter phase keeps the machines that meet the
+job's hard constraints and have free capacity. For each task, the sample phase draws a few of them
+at random, the score phase ranks these, and the reserve phase takes the capacity on the best one.
+
+Choosing the best fit within a random sample, and not among all machines, is the rule of the
+architecture page ("best fit among 8 sampled machines"; docs/design.md says why the sample is
+larger here). It applies the power of two choices, with more than two, to packing: the cost of a
+pass does not grow with the number of machines, and controllers that place at the same time with
+the same knowledge rarely choose the same machine.
 """
 
 from __future__ import annotations
@@ -27,36 +28,40 @@
 )
 
 Score = tuple[float, ...]
-"""compared term by term; lower is better"""
+"""terms are compared in order, as tuples are; a lower score is better"""
 
 
 class PlacedTasks(NamedTuple):
-    """Tasks of one step on one machine; their capacity is reserved there."""
+    """Tasks of one step on one machine, on which their capacity is reserved."""
 
     machine: MachineCapacity
     tasks: int
+    """number of tasks"""
 
 
 class Scorer(Protocol):
-    """Scores machines for one job in place of `score`."""
+    """Scores machines for one job; replaces the default `score`."""
 
     def score(self, machine: MachineCapacity) -> Score:
-        """Lower is better."""
+        """Return the machine's score; lower is better."""
 
     def is_preferred(self, machine: MachineCapacity) -> bool:
-        """Is the machine scored even if the random sample misses it?"""
+        """Return whether the machine is sampled in preference to others."""
 
 
 # --- score ------------------------------------------------------------------
 def spot_mismatch(spec: wire.JobSpec, machine: MachineCapacity) -> float:
-    """1 where a job that may use spot would take on-demand capacity that others need; else 0."""
+    """Return 1 if a job that may use spot machines would take an on-demand machine, else 0.
+
+    Jobs that may not use spot machines need the on-demand capacity.
+    """
     return 1.0 if spec.spot and not machine.spot else 0.0
 
 
 def score(spec: wire.JobSpec, machine: MachineCapacity) -> Score:
-    """Default score: failures, image fetch time, spot mismatch, fragmentation.
+    """Return the default score: failures, image fetch time, spot mismatch, fragmentation.
 
-    Times and fragmentation are rounded, so that errors of floating point decide nothing.
+    Times and fragmentation are rounded, so that rounding errors do not decide between machines.
     """
     return (
         float(machine.failure_count > 0),
@@ -73,7 +78,7 @@
     rng: random.Random,
     sample_size: int = constants.PLACEMENT_SAMPLE_SIZE,
 ) -> MachineCapacity | None:
-    """The machine with the best default score in a random sample; None without machines."""
+    """Return the machine with the best default score in a random sample; None if there is none."""
     if not machines:
         return None
     sample = machines if len(machines) <= sample_size else rng.sample(machines, sample_size)
@@ -87,7 +92,10 @@
     rng: random.Random,
     sample_size: int,
 ) -> MachineCapacity | None:
-    """The machine with the best score in a sample of which up to half are preferred ones."""
+    """Return the machine with the best score in a random sample; None if there is none.
+
+    Up to half of the sample is drawn from the preferred machines.
+    """
     if not machines:
         return None
     if len(machines) <= sample_size:
@@ -101,17 +109,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Sampling:
-    """How one machine is chosen among those that could take a task."""
+    """Choice of one machine among those that could take a task."""
 
     rng: random.Random
     sample_size: int = constants.PLACEMENT_SAMPLE_SIZE
+    """number of machines that are scored for each task"""
     scorer: Scorer | None = None
-    """for job classes with score weights of their own; None: the default score"""
+    """scorer of a job class that has score weights of its own; None for the default score"""
 
     def preferred(
         self, spec: wire.JobSpec, machines: list[MachineCapacity]
     ) -> list[MachineCapacity]:
-        """Machines that should be scored although a random sample of many would miss them."""
+        """Return the machines to sample first, which a plain random sample would often miss.
+
+        With a scorer these are the machines it prefers, otherwise those that have the job's
+        image and on which no task failed.
+        """
         if self.scorer is not None:
             is_preferred = self.scorer.is_preferred
             return [machine for machine in machines if is_preferred(machine)]
@@ -127,11 +140,11 @@
         machines: list[MachineCapacity],
         preferred: list[MachineCapacity],
     ) -> MachineCapacity | None:
-        """The best machine of a sample; None if there is no machine."""
+        """Return the best machine of a random sample; None if `machines` is empty."""
         if self.scorer is not None:
             return sample_best_scored(self.scorer, machines, preferred, self.rng, self.sample_size)
-        # The image decides before all else: the sample is drawn among the machines that
-        # have it while there are any.
+        # The image takes precedence over all other criteria: while machines that have it can
+        # take a task, the sample is drawn from these only.
         return sample_best_fit(spec, preferred or machines, self.rng, self.sample_size)
 
 
@@ -139,7 +152,11 @@
 def filter_machines(
     spec: wire.JobSpec, machines: Iterable[MachineCapacity], tasks_by_zone: dict[str, int]
 ) -> list[MachineCapacity]:
-    """Machines that meet the job's constraints and fit a task, co-location in a zone included."""
+    """Return the machines that meet all the job's constraints and have capacity for a task.
+
+    A job that is co-located in one zone gets the machines of the zone that its tasks use, or, if
+    it has none yet, of the zone with most free slots.
+    """
     feasible = [
         machine for machine in machines if is_allowed_on(spec, machine) and machine.fits(spec)
     ]
@@ -156,7 +173,7 @@
 def _zone_with_most_slots(
     spec: wire.JobSpec, machines: list[MachineCapacity]
 ) -> list[MachineCapacity]:
-    """The machines of the zone that has slots for most tasks."""
+    """Return the machines of the zone with most free slots."""
     by_zone: dict[str, list[MachineCapacity]] = {}
     for machine in machines:
         by_zone.setdefault(machine.zone, []).append(machine)
@@ -166,7 +183,7 @@
     )
 
 
-# --- the pass ---------------------------------------------------------------
+# --- reserve ----------------------------------------------------------------
 def place(
     spec: wire.JobSpec,
     tasks: int,
@@ -177,8 +194,13 @@
 ) -> list[PlacedTasks]:
     """Place up to `tasks` tasks of the job and reserve their capacity on the machines.
 
-    `tasks_by_zone` counts the job's unsettled tasks. With `all_or_nothing` (gang scheduling)
-    nothing is placed or reserved unless all tasks are.
+    Args:
+        spec: the job
+        tasks: number of tasks to place
+        machines: machines to choose from
+        sampling: how each machine is chosen
+        tasks_by_zone: zone -> number of the job's unsettled tasks
+        all_or_nothing: place and reserve nothing unless all tasks fit (gang scheduling)
     """
     feasible = filter_machines(spec, machines, tasks_by_zone)
     if not feasible or tasks <= 0:
@@ -199,9 +221,9 @@
     sampling: Sampling,
     tasks_by_zone: dict[str, int],
 ) -> list[MachineCapacity]:
-    """Sample, score and reserve task by task; return the machine of each task placed.
+    """Sample, score and reserve for one task after the other; return each task's machine.
 
-    `tasks_by_zone` is counted up.
+    The tasks placed are added to `tasks_by_zone`.
     """
     zone_limit = max_tasks_per_zone(spec)
     preferred = sampling.preferred(spec, feasible)
@@ -224,7 +246,7 @@
 
 
 def _group_by_machine(reserved: list[MachineCapacity]) -> list[PlacedTasks]:
-    """Count the tasks of each machine, in the order in which the machines were first chosen."""
+    """Return the number of tasks of each machine, in the order the machines were first chosen."""
     groups: dict[str, list[MachineCapacity]] = {}
     for machine in reserved:
         groups.setdefault(machine.name, []).append(machine)
