--- a/appledock/core/scheduling/placement_pass.py
+++ b/appledock/core/scheduling/placement_pass.py
@@ -1,4 +1,4 @@
-"""Placement pass: the queued jobs in the order of their sort keys, one step each."""
+"""Placement pass: plans one step for each queued job, in the order of their sort keys."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 
 
 class Moves(Protocol):
-    """Moves of running tasks to other machines."""
+    """The part of task moves that the placement pass uses."""
 
     def is_moving(self, job_id: str, /) -> bool:
-        """Is capacity kept for a task of this job?"""
+        """Return whether capacity is reserved for a move of a task of the job."""
 
 
 class MeanLoads(Protocol):
-    """Mean loads that the spread of load is scored by."""
+    """Mean loads of the machines, which the scorers of load rebalancing use."""
 
     def refresh_means(self) -> None:
-        """Compute the means anew where free capacity has changed."""
+        """Recompute the means if free capacity has changed."""
 
 
 class PlacementPass:
-    """Places the queued jobs that this controller owns."""
+    """Places tasks of the queued jobs that this controller owns."""
 
-    def __init__(  # noqa: PLR0913 -- what a pass refreshes and asks
+    def __init__(  # noqa: PLR0913 -- the collaborators of a pass
         self,
         *,
         runtime: Runtime,
@@ -65,9 +65,13 @@
         self._moves = moves
         self._mean_loads = mean_loads
         self._next_batch_pass_at = 0.0
+        """earliest time of the next pass that places batch jobs, on the monotonic clock"""
 
     def run(self) -> None:
-        """Decide one step for each queued job that can be written now, and request its write."""
+        """Decide the next step of each queued job that can be written now, and request the write.
+
+        Batch jobs are left out until the next batching window opens.
+        """
         queued = self._queued_jobs()
         includes_batch_jobs = self._open_batching_window(queued)
         ready = [
@@ -88,7 +92,7 @@
         )
 
     def _queued_jobs(self) -> list[Job]:
-        """Return own jobs with queued tasks, or with lost ones that are not recorded as lost."""
+        """Return this controller's jobs with queued tasks or with losses not yet recorded."""
         replica = self._replica
         lost_tasks = (
             job_id
@@ -99,10 +103,10 @@
         return [job for job in jobs if replica.owns_job(self._runtime.node, job)]
 
     def _open_batching_window(self, queued: list[Job]) -> bool:
-        """Does this pass place batch jobs too? Starts the next batching window if so.
+        """Return whether this pass places batch jobs; start the next batching window if it does.
 
-        Running tasks free capacity little by little: collected for a window, it is taken by
-        one job in one step, not by each of several in a step of its own.
+        Running tasks free capacity in small amounts. The batching window collects it, so that
+        one job takes it in a single step and not several jobs in a step (one write) each.
         """
         now = self._runtime.now
         if not queued or now < self._next_batch_pass_at or self._pacing.should_defer_batch_jobs():
@@ -111,39 +115,43 @@
         return True
 
     def _place_each(self, jobs: list[Job], machines: list[MachineCapacity]) -> None:
-        own = [machine for machine in machines if machine.owner == self._runtime.node]
+        own_machines = [machine for machine in machines if machine.owner == self._runtime.node]
         unplaceable = UnplaceableSizes()
         reasons = self._reconcile_queue.pending_reasons
         for job in jobs:
             if not self._writer.can_write(job):
-                # A step of another job has withdrawn its write in this pass.
+                # Planning the step of another job in this pass withdrew this job's write.
                 self._reconcile_queue.placement_due = True
                 continue
             size = TaskSize.of(job.spec)
-            job_class = JobClass.of(job.spec, self._replica.dependencies.inherited_rank(job))
-            if unplaceable.covers(job_class, size) and not self._moves.is_moving(job.id):
+            equivalence_class = EquivalenceClass.of(
+                job.spec, self._replica.dependencies.inherited_rank(job)
+            )
+            if unplaceable.covers(equivalence_class, size) and not self._moves.is_moving(job.id):
                 reasons[job.id] = PendingReason.NO_CAPACITY
                 continue
-            decision = self._planner.decide(job, machines, own)
+            decision = self._planner.decide(job, machines, own_machines)
             is_requested = self._step_writer.carry_out(job, decision)
             if not is_requested and reasons.get(job.id) == PendingReason.NO_CAPACITY:
-                unplaceable.add(job_class, size)
+                unplaceable.add(equivalence_class, size)
 
 
-class JobClass(NamedTuple):
-    """Jobs that may use the same machines and preempt the same work."""
+class EquivalenceClass(NamedTuple):
+    """Equivalence class of jobs that may use the same machines and preempt the same tasks."""
 
     may_use_spot: bool
     zone: str | None
     machine_types: tuple[str, ...]
     rank: int
+    """rank of the job, or the higher one of a job that depends on it"""
     is_service: bool
     has_zone_constraint: bool
-    """co-location or zone spread: what fits then depends on the job's other tasks"""
+    """True for co-location or zone spread: the machines that fit then depend on where the other
+    tasks of the job are"""
 
     @classmethod
-    def of(cls, spec: wire.JobSpec, rank: int) -> JobClass:
-        """Return the class of a job; `rank` is the one it has through its dependents."""
+    def of(cls, spec: wire.JobSpec, rank: int) -> EquivalenceClass:
+        """Return the class of a job, given its rank including that of its dependents."""
         return cls(
             spec.spot,
             spec.zone,
@@ -155,7 +163,7 @@
 
 
 class TaskSize(NamedTuple):
-    """What one task takes."""
+    """Resource requests of one task."""
 
     cpus: float
     gpus: float
@@ -167,7 +175,7 @@
         return cls(spec.cpus, spec.gpus, spec.memory_gb)
 
     def fits_in(self, other: TaskSize) -> bool:
-        """Is it no larger than the other in anything?"""
+        """Return whether this size is at most the other in every resource."""
         return (
             self.cpus <= other.cpus
             and self.gpus <= other.gpus
@@ -176,20 +184,24 @@
 
 
 class UnplaceableSizes:
-    """Task sizes that found no capacity in this pass, by class of job.
+    """Task sizes that found no capacity in this pass, by equivalence class of jobs.
 
-    A task at least as large of a job of that class finds none either: the queue of a cluster
-    that is full is decided by its few classes, not by its many jobs.
+    A task of the same class that is at least as large finds no capacity either. In a full
+    cluster a pass therefore costs one placement attempt for each of few classes, not for each of
+    many jobs.
     """
 
     def __init__(self) -> None:
-        self._sizes: dict[JobClass, list[TaskSize]] = {}
+        self._sizes: dict[EquivalenceClass, list[TaskSize]] = {}
 
-    def add(self, job_class: JobClass, size: TaskSize) -> None:
-        """A task of this size found no capacity."""
-        if not job_class.has_zone_constraint:
-            self._sizes.setdefault(job_class, []).append(size)
+    def add(self, equivalence_class: EquivalenceClass, size: TaskSize) -> None:
+        """Record that a task of this size found no capacity.
+
+        Jobs with zone constraints are not recorded: another job of their class may still fit.
+        """
+        if not equivalence_class.has_zone_constraint:
+            self._sizes.setdefault(equivalence_class, []).append(size)
 
-    def covers(self, job_class: JobClass, size: TaskSize) -> bool:
-        """Did a task no larger than this find no capacity?"""
-        return any(known.fits_in(size) for known in self._sizes.get(job_class, ()))
+    def covers(self, equivalence_class: EquivalenceClass, size: TaskSize) -> bool:
+        """Return whether a task of this class and of at most this size found no capacity."""
+        return any(known.fits_in(size) for known in self._sizes.get(equivalence_class, ()))
--- a/tests/unit/scheduling/test_step_planner.py
+++ b/tests/unit/scheduling/test_step_planner.py
@@ -1,4 +1,4 @@
-"""What comes next for a job is decided in phases, as a value."""
+"""Unit tests of the step planner: each phase may decide, and the decision is a value."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.records.job import Attempt, Job
 from appledock.core.scheduling.decisions import HandedOff, Placed, StepDecision, Waiting
-from appledock.core.scheduling.placement_pass import JobClass, TaskSize, UnplaceableSizes
+from appledock.core.scheduling.placement_pass import EquivalenceClass, TaskSize, UnplaceableSizes
 from appledock.core.scheduling.step_planner import StepPlanner
 from tests.test_decisions import room
 from tests.test_requests import spec
 
 
-class Phases:
-    """A planner whose collaborators answer as the attributes say."""
+class PlannerWithFakes:
+    """A step planner whose collaborators return the values of the attributes."""
 
     def __init__(self) -> None:
         self.admitted_tasks = 99
@@ -70,62 +70,63 @@
     return Job(spec(id="job-1", **{"cores": 1.0, "memory_gb": 0.0, **changes}), 0.0)
 
 
-def test_jobs_that_may_not_start_wait_with_the_reason_of_the_first_phase_that_says_so() -> None:
-    phases = Phases()
-    phases.tasks_by_zone = None
+def test_jobs_that_may_not_start_wait_with_the_reason_of_the_first_phase_that_refuses() -> None:
+    planner = PlannerWithFakes()
+    planner.tasks_by_zone = None
     gang = job(crates=3, shape="group", together=True)
     gang.attempts.append(Attempt("vm-9", 1, 1, 1, False, {0}))
-    assert phases.decide(job(owner="nobody")) == Waiting(PendingReason.UNKNOWN_TEAM)
-    phases.admitted_tasks = 0
-    assert phases.decide(gang) == Waiting(PendingReason.TEAM_LIMIT)
-    phases.admitted_tasks = 9
-    assert phases.decide(gang) == Waiting(PendingReason.GANG_UNSETTLED)
+    assert planner.decide(job(owner="nobody")) == Waiting(PendingReason.UNKNOWN_TEAM)
+    planner.admitted_tasks = 0
+    assert planner.decide(gang) == Waiting(PendingReason.TEAM_LIMIT)
+    planner.admitted_tasks = 9
+    assert planner.decide(gang) == Waiting(PendingReason.GANG_UNSETTLED)
     gang.attempts.clear()
-    assert phases.decide(gang) == Waiting(PendingReason.ZONES_UNKNOWN)
-    phases.tasks_by_zone = {}
-    assert phases.decide(gang) == Waiting(PendingReason.NO_CAPACITY)
+    assert planner.decide(gang) == Waiting(PendingReason.ZONES_UNKNOWN)
+    planner.tasks_by_zone = {}
+    assert planner.decide(gang) == Waiting(PendingReason.NO_CAPACITY)
 
 
-def test_what_fits_is_placed_and_reserved_and_the_rest_handed_off() -> None:
-    phases, machine, queued = Phases(), room("vm-1", 2.0), job(crates=3)
-    phases.handoff_target = "n1"
-    decision = phases.decide(queued, machine)
+def test_tasks_that_fit_are_placed_and_reserved_and_the_others_handed_off() -> None:
+    planner, machine, queued = PlannerWithFakes(), room("vm-1", 2.0), job(crates=3)
+    planner.handoff_target = "n1"
+    decision = planner.decide(queued, machine)
     assert decision == Placed(queued, [(machine, 2)], "n1")  # type: ignore[list-item]
     assert machine.cpus == 0.0
 
 
-def test_a_step_that_waits_for_more_capacity_gives_back_what_it_reserved() -> None:
-    phases, machine = Phases(), room("vm-1", 2.0)
-    phases.should_batch = True
-    decision = phases.decide(job(crates=3), machine)
+def test_a_step_that_waits_for_more_capacity_releases_its_reservations() -> None:
+    planner, machine = PlannerWithFakes(), room("vm-1", 2.0)
+    planner.should_batch = True
+    decision = planner.decide(job(crates=3), machine)
     assert decision == Waiting(PendingReason.BATCHING, retry_soon=True)
     assert machine.cpus == 2.0
 
 
 def test_a_service_is_handed_off_for_image_locality_or_waits_for_preemption_here() -> None:
-    phases, machine, service = Phases(), room("vm-1", 2.0), job(shape="daemon", crates=1)
-    phases.faster_start = "n1"
-    assert phases.decide(service, machine) == HandedOff("n1")
-    phases.faster_start = "n0"
-    assert phases.decide(service, machine) == Waiting(PendingReason.PREEMPTING)
-    assert isinstance(phases.decide(job(crates=1), machine), Placed)
+    planner, machine, service = PlannerWithFakes(), room("vm-1", 2.0), job(shape="daemon", crates=1)
+    planner.faster_start = "n1"
+    assert planner.decide(service, machine) == HandedOff("n1")
+    planner.faster_start = "n0"
+    assert planner.decide(service, machine) == Waiting(PendingReason.PREEMPTING)
+    assert isinstance(planner.decide(job(crates=1), machine), Placed)
 
 
-def test_a_job_whose_team_is_at_its_limit_goes_where_the_teams_own_work_can_be_preempted() -> None:
-    phases = Phases()
-    phases.admitted_tasks, phases.preempted_at = 0, "n1"
-    assert phases.decide(job()) == HandedOff("n1", PendingReason.TEAM_LIMIT)
+def test_a_job_of_a_team_at_its_limit_is_handed_to_where_the_teams_work_can_be_preempted() -> None:
+    planner = PlannerWithFakes()
+    planner.admitted_tasks, planner.preempted_at = 0, "n1"
+    assert planner.decide(job()) == HandedOff("n1", PendingReason.TEAM_LIMIT)
 
 
 def test_sizes_that_found_no_capacity_rule_out_larger_ones_of_the_same_class_only() -> None:
-    def key(**changes: object) -> tuple[JobClass, TaskSize]:
-        one: wire.JobSpec = job(**changes).spec
-        return JobClass.of(one, 2), TaskSize.of(one)
+    def key(**changes: object) -> tuple[EquivalenceClass, TaskSize]:
+        job_spec: wire.JobSpec = job(**changes).spec
+        return EquivalenceClass.of(job_spec, 2), TaskSize.of(job_spec)
 
     unplaceable = UnplaceableSizes()
     unplaceable.add(*key(cores=2.0))
     assert unplaceable.covers(*key(cores=2.0)) and unplaceable.covers(*key(cores=3.0))
     assert not unplaceable.covers(*key(cores=1.0))
     assert not unplaceable.covers(*key(cores=3.0, quay="a"))
-    unplaceable.add(*key(cores=2.0, scatter=True))  # may fit with other tasks placed elsewhere
+    # With a zone constraint, a task may fit once other tasks of the job are placed elsewhere.
+    unplaceable.add(*key(cores=2.0, scatter=True))
     assert not unplaceable.covers(*key(cores=2.0, scatter=True))
