--- a/appledock/core/scheduling/step_writer.py
+++ b/appledock/core/scheduling/step_writer.py
@@ -1,4 +1,4 @@
-"""Bind: carries out what was decided about a job's next step, in one conditional write."""
+"""Bind phase: carries out the decision about a job's next step in one conditional write."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         self._pacing = pacing
 
     def carry_out(self, job: Job, decision: StepDecision) -> bool:
-        """Carry the decision out; False if no write was requested."""
+        """Carry the decision out; return whether a write was requested."""
         reasons = self._reconcile_queue.pending_reasons
         match decision:
             case Waiting():
@@ -60,23 +60,29 @@
                 assert_never(decision)
 
     def hand_off(self, job: Job, node: str) -> bool:
-        """Make another controller the job's owner without placing anything."""
+        """Make another controller the job's owner without placing tasks.
+
+        Return whether the write was requested.
+        """
         new = self._settlement.copy_without_settled_attempts(job)
         new.handoff_target = HandoffTarget(node, self._members()[node])
         return self._writer.commit(job, new, _priority(job))
 
     def _write_step(self, job: Job, step: Placed) -> bool:
-        """Write the step: what is settled, the new attempts, and who owns the job then."""
+        """Write the step: the settled attempts removed, the new ones added, and the next owner.
+
+        Return whether the write was requested.
+        """
         new = self._next_record(step)
         if not self._codec.fits(self._codec.drop_unoffered_types(new)):
-            # The record holds only so many attempts at a time: the rest of the tasks wait
-            # until some are settled, the job is never stuck.
+            # The size of a record limits its number of attempts. The other tasks wait until
+            # some attempts are settled, so the job always makes progress.
             for machine, _ in step.assignments:
                 self._capacity_index.mark_changed(machine.name)
             if job.spec.gang or len(step.assignments) < 2:
                 self._reconcile_queue.pending_reasons[job.id] = PendingReason.RECORD_FULL
                 return False
-            return self._write_part(job, new, step.assignments)
+            return self._write_part_that_fits(job, new, step.assignments)
         if self._commit(job, new, step.assignments):
             return True
         for machine, _ in step.assignments:
@@ -84,13 +90,13 @@
         return False
 
     def _next_record(self, step: Placed) -> Job:
-        """Build the job's record with the step's attempts and owner."""
+        """Return the job's record with the step's attempts and owner."""
         view = self._replica.view
         assert view is not None
         new = step.unsettled.copy()
         if step.assignments:
-            # A hand-off alone is no beginning: it would end the ageing of jobs that have
-            # not started anywhere.
+            # A hand-off without placed tasks is not counted as a step: that would end the
+            # ageing of jobs of which no task has started anywhere.
             new.last_step += 1
         tasks = new.first_queued_tasks(sum(count for _, count in step.assignments))
         for machine, count in step.assignments:
@@ -110,11 +116,15 @@
         elif new.handoff_target:
             node, incarnation = new.handoff_target
             if view.members.get(node) != incarnation:
-                new.handoff_target = None  # that controller has gone: the hash decides again
+                # That controller has left the view: the hash of the job determines the owner.
+                new.handoff_target = None
         return new
 
-    def _write_part(self, job: Job, new: Job, assignments: list[PlacedTasks]) -> bool:
-        """Write the step with half of its machines, and half of that, until the record fits."""
+    def _write_part_that_fits(self, job: Job, new: Job, assignments: list[PlacedTasks]) -> bool:
+        """Halve the machines of the step until the record fits, and write that part.
+
+        Return whether the write was requested.
+        """
         new.handoff_target = job.handoff_target
         while assignments and not self._codec.fits(new):
             dropped = len(assignments) - len(assignments) // 2
