--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -1,4 +1,4 @@
-"""How often steps are placed and completions recorded, by the store's writes that are left."""
+"""Rate of steps and of progress writes, depending on the store writes that are available."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Pacing:
-    """Spends the rate limit of the key-value store where users notice it most.
+    """Spends the rate limit of the key-value store on the writes that users notice most.
 
-    Batching windows collect free capacity, so that a job takes it in one step and one write
-    in place of many small ones.
+    Batching windows collect free capacity, so that a job takes it in one step (one write) and
+    not in many small ones.
     """
 
     def __init__(
@@ -36,30 +36,31 @@
         self._quota = quota
         self._reconcile_queue = reconcile_queue
         self._is_peer_rate_limited = is_peer_rate_limited
-        """do services of another controller wait for the store's rate limit?"""
+        """returns whether services of another controller wait for the store's rate limit"""
         self._batching_since: dict[str, float] = {}
-        """job -> since when it waits for capacity for a larger step"""
+        """job -> time since which it waits for capacity for a larger step"""
         self._deferred_since = math.inf
-        """since when batch jobs wait for the writes of users and services"""
+        """time since which batch jobs wait for the writes of users and services; inf if they do
+        not wait"""
 
     def forget(self, job_id: str) -> None:
-        """End the job's batching window: it is over, or its step is under way."""
+        """End the job's batching window, because the job has ended or its step is being written."""
         self._batching_since.pop(job_id, None)
 
     def is_step_rate_limited(self) -> bool:
-        """Do steps wait for the store's rate limit?"""
+        """Return whether steps wait for the store's rate limit."""
         return self._limiter.count_queued_up_to(Priority.STEP) > constants.WAITING_CALLS_THRESHOLD
 
     def is_service_rate_limited(self) -> bool:
-        """Do steps of services wait for the store's rate limit?
+        """Return whether steps of services wait for the store's rate limit.
 
-        Then handing one off for image locality costs others more than it saves: two writes
-        in place of one.
+        If they do, handing a service off for image locality delays other services by more than
+        it saves: it takes two writes where a step takes one.
         """
         return self._limiter.count_queued_up_to(Priority.URGENT) > constants.WAITING_CALLS_THRESHOLD
 
     def batching_window_s(self) -> float:
-        """Seconds until batch jobs are placed again."""
+        """Return the seconds until batch jobs are placed again."""
         if self.is_step_rate_limited():
             return constants.BATCHING_WINDOW_RATE_LIMITED_S
         if self._limiter.has_spare_writes():
@@ -67,10 +68,11 @@
         return constants.BATCHING_WINDOW_S
 
     def should_defer_batch_jobs(self) -> bool:
-        """Must batch jobs wait until users and services have got their writes?
+        """Return whether batch jobs must wait for the writes of users and services.
 
-        Those of this controller or of another one: steps of batch jobs would only keep
-        capacity and writes from them. At most for `BATCH_JOB_DEFERRAL_MAX_S` at a time.
+        They wait for services of this controller and of others, because steps of batch jobs
+        would take capacity and writes from these. One such wait lasts at most
+        `BATCH_JOB_DEFERRAL_MAX_S`.
         """
         if not self.is_service_rate_limited() and not self._is_peer_rate_limited():
             self._deferred_since = math.inf
@@ -83,9 +85,9 @@
         return False
 
     def progress_interval_s(self, job: Job) -> float:
-        """Least seconds between two writes that only record completed tasks of the job."""
+        """Return the minimum seconds between two writes that only record the job's completions."""
         if self._is_team_limited(job.spec.team):
-            # Each completion that is recorded lets a task of the team start.
+            # Each recorded completion allows another task of the team to start.
             if self._limiter.has_spare_writes():
                 return constants.PROGRESS_INTERVAL_SPARE_WRITES_S
             return constants.PROGRESS_INTERVAL_TEAM_LIMITED_S
@@ -94,7 +96,7 @@
         return constants.PROGRESS_INTERVAL_S
 
     def _is_team_limited(self, team: str) -> bool:
-        """Is the team's limit, and not capacity, what a queued task of it waits for?"""
+        """Return whether a queued task of the team waits for the team's limit, not for capacity."""
         reasons = self._reconcile_queue.pending_reasons
         return self._quota.is_limit_exhausted(team) or any(
             reasons.get(job_id) is PendingReason.TEAM_LIMIT
@@ -102,10 +104,10 @@
         )
 
     def should_batch(self, job: Job, unsettled: Job, tasks: int) -> bool:
-        """Does a step of `tasks` tasks wait for more capacity, for a bounded time?
+        """Return whether a step of `tasks` tasks should wait for more capacity.
 
-        It does while writes are scarce, if it is small. `unsettled` is the job without its
-        settled attempts.
+        A small step of a batch job waits while steps are rate limited, for at most
+        `STEP_BATCHING_WINDOW_S`. `unsettled` is the job without its settled attempts.
         """
         if job.spec.service or job.spec.gang or not self.is_step_rate_limited():
             return False
--- a/appledock/core/scheduling/reconciler.py
+++ b/appledock/core/scheduling/reconciler.py
@@ -1,4 +1,4 @@
-"""Reconcile loop: what is due for the jobs that this controller owns."""
+"""Reconcile loop of the jobs that this controller owns."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class Reconciler:
-    """Takes jobs out of the reconcile queue, records what is settled, and runs placement."""
+    """Processes the reconcile queue: records settled attempts and runs placement passes."""
 
-    def __init__(  # noqa: PLR0913 -- it drives the other parts
+    def __init__(  # noqa: PLR0913 -- the loop calls most other parts of scheduling
         self,
         *,
         runtime: Runtime,
@@ -44,7 +44,7 @@
         self._runtime = runtime
         self._replica = replica
         self._can_act = can_act
-        """does this controller hold a valid lease and know the view?"""
+        """returns whether this controller holds a valid lease and knows the view"""
         self._queue = reconcile_queue
         self._settlement = settlement
         self._stop_requests = stop_requests
@@ -62,7 +62,7 @@
         self._next_placement_at = 0.0
 
     def tick(self) -> None:
-        """Reconcile the queued jobs, and run the timers that are due."""
+        """Reconcile the queued jobs and run the periodic work that is due."""
         if not self._can_act():
             return
         self._enqueue_jobs_of_changed_workers()
@@ -90,7 +90,7 @@
         self._queue.changed_workers.clear()
 
     def _sweep(self) -> None:
-        """Look at all own jobs for what no message tells."""
+        """Check all jobs of this controller for changes that no message reports."""
         replica = self._replica
         for job_id, job in replica.jobs.items():
             if (job.attempts or replica.is_cancelled(job_id)) and replica.owns_job(
@@ -100,8 +100,8 @@
                 self._settlement.examine_all(job_id)
         self._lost_launches.check()
         if replica.queued_jobs:
-            # Some reasons to wait end with time alone, such as the rest of a job that was
-            # handed off to this controller: in a quiet cluster nothing else starts a pass.
+            # Some reasons to wait end with time alone, such as the cooldown of a job that was
+            # handed off to this controller. In an idle cluster no event starts a pass then.
             self._queue.placement_due = True
 
     def _reconcile_queued_jobs(self) -> None:
@@ -118,7 +118,7 @@
                 self._stop_requests.forget(job_id)
 
     def _forget(self, job_id: str) -> None:
-        """The job is over."""
+        """Drop all state of a job that has ended."""
         self._lost_launches.forget(job_id)
         self._stop_requests.forget(job_id)
         self._queue.forget(job_id)
