--- a/appledock/core/scheduling/objectives.py
+++ b/appledock/core/scheduling/objectives.py
@@ -12,24 +12,24 @@
 log = logging.getLogger(__name__)
 
 LimitsByClass = dict[str | None, set[float]]
-"""class of jobs -> limits; None: those of objectives that hold for every class"""
+"""job class -> limits; the key None has the limits of objectives that apply to every class"""
 
 
 class ObjectiveKind(enum.StrEnum):
     """What an objective limits; the values are those of the settings file."""
 
     WAIT = "wait"
-    """time from submission to the start"""
+    """time from submission to the job's start"""
     DEADLINE = "deadline"
-    """completion, as a multiple of the job's own deadline"""
+    """time from submission to completion, as a multiple of the job's own deadline"""
     FINISHED = "finished"
     """time from submission to completion"""
     GUARANTEE = "guarantee"
-    """that teams get their guaranteed quota; it does not order the queue"""
+    """delivery of the teams' guaranteed quota; it does not affect the queue order"""
 
 
 class ServiceLevelObjectives:
-    """Limits by class of jobs; an objective without a class holds for all of them."""
+    """Limits by job class; an objective without a class applies to all classes."""
 
     def __init__(self, objectives: Iterable[Objective]) -> None:
         self._deadline_factors: LimitsByClass = {}
@@ -53,14 +53,14 @@
                 log.info("objective ignored: unknown_kind=%s", unknown)
 
     def finish_limits_s(self, spec: wire.JobSpec) -> list[float]:
-        """Seconds from when the job could start until it should be complete, ascending."""
+        """Return the limits (s) from the job's readiness to its completion, in ascending order."""
         return sorted(_limits_of(self._finish_limits_s, spec.job_class))
 
     def deadline_limits_s(self, spec: wire.JobSpec) -> list[float]:
-        """Seconds from submission until the job should be complete, ascending.
+        """Return the limits (s) from submission to completion that follow from the deadline.
 
-        The job's own deadline where no objective names a multiple of it; empty for a job
-        without a deadline.
+        They are in ascending order: multiples of the job's own deadline, or the deadline itself
+        if no objective sets a multiple. Empty for a job without a deadline.
         """
         if spec.deadline_s is None:
             return []
@@ -68,11 +68,11 @@
         return sorted(spec.deadline_s * factor for factor in factors)
 
     def has_wait_limit(self, spec: wire.JobSpec) -> bool:
-        """Does an objective limit how long a job of the class waits for its start?"""
+        """Return whether an objective limits the wait of jobs of this class for their start."""
         return bool(_limits_of(self._wait_limits_s, spec.job_class))
 
     def ageing_threshold_s(self, spec: wire.JobSpec) -> float:
-        """Seconds of waiting after which a job that has not begun comes first in its rank."""
+        """Return the wait (s) after which a job that has not started comes first in its rank."""
         limits_s = _limits_of(self._wait_limits_s, spec.job_class)
         if not limits_s or spec.service:
             return constants.AGEING_THRESHOLD_S
@@ -80,11 +80,11 @@
 
 
 def _add_limit(table: LimitsByClass, job_class: str | None, limit: float | None) -> None:
-    """Add the limit that an objective names, if it names one."""
+    """Add the limit of an objective, if it has one."""
     if limit:
         table.setdefault(job_class, set()).add(limit)
 
 
 def _limits_of(table: LimitsByClass, job_class: str) -> set[float]:
-    """Return the limits that hold for a class, those for every class included."""
+    """Return the limits that apply to a class, including those that apply to every class."""
     return table.get(job_class, set()) | table.get(None, set())
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -1,4 +1,4 @@
-"""Queue sort: the order in which queued jobs are served."""
+"""Queue sort phase: the order in which queued jobs are placed."""
 
 from __future__ import annotations
 
@@ -11,47 +11,49 @@
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
 from appledock.core.store.replica import Replica
 
-AGEING = -1
-"""`missed_limits` of a job that has waited too long: before all others of its rank"""
+AGEING_PRECEDENCE = -1
+"""`missed_limits` of a job that has waited too long; sorts it before all others of its rank"""
 
 
 class GuaranteeClass(enum.IntEnum):
     """First term of the sort key."""
 
     OVERDUE = -1
-    """has waited so long that it is served before all others"""
+    """the job has waited so long that it is placed before all others"""
     WITHIN_GUARANTEE = 0
-    """within its team's guaranteed quota, or ageing"""
+    """the job is within its team's guaranteed quota, or ageing"""
     BEYOND_GUARANTEE = 1
+    """the job is beyond its team's guaranteed quota"""
 
 
 class QueueSortKey(NamedTuple):
-    """Compared term by term; what is lower is served first."""
+    """Sort key of a queued job; terms are compared in order, and the lowest key comes first."""
 
     guarantee: GuaranteeClass
     negative_rank: int
-    """the job's rank, or the higher one of a job that depends on it, times -1"""
+    """-1 times the job's rank, or times the higher rank of a job that depends on it"""
     missed_limits: int
-    """how many of its limits on completion the job can no longer meet"""
+    """number of limits on completion that the job can no longer meet"""
     tie_break: float
-    """work left (core seconds) while a limit can be met, else moment since which it waits"""
+    """remaining work (core seconds) while a limit can be met, else the time of day since which
+    the job waits"""
 
 
-class QuotaUsage(Protocol):
-    """What the queue order asks of quota."""
+class GuaranteedQuota(Protocol):
+    """The part of quota that the queue order uses."""
 
     def is_within_guarantee(self, job: Job) -> bool:
-        """Is the job, with all that its team's others hold, within the guarantee?"""
+        """Return whether the team stays in its guarantee once the job's queued tasks start."""
 
 
 class QueueOrder:
-    """Orders jobs by guarantee, rank and slack; then by work left, or by age."""
+    """Orders jobs by guarantee, rank and missed limits, then by remaining work or by age."""
 
     def __init__(
         self,
         runtime: Runtime,
         replica: Replica,
-        quota: QuotaUsage,
+        quota: GuaranteedQuota,
         objectives: ServiceLevelObjectives,
     ) -> None:
         self._runtime = runtime
@@ -59,25 +61,25 @@
         self._quota = quota
         self._objectives = objectives
         self._ready_at: dict[str, float] = {}
-        """job with dependencies -> time of day when they were first seen to be met"""
+        """job with dependencies -> time of day at which all were first seen to be met"""
 
     def on_dependencies_met(self, job_id: str) -> None:
-        """All dependencies of the job are met; only the first call for a job counts."""
+        """Record that all dependencies of the job are met; only the first call counts."""
         self._ready_at.setdefault(job_id, self._runtime.wall_time)
 
     def forget(self, job_id: str) -> None:
-        """Drop what is kept of a job that is over."""
+        """Drop the state of a job that has ended."""
         self._ready_at.pop(job_id, None)
 
     def waiting_since(self, job: Job) -> float:
-        """Time of day (s) from which the job waits for being served."""
+        """Return the time of day (s) since which the job is ready and waits for placement."""
         return self._ready_at.get(job.id, job.submitted_at)
 
     def sort_key(self, job: Job) -> QueueSortKey:
-        """Sort key of the job: guarantee, rank, slack, then work left or age.
+        """Return the job's sort key: guarantee, rank, missed limits, then remaining work or age.
 
-        A job that others depend on has the highest rank of them, and as its limit the
-        earliest of their deadlines less the time that they take themselves.
+        A job that others depend on inherits the highest rank of these, and as a limit the
+        earliest of their deadlines less their own run time.
         """
         rank, inherited_deadline_at = self._replica.dependencies.inherited_priority(job)
         since = self.waiting_since(job)
@@ -85,21 +87,21 @@
         if self._is_ageing(job, waited_s):
             is_overdue = waited_s > constants.OVERDUE_THRESHOLD_S
             guarantee = GuaranteeClass.OVERDUE if is_overdue else GuaranteeClass.WITHIN_GUARANTEE
-            return QueueSortKey(guarantee, -rank, AGEING, since)
+            return QueueSortKey(guarantee, -rank, AGEING_PRECEDENCE, since)
         guarantee = self._guarantee_class(job)
         limits_at = [] if job.spec.service else self._limits_at(job, since, inherited_deadline_at)
         missed = self._count_missed(job, limits_at)
         if missed == len(limits_at):
-            # No limit, or too late for every one: in order of age, so that none waits for
-            # ever, and none that can still be in time waits for it.
+            # The job has no limit or misses all of them. Such jobs are ordered by age, so that
+            # none starves, and do not delay jobs that can still meet a limit.
             return QueueSortKey(guarantee, -rank, missed, since)
-        return QueueSortKey(guarantee, -rank, missed, _work_left_core_s(job))
+        return QueueSortKey(guarantee, -rank, missed, _remaining_work_core_s(job))
 
     def _is_ageing(self, job: Job, waited_s: float) -> bool:
-        """Has the job waited too long without having begun?
+        """Return whether the job has waited too long and none of its tasks runs or has completed.
 
-        Ageing prevents starvation: first within its rank, later before all, every job begins.
-        A job whose tasks were all preempted again has not begun.
+        Ageing prevents starvation: an ageing job is placed first within its rank, and later
+        before all other jobs. A job all of whose tasks were preempted counts as not started.
         """
         return (
             waited_s > self._objectives.ageing_threshold_s(job.spec)
@@ -113,7 +115,7 @@
         return GuaranteeClass.BEYOND_GUARANTEE
 
     def _limits_at(self, job: Job, since: float, inherited_deadline_at: float) -> list[float]:
-        """Times of day by which the job should be complete, one for each limit."""
+        """Return the times of day by which the job should be complete, one for each limit."""
         limits_at = [since + limit_s for limit_s in self._objectives.finish_limits_s(job.spec)]
         if job.spec.deadline_s is not None:
             limits_at += [
@@ -125,16 +127,16 @@
         return limits_at
 
     def _count_missed(self, job: Job, limits_at: list[float]) -> int:
-        """Count the limits that the job misses even if it starts now.
+        """Return the number of limits that the job misses even if it starts now.
 
-        Under overload this serves first the jobs that can still meet all their limits, then
-        those that can meet some.
+        Under overload, jobs that can still meet all their limits thus come first, then those
+        that can meet some.
         """
         complete_at = self._runtime.wall_time + job.spec.estimate_s
         return sum(complete_at > limit_at for limit_at in limits_at)
 
 
-def _work_left_core_s(job: Job) -> float:
-    """Work until the job is complete, in core seconds: the shortest is served first."""
-    left_s = (job.spec.tasks - len(job.completed_tasks)) * max(job.spec.estimate_s, 1.0)
-    return left_s * max(job.spec.cpus, 0.1)
+def _remaining_work_core_s(job: Job) -> float:
+    """Return the job's remaining work in core seconds; the job with least comes first."""
+    remaining_s = (job.spec.tasks - len(job.completed_tasks)) * max(job.spec.estimate_s, 1.0)
+    return remaining_s * max(job.spec.cpus, 0.1)
--- a/tests/unit/scheduling/test_queue_order.py
+++ b/tests/unit/scheduling/test_queue_order.py
@@ -1,4 +1,4 @@
-"""Queue order, built from its collaborators."""
+"""Unit tests of the queue order."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
 from appledock.core.scheduling.objectives import ServiceLevelObjectives
-from appledock.core.scheduling.queue_order import AGEING, GuaranteeClass, QueueOrder
+from appledock.core.scheduling.queue_order import AGEING_PRECEDENCE, GuaranteeClass, QueueOrder
 from appledock.core.store.replica import Replica
 from appledock.settings import Objective
 from tests.test_requests import settings, spec
 
 
-class QuotaUsage:
-    """Everything is within the guarantee, but the jobs named."""
+class GuaranteedQuota:
+    """Quota in which all jobs except the named ones are within the guarantee."""
 
     def __init__(self, *beyond: str) -> None:
         self.beyond = beyond
@@ -24,7 +24,7 @@
         return job.id not in self.beyond
 
 
-def queue_order(quota: QuotaUsage, *objectives: Objective) -> QueueOrder:
+def queue_order(quota: GuaranteedQuota, *objectives: Objective) -> QueueOrder:
     runtime = Runtime(settings("n0", ["n0"]), "x", random.Random(1))
     runtime.wall_time = 1000.0
     return QueueOrder(runtime, Replica(), quota, ServiceLevelObjectives(objectives))
@@ -35,7 +35,7 @@
 
 
 def test_guarantee_comes_before_rank_and_rank_before_age() -> None:
-    order = queue_order(QuotaUsage("job-2", "job-3"))
+    order = queue_order(GuaranteedQuota("job-2", "job-3"))
     low = job("job-1", rank="best_effort")
     urgent = job("job-2", rank="urgent")
     older = job("job-3", submitted=990.0, rank="standard")
@@ -43,10 +43,13 @@
     assert [queued.id for queued in queue] == ["job-1", "job-2", "job-3"]
 
 
-def test_a_job_that_waits_too_long_is_served_first_in_its_rank_and_later_before_all() -> None:
-    order = queue_order(QuotaUsage())
+def test_a_job_that_waits_too_long_comes_first_in_its_rank_and_later_before_all() -> None:
+    order = queue_order(GuaranteedQuota())
     ageing = order.sort_key(job("job-1", submitted=1000.0 - constants.AGEING_THRESHOLD_S - 1))
-    assert ageing.guarantee is GuaranteeClass.WITHIN_GUARANTEE and ageing.missed_limits == AGEING
+    assert (
+        ageing.guarantee is GuaranteeClass.WITHIN_GUARANTEE
+        and ageing.missed_limits == AGEING_PRECEDENCE
+    )
     overdue = order.sort_key(
         job("job-2", 1000.0 - constants.OVERDUE_THRESHOLD_S - 1, rank="best_effort")
     )
@@ -56,7 +59,7 @@
 
 def test_jobs_that_can_meet_more_of_their_limits_come_first_then_those_with_less_work() -> None:
     finished = [Objective("finished", within_s=limit_s) for limit_s in (20.0, 40.0)]
-    order = queue_order(QuotaUsage(), *finished)
+    order = queue_order(GuaranteedQuota(), *finished)
     small, large = job("job-1", eta_s=5.0, crates=2), job("job-2", eta_s=5.0, crates=9)
     late, too_late = job("job-3", eta_s=30.0, crates=1), job("job-4", eta_s=90.0, crates=1)
     keys = [order.sort_key(queued) for queued in (small, large, late, too_late)]
