--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -1,8 +1,8 @@
-"""Preemption: stopping tasks so that a job of higher priority can start.
+"""Preemption: stopping running tasks so that a job of higher priority can start.
 
-Victims are requested to stop through their jobs' owners, which commit that to the records
-before the workers are commanded. Until then, and until the tasks have ended, a claim keeps the
-machine for the job that preempts.
+The stop of a victim is requested from the owner of its job, which commits it to the job's record
+before the worker is commanded. Until the victims have ended, a claim reserves the machine for
+the preempting job.
 """
 
 from __future__ import annotations
@@ -43,35 +43,37 @@
 
 
 class StopRequester(Protocol):
-    """Passes requests to stop tasks to the owners of their jobs."""
+    """Sends requests to stop tasks to the owners of their jobs."""
 
     def send_to_owner(self, job: Job, machine: str, tasks: set[int]) -> None:
-        """Have these tasks of the job on the machine stopped."""
+        """Ask the job's owner to stop these tasks of the job on the machine."""
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A machine on which tasks are being stopped for a job."""
+    """Reservation of a machine on which tasks are being stopped for a job."""
 
     machine: str
     expires_at: float
+    """end of the reservation, on the monotonic clock"""
 
 
-class FreeStart(NamedTuple):
-    """A machine on which a task could start at once; the least is the best."""
+class StartCandidate(NamedTuple):
+    """A machine with free capacity for a task; candidates are compared as tuples, lower first."""
 
     fetch_s: float
-    is_foreign: bool
-    """is the machine in another controller's shard?"""
+    """seconds that the machine takes to fetch the task's image"""
+    is_peer_owned: bool
+    """True if another controller owns the machine"""
     machine: str
     owner: str
 
 
 class Preemption:
-    """Selects victims, has them stopped, and keeps the claims of the jobs that preempt.
+    """Selects victims, requests their stops, and manages the claims of the preempting jobs.
 
-    `is_preferred_owner` says whether a job's partition is filled by this controller alone,
-    whoever owns the machines' shards.
+    `is_preferred_owner` returns whether only this controller places on the machines of a job's
+    partition, whichever controllers own them.
     """
 
     def __init__(  # noqa: PLR0913 -- victims depend on records, workers, capacity and quota
@@ -95,17 +97,17 @@
         self._operator_settings = operator_settings
         self._reconcile_queue = reconcile_queue
         self._stop_requests = stop_requests
-        self._places_everywhere = is_preferred_owner
+        self._is_preferred_owner = is_preferred_owner
         self.claims: dict[str, list[Claim]] = {}
-        """job -> its claims"""
+        """preempting job -> its claims"""
         self.claimed_machines: dict[str, str] = {}
-        """machine -> job that claims it, as of the last `expire_claims`"""
+        """machine -> job that claims it; rebuilt by `expire_claims`"""
 
     # --- claims -----------------------------------------------------------
     def expire_claims(self) -> None:
-        """Drop claims that are too old or whose job has nothing to start any more.
+        """Drop claims that have expired or whose job has no more tasks to start.
 
-        Otherwise the machine would stay empty for a job that was placed elsewhere.
+        Otherwise a machine would stay empty for a job that was placed elsewhere.
         """
         for job_id in list(self.claims):
             job = self._replica.jobs.get(job_id)
@@ -124,21 +126,23 @@
         return job.queued_task_count > 0 or job.id in self._reconcile_queue.capacity_freed_at
 
     def is_available_to(self, machine: str, job: Job) -> bool:
-        """Is the machine not claimed by another job?"""
+        """Return whether no other job claims the machine."""
         return self.claimed_machines.get(machine, job.id) == job.id
 
     def release_claims(self, job_id: str, reservations: Iterable[StepReservation]) -> None:
-        """Drop the job's claims on machines of a step that was committed."""
+        """Drop the job's claims on the machines of a committed step."""
         machines = {reservation.machine for reservation in reservations}
-        left = [claim for claim in self.claims.get(job_id, ()) if claim.machine not in machines]
-        if left:
-            self.claims[job_id] = left
+        remaining = [
+            claim for claim in self.claims.get(job_id, ()) if claim.machine not in machines
+        ]
+        if remaining:
+            self.claims[job_id] = remaining
         else:
             self.claims.pop(job_id, None)
 
     # --- options ----------------------------------------------------------
     def preemptible_tasks(self, job: Job, machine: MachineCapacity) -> list[Victim]:
-        """Tasks on the machine that may be stopped for the job."""
+        """Return the tasks on the machine that may be stopped for the job."""
         worker = self._workers.table.get(machine.name)
         if worker is None:
             return []
@@ -153,15 +157,15 @@
                 )
         return victims
 
-    def _options(
+    def _find_options(
         self, job: Job, tasks_by_zone: dict[str, int], *, within_team: bool
     ) -> list[PreemptionOption]:
-        """Machines of a sample with victims for one task of the job, the cheapest first."""
+        """Return sampled machines with enough victims for one task of the job, cheapest first."""
         spec = job.spec
         weight = self._operator_settings["lost_work_weight"]
         quota_deficit = self._quota_deficit(job) if within_team else NO_RESOURCES
         options: list[PreemptionOption] = []
-        for machine in self._candidates(job, tasks_by_zone):
+        for machine in self._candidate_machines(job, tasks_by_zone):
             victims = self.preemptible_tasks(job, machine)
             if within_team:
                 victims = [victim for victim in victims if victim.job.spec.team == spec.team]
@@ -171,8 +175,8 @@
                 options.append(PreemptionOption(cost_s, machine, selected))
         return sorted(options, key=lambda option: (option.cost_s, option.machine.name))
 
-    def _candidates(self, job: Job, tasks_by_zone: dict[str, int]) -> list[MachineCapacity]:
-        """Machines of a sample that meet the job's constraints and that nobody claims."""
+    def _candidate_machines(self, job: Job, tasks_by_zone: dict[str, int]) -> list[MachineCapacity]:
+        """Return sampled machines that meet the job's constraints and that no job claims."""
         spec = job.spec
         zone_limit = max_tasks_per_zone(spec)
         used_zones = {zone for zone, count in tasks_by_zone.items() if count}
@@ -180,7 +184,7 @@
         own_claims = {claim.machine for claim in self.claims.get(job.id, ())}
         return [
             machine
-            for machine in self._sample(spec.image)
+            for machine in self._sample_machines(spec.image)
             if is_allowed_on(spec, machine)
             and tasks_by_zone.get(machine.zone, 0) < zone_limit
             and not (spec.one_zone and used_zones and machine.zone not in used_zones)
@@ -188,11 +192,11 @@
             and machine.name not in own_claims
         ]
 
-    def _sample(self, image: str) -> list[MachineCapacity]:
-        """All machines, or a random sample if they are many.
+    def _sample_machines(self, image: str) -> list[MachineCapacity]:
+        """Return all machines, or a random sample of `PREEMPTION_SAMPLE_SIZE` if there are more.
 
-        Half of the sample is drawn from machines that have the image, if there are any: to
-        fetch a large image takes longer than to boot a machine.
+        Up to half of the sample is drawn from machines that have the image, because fetching a
+        large image takes longer than booting a machine.
         """
         machines = list(self._capacity_index.machines.values())
         if len(machines) <= constants.PREEMPTION_SAMPLE_SIZE:
@@ -207,7 +211,7 @@
         ]
 
     def _quota_deficit(self, job: Job) -> Resources:
-        """What the team's limit lacks for one more task of the job."""
+        """Return by how much one more task of the job would exceed the team's limit."""
         limit = limit_of(self._runtime.teams[job.spec.team])
         held = self._quota_usage.held_by_team(job.spec.team)
         return (held + demand_of(job.spec, 1)).excess_over(limit)
@@ -216,43 +220,56 @@
     def preempt_for(
         self, job: Job, tasks: int, tasks_by_zone: dict[str, int], within_team: bool = False
     ) -> str | None:
-        """Have victims stopped for up to `tasks` tasks of the job, on machines placed from here.
+        """Request the stops of victims for up to `tasks` tasks of the job.
+
+        Only machines on which this controller places the job are used.
 
-        Returns the controller to hand the job to if only machines of others have victims that
-        suffice; None otherwise. `within_team`: it is the team's limit that is exhausted, so
-        only work of the same team is stopped.
+        Args:
+            job: the preempting job
+            tasks: number of its tasks that found no capacity
+            tasks_by_zone: zone -> number of the job's unsettled tasks
+            within_team: stop only tasks of the job's team, because its limit is exhausted
+
+        Returns:
+            The controller to hand the job off to if only machines of other controllers have
+            enough victims; None otherwise.
         """
         tasks -= len(self.claims.get(job.id, ()))
         if tasks <= 0:
             return None
-        options = self._options(job, tasks_by_zone, within_team=within_team)
-        is_preferred_owner = self._places_everywhere(job)
+        options = self._find_options(job, tasks_by_zone, within_team=within_team)
+        is_preferred_owner = self._is_preferred_owner(job)
         node = self._runtime.node
-        own = [option for option in options if is_preferred_owner or option.machine.owner == node]
-        if not own:
+        own_options = [
+            option for option in options if is_preferred_owner or option.machine.owner == node
+        ]
+        if not own_options:
             return options[0].machine.owner if options else None
         if job.spec.one_zone or job.spec.spread:
-            # One after the other: each start changes which zones are open to the next.
+            # One task at a time, since each start changes which zones are open to the next task.
             tasks = 1
-        for option in own[:tasks]:
+        for option in own_options[:tasks]:
             self._preempt(job, option)
         return None
 
     def find_owner_with_faster_start(
         self, job: Job, machines: list[MachineCapacity], tasks_by_zone: dict[str, int]
     ) -> str | None:
-        """The controller with which a task of the job starts sooner than on free capacity here.
+        """Return the controller with which a task starts sooner than on free capacity here.
 
-        Another controller's name if a task would wait less for its image on one of its
-        machines; this controller's own if victims on a machine of its own are being stopped.
-        None: place the job as usual.
+        This is another controller if fetching the image takes less time on one of its machines,
+        with or without preemption. It is this controller if preemption on one of its own
+        machines is faster; the stops of the victims are then requested.
+
+        Returns:
+            The controller's name; None to place the job as usual.
         """
         if self.claims.get(job.id):
             return None
         node = self._runtime.node
-        free, own_fetch_s = self._best_free_start(job, machines, tasks_by_zone)
+        free, own_fetch_s = self._find_best_free_machine(job, machines, tasks_by_zone)
         if free is None or free.fetch_s > constants.PREEMPTION_MARGIN_S:
-            options = self._options(job, tasks_by_zone, within_team=False)
+            options = self._find_options(job, tasks_by_zone, within_team=False)
             if options and (
                 free is None or options[0].cost_s + constants.PREEMPTION_MARGIN_S < free.fetch_s
             ):
@@ -267,10 +284,14 @@
             return free.owner
         return None
 
-    def _best_free_start(
+    def _find_best_free_machine(
         self, job: Job, machines: list[MachineCapacity], tasks_by_zone: dict[str, int]
-    ) -> tuple[FreeStart | None, float]:
-        """The best machine with capacity, and the least fetch time (s) on machines of ours."""
+    ) -> tuple[StartCandidate | None, float]:
+        """Return the machine with capacity on which a task of the job starts soonest.
+
+        The second value is the shortest image fetch time (s) on this controller's machines; inf
+        if none of them has capacity.
+        """
         spec, node = job.spec, self._runtime.node
         best: tuple[float, bool, str, str] | None = None
         own_fetch_s = math.inf
@@ -281,16 +302,16 @@
                 and is_zone_open(spec, machine.zone, tasks_by_zone)
                 and self.is_available_to(machine.name, job)
             ):
-                fetch_s, is_foreign = image_fetch_s(spec, machine), machine.owner != node
-                if not is_foreign:
+                fetch_s, is_peer_owned = image_fetch_s(spec, machine), machine.owner != node
+                if not is_peer_owned:
                     own_fetch_s = min(own_fetch_s, fetch_s)
-                start = (fetch_s, is_foreign, machine.name, machine.owner)
-                if best is None or start < best:
-                    best = start
-        return (FreeStart(*best) if best is not None else None), own_fetch_s
+                candidate = (fetch_s, is_peer_owned, machine.name, machine.owner)
+                if best is None or candidate < best:
+                    best = candidate
+        return (StartCandidate(*best) if best is not None else None), own_fetch_s
 
     def _preempt(self, job: Job, option: PreemptionOption) -> None:
-        """Claim the option's machine for the job and request that its victims stop."""
+        """Claim the option's machine for the job and request the stops of its victims."""
         machine = option.machine.name
         log.info(
             "preemption requested: job=%s machine=%s victims=%s",
--- a/appledock/core/scheduling/victim_selection.py
+++ b/appledock/core/scheduling/victim_selection.py
@@ -1,9 +1,9 @@
 """Victim selection: which running tasks to stop so that one task of another job fits.
 
-Pure functions on values. The protocol ("Preemption") lets work stop only for a job of higher
-priority, for another team's guarantee, and on machines that are drained. Only the first rule is
-applied here; a machine's own drain is a matter of the fleet. Among the allowed victims, those
-are taken that lose least work.
+The functions are pure. The protocol ("Preemption") allows stopping tasks only for a job of higher
+priority, for another team's guarantee, and on machines that are being drained. This module
+applies only the first rule; draining a machine is done by the fleet. Among the allowed victims,
+those whose stop discards least work are selected.
 """
 
 from __future__ import annotations
@@ -18,35 +18,36 @@
 from appledock.core.workers import Worker
 
 MIN_CPUS = 0.1
-"""tasks that request fewer CPUs are weighed as if they requested so many"""
+"""CPUs; the work of a task that requests fewer is counted as if it requested this many"""
 
 
 @dataclass(frozen=True, slots=True)
 class Victim:
-    """One running task that may be stopped."""
+    """A running task that may be stopped."""
 
     job: Job
     task: int
     lost_cpu_s: float
-    """work that stopping it discards, in CPU seconds"""
+    """work that the stop discards, in CPU seconds"""
 
 
 @dataclass(frozen=True, slots=True)
 class PreemptionOption:
-    """A machine with victims that suffice for one task."""
+    """A machine with enough victims for one task of the preempting job."""
 
     cost_s: float
-    """image fetch time, and discarded work weighted against waiting, in s"""
+    """s; image fetch time plus the weighted discarded work"""
     machine: MachineCapacity
     victims: list[Victim]
 
 
 def is_preemptible(job: Job, inherited_rank: int, preemptor: Job) -> bool:
-    """May tasks of the job be stopped for the other job?
+    """Return whether tasks of the job may be stopped for the preemptor.
 
-    A job counts with the rank of the jobs that depend on it, the preemptor with its own only:
-    with inherited ranks, wide early stages of a pipeline stop work in such numbers that the
-    writes for it are what becomes scarce. A gang is never stopped in part.
+    The job has the rank that it inherits from the jobs that depend on it, but the preemptor only
+    its own rank. With an inherited rank, the wide early stages of a pipeline would preempt so
+    many tasks that store writes became the bottleneck. Tasks of a gang are never stopped,
+    because a gang cannot run in part.
     """
     return inherited_rank < preemptor.spec.rank and not job.cancelled and not job.spec.gang
 
@@ -54,10 +55,10 @@
 def running_tasks(
     job: Job, attempts: Iterable[Attempt], agent_epoch: int, worker: Worker, now: float
 ) -> Iterator[Victim]:
-    """The job's tasks on a machine that could be stopped, of its attempts there.
+    """Yield the tasks of the job's attempts on a machine whose stop would free capacity.
 
-    Left out are attempts that are being stopped or of another agent epoch, and tasks reported
-    as ended although the record does not say so yet: stopping these would free nothing.
+    Attempts that are being stopped or that belong to another agent epoch are left out, and so
+    are tasks that the worker reports as exited although the record does not show this yet.
     """
     spec = job.spec
     running_since = worker.status.running_since
@@ -81,15 +82,16 @@
     victims: Iterable[Victim],
     quota_deficit: Resources = NO_RESOURCES,
 ) -> list[Victim] | None:
-    """The victims that lose least and suffice for one task, those that lose least first.
+    """Return enough victims for one task, in ascending order of discarded work.
 
-    Sufficient is what lets the task fit on the machine and frees `quota_deficit` of the team's
-    limit. None if all victims together do not suffice, or if none is needed.
+    The victims are enough if the task fits on the machine without them and if they free
+    `quota_deficit` of the team's limit. None if all victims together are not enough, or if no
+    victim is needed.
     """
     cpus, gpus, memory_gb = machine.cpus, machine.gpus, machine.memory_gb
     recovered = NO_RESOURCES
     selected: list[Victim] = []
-    for victim in sorted(victims, key=_least_lost_first):
+    for victim in sorted(victims, key=_discarded_work_key):
         if fits_in(spec, cpus, gpus, memory_gb) and quota_deficit.fits_in(recovered):
             break
         stopped = victim.job.spec
@@ -102,17 +104,17 @@
     return selected if is_sufficient and selected else None
 
 
-def _least_lost_first(victim: Victim) -> tuple[float, str, int]:
+def _discarded_work_key(victim: Victim) -> tuple[float, str, int]:
     return victim.lost_cpu_s, victim.job.id, victim.task
 
 
 def preemption_cost_s(
     spec: wire.JobSpec, machine: MachineCapacity, victims: Iterable[Victim], lost_work_weight: float
 ) -> float:
-    """What starting a task in place of the victims costs, in seconds of its waiting.
+    """Return the cost of starting a task in place of the victims, in seconds of waiting time.
 
-    `lost_work_weight` is the operators' setting: a second of discarded work, at the task's own
-    size, against a second of waiting.
+    `lost_work_weight` is the operators' setting: the weight of one second of discarded work, of
+    a task of this size, against one second of waiting.
     """
     lost_cpu_s = sum(victim.lost_cpu_s for victim in victims)
     return image_fetch_s(spec, machine) + lost_work_weight * lost_cpu_s / max(spec.cpus, MIN_CPUS)
--- a/tests/unit/scheduling/test_preemption.py
+++ b/tests/unit/scheduling/test_preemption.py
@@ -1,4 +1,4 @@
-"""Preemption from its collaborators: victims, claims and whom the job is handed to."""
+"""Unit tests of preemption: choice of victims, claims, and hand-off to another controller."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from appledock.core.workers import Worker
 from tests.test_requests import spec
 
-KIND = wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a"], fetch_gb_per_s=0.5)
-HIGH = Job(spec(id="job-9", rank="production", cores=4.0, crates=2), 0.0, 3)
+MACHINE_TYPE = wire.MachineType("h4", 4, 16, 0.2, 0.1, 5, ["a"], fetch_gb_per_s=0.5)
+HIGH_PRIORITY_JOB = Job(spec(id="job-9", rank="production", cores=4.0, crates=2), 0.0, 3)
 
 
 class StopRequests:
-    """Records what was requested."""
+    """Records the requested stops."""
 
     def __init__(self) -> None:
         self.requested: list[tuple[str, str, set[int]]] = []
@@ -34,7 +34,10 @@
 
 
 class Cluster:
-    """Full machines, each with one task of a job of its own: `owners` names their owners."""
+    """Full machines, each running the only task of a separate job.
+
+    `owners` has the owner of each machine.
+    """
 
     def __init__(self, *owners: str) -> None:
         self.runtime: Any = SimpleNamespace(
@@ -49,10 +52,19 @@
             job.attempts.append(Attempt(name, 1, 1, 1, False, {0}))
             self.replica.set_job(job)
             self.machines[name] = MachineCapacity(
-                name, KIND, "a", False, 1, 0.0, 0.0, 16.0, {HIGH.spec.image}, owner=owner
+                name,
+                MACHINE_TYPE,
+                "a",
+                False,
+                1,
+                0.0,
+                0.0,
+                16.0,
+                {HIGH_PRIORITY_JOB.spec.image},
+                owner=owner,
             )
             worker = self.workers[name] = Worker(name)
-            # The later a task began, the less work is lost with it.
+            # A task that started later loses less work when it is stopped.
             worker.status.running_since[(f"job-{number}/0", 1)] = 10.0 * number
         self.stop_requests = StopRequests()
         self.preemption = Preemption(
@@ -68,20 +80,20 @@
         )
 
 
-def test_tasks_that_lose_least_are_stopped_and_their_machine_is_claimed() -> None:
+def test_the_victims_with_least_lost_work_are_stopped_and_their_machine_is_claimed() -> None:
     cluster = Cluster("n0", "n0", "n0")
-    assert cluster.preemption.preempt_for(HIGH, 1, {}) is None
+    assert cluster.preemption.preempt_for(HIGH_PRIORITY_JOB, 1, {}) is None
     assert cluster.stop_requests.requested == [("job-2", "vm-2", {0})]
     other = Job(spec(id="job-8"), 0.0)
-    assert cluster.preemption.is_available_to("vm-2", HIGH)
+    assert cluster.preemption.is_available_to("vm-2", HIGH_PRIORITY_JOB)
     assert not cluster.preemption.is_available_to("vm-2", other)
-    assert cluster.preemption.preempt_for(HIGH, 1, {}) is None
-    assert len(cluster.stop_requests.requested) == 1, "the claim counts for the task"
+    assert cluster.preemption.preempt_for(HIGH_PRIORITY_JOB, 1, {}) is None
+    assert len(cluster.stop_requests.requested) == 1, "the claim already covers the task"
 
 
-def test_the_job_is_handed_to_the_controller_of_the_cheapest_victims_if_none_are_ours() -> None:
+def test_the_job_is_handed_to_the_owner_of_the_cheapest_victims_if_this_one_has_none() -> None:
     cluster = Cluster("n1", "n2")
-    assert cluster.preemption.preempt_for(HIGH, 1, {}) == "n2"
+    assert cluster.preemption.preempt_for(HIGH_PRIORITY_JOB, 1, {}) == "n2"
     assert cluster.stop_requests.requested == [] and cluster.preemption.claims == {}
 
 
@@ -93,32 +105,34 @@
 
 
 @pytest.mark.parametrize("ending", ["time", "placed", "job ended"])
-def test_a_claim_ends_with_its_time_its_placement_and_its_job(ending: str) -> None:
+def test_a_claim_ends_when_it_expires_and_when_its_job_is_placed_or_ends(ending: str) -> None:
     cluster = Cluster("n0")
-    cluster.replica.set_job(HIGH)
-    cluster.preemption.preempt_for(HIGH, 1, {})
+    cluster.replica.set_job(HIGH_PRIORITY_JOB)
+    cluster.preemption.preempt_for(HIGH_PRIORITY_JOB, 1, {})
     cluster.preemption.expire_claims()
     assert cluster.preemption.claimed_machines == {"vm-0": "job-9"}
     if ending == "time":
         cluster.runtime.now += constants.PREEMPTION_RESERVATION_S
     elif ending == "placed":
-        cluster.preemption.release_claims("job-9", [StepReservation("vm-0", HIGH.spec, 1)])
+        cluster.preemption.release_claims(
+            "job-9", [StepReservation("vm-0", HIGH_PRIORITY_JOB.spec, 1)]
+        )
     else:
         del cluster.replica.jobs["job-9"]
     cluster.preemption.expire_claims()
     assert cluster.preemption.claims == {} and cluster.preemption.claimed_machines == {}
 
 
-def test_gangs_cancelled_jobs_and_those_of_inherited_rank_are_spared() -> None:
+def test_gangs_cancelled_jobs_and_jobs_of_equal_inherited_rank_are_not_preempted() -> None:
     low = Job(spec(id="job-1", rank="standard"), 0.0)
-    assert is_preemptible(low, low.spec.rank, HIGH)
-    assert not is_preemptible(low, HIGH.spec.rank, HIGH)
-    assert not is_preemptible(Job(low.spec, 0.0, cancelled=True), low.spec.rank, HIGH)
+    assert is_preemptible(low, low.spec.rank, HIGH_PRIORITY_JOB)
+    assert not is_preemptible(low, HIGH_PRIORITY_JOB.spec.rank, HIGH_PRIORITY_JOB)
+    assert not is_preemptible(Job(low.spec, 0.0, cancelled=True), low.spec.rank, HIGH_PRIORITY_JOB)
     gang = Job(spec(id="job-1", rank="standard", shape="group"), 0.0)
-    assert not is_preemptible(gang, gang.spec.rank, HIGH)
+    assert not is_preemptible(gang, gang.spec.rank, HIGH_PRIORITY_JOB)
 
 
-def test_stopping_attempts_and_those_of_earlier_epochs_free_nothing() -> None:
+def test_attempts_that_are_stopping_or_of_earlier_agent_epochs_are_not_victims() -> None:
     job = Job(spec(id="job-1", crates=3), 0.0)
     attempts = [
         Attempt("vm-1", 1, 1, 1, False, {0}),
