--- a/appledock/core/scheduling/handoff.py
+++ b/appledock/core/scheduling/handoff.py
@@ -1,4 +1,4 @@
-"""Hand-off: which controller a step that lacks capacity here is handed to."""
+"""Hand-off: choice of the controller that takes over a job that lacks capacity here."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class HandoffPolicy:
-    """Picks the controller whose machines have most free slots for a job."""
+    """Chooses the controller to hand a job off to: the one with most free slots for it."""
 
     def __init__(self, runtime: Runtime, replica: Replica) -> None:
         self._runtime = runtime
         self._replica = replica
         self._received_at: dict[str, float] = {}
-        """job handed to this controller -> when that was noticed"""
+        """job handed to this controller -> time at which this controller noticed it"""
 
     def forget(self, job_id: str) -> None:
-        """The job is over, or another controller's."""
+        """Drop the state of a job that has ended or that another controller owns."""
         self._received_at.pop(job_id, None)
 
     def on_job_owned(self, job: Job) -> None:
-        """The job is this controller's, perhaps by a hand-off."""
+        """Start the hand-off cooldown of a job of this controller that was handed to it."""
         if job.handoff_target:
             self._received_at.setdefault(job.id, self._runtime.now)
 
@@ -36,9 +36,10 @@
         tasks: int,
         tasks_by_zone: dict[str, int],
     ) -> str | None:
-        """Choose the controller for `tasks` tasks that found no capacity; None: they stay here.
+        """Return the controller for `tasks` tasks that found no capacity; None to keep them here.
 
-        `tasks_by_zone` counts the job's unsettled tasks, those of this step included.
+        `tasks_by_zone` is the number of the job's unsettled tasks in each zone, including those
+        of this step.
         """
         view = self._replica.view
         assert view is not None
@@ -57,7 +58,7 @@
     def _free_slots_by_peer(
         self, job: Job, machines: list[MachineCapacity], tasks_by_zone: dict[str, int]
     ) -> dict[str, int]:
-        """Count the free slots for the job of each other controller that has any."""
+        """Return the number of free slots for the job of each other controller that has any."""
         view = self._replica.view
         assert view is not None
         by_owner: dict[str, list[MachineCapacity]] = {}
@@ -71,31 +72,31 @@
         }
 
     def _is_worthwhile(self, job: Job, tasks: int, free_slots: int) -> bool:
-        """Does handing a batch job off save more waiting than its write costs?
+        """Return whether handing a batch job off saves enough waiting time to be worth a write.
 
-        Capacity is freed here as well: handed round for a task here and a task there, a job
-        costs more writes than it saves waiting.
+        Capacity is freed on this controller's machines as well, so handing a job off for a few
+        tasks at a time would take more writes than the shorter wait is worth.
         """
         received_at = self._received_at.get(job.id, constants.DISTANT_PAST)
-        has_rested = self._runtime.now - received_at > constants.HANDOFF_COOLDOWN_S
-        least = min(tasks, max(1, math.ceil(tasks * constants.HANDOFF_MIN_SHARE)))
-        return free_slots >= least and has_rested
+        has_cooled_down = self._runtime.now - received_at > constants.HANDOFF_COOLDOWN_S
+        min_slots = min(tasks, max(1, math.ceil(tasks * constants.HANDOFF_MIN_SHARE)))
+        return free_slots >= min_slots and has_cooled_down
 
 
 def most_free_slots(slots_by_node: dict[str, int]) -> str:
-    """Return the node with most free slots; among equals the first by name."""
+    """Return the node with most free slots; of several such nodes, the first by name."""
     return max(sorted(slots_by_node), key=slots_by_node.__getitem__)
 
 
 def choose_for_gang(
     slots_by_node: dict[str, int], total_slots: int, tasks: int, leader: str
 ) -> str | None:
-    """Choose a controller that can place the whole gang.
+    """Return a controller that can place the whole gang; None if there is none.
 
-    What fits the machines of none is placed by the leader over all machines, if they have
-    slots for it together.
+    A gang that fits on no single controller's machines goes to the leader, which places it on
+    the machines of all controllers, provided that these have enough slots in total.
     """
-    whole = {node: count for node, count in slots_by_node.items() if count >= tasks}
-    if whole:
-        return most_free_slots(whole)
+    sufficient = {node: count for node, count in slots_by_node.items() if count >= tasks}
+    if sufficient:
+        return most_free_slots(sufficient)
     return leader if total_slots >= tasks else None
--- a/appledock/core/scheduling/lost_launches.py
+++ b/appledock/core/scheduling/lost_launches.py
@@ -1,4 +1,4 @@
-"""Launches that may still be under way for tasks that are to be stopped."""
+"""Detection of launch commands that may still be in flight for tasks that are to be stopped."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class LostLaunchDetector:
-    """Requests a new term where a stopped attempt never shows up on its worker.
+    """Requests a new term if an attempt that is to be stopped does not appear on its worker.
 
-    Its launch command may still be under way. A higher fencing token makes it harmless: the
-    worker refuses it once it has seen the new term.
+    The launch command of the attempt may still be in flight. The term is the fencing token of
+    commands: a worker that has seen a new term rejects commands of earlier terms.
     """
 
     def __init__(
@@ -32,14 +32,14 @@
         self._view_requests = view_requests
         self._workers = workers
         self._missing_since: dict[str, float] = {}
-        """job -> since when a stopped attempt of it has not shown up"""
+        """job -> time since which an attempt to be stopped is missing from its worker's reports"""
 
     def forget(self, job_id: str) -> None:
-        """Drop what is kept of a job that is over."""
+        """Drop the state of a job that has ended."""
         self._missing_since.pop(job_id, None)
 
     def check(self) -> None:
-        """Look at all own jobs."""
+        """Check the jobs of this controller, and request a new term if one is needed."""
         now = self._runtime.now
         for job in self._replica.jobs.values():
             is_missing = any(
@@ -52,7 +52,10 @@
                 self._view_requests.new_term = True
 
     def _is_missing(self, job: Job, attempt: Attempt) -> bool:
-        """Has the worker, which reports, not shown a task of an attempt of the present term?"""
+        """Return whether a task of an attempt of the current term is missing on its worker.
+
+        The attempt counts as missing only while the worker sends heartbeats.
+        """
         if attempt.term != self._membership.term:
             return False
         worker = self._workers.table.get(attempt.machine)
@@ -60,8 +63,9 @@
             return False
         silent_s = self._runtime.now - worker.reachability.last_heartbeat_at
         if silent_s > constants.PROBE_SILENCE_THRESHOLD_S:
-            # A silent worker would not show that it has seen a new term, which costs the
-            # whole cluster; the expiry of its lease or its deletion settles the attempt.
+            # A silent worker could not confirm that it has seen a new term, and a new term is
+            # expensive for the whole cluster. The attempt is settled when the worker's lease
+            # expires or its machine is deleted.
             return False
         return any(
             (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks
--- a/appledock/core/scheduling/settlement_recorder.py
+++ b/appledock/core/scheduling/settlement_recorder.py
@@ -1,4 +1,4 @@
-"""Records what is settled of a job, and the stops requested for it, in the job's record."""
+"""Writes settled attempts and requested stops to the job's record."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SettlementRecorder:
-    """Requests the write that a job's settled attempts, its end or its stop requests need."""
+    """Requests the writes that a job's settled attempts, its end or its stop requests need."""
 
     def __init__(
         self,
@@ -36,11 +36,14 @@
         self._pacing = pacing
 
     def record(self, job: Job) -> None:
-        """Write what is settled now, or look again later; do nothing if nothing is."""
+        """Write what is settled of the job now, or defer the job to a later reconciliation.
+
+        Do nothing if nothing has changed.
+        """
         queue = self._reconcile_queue
         if not self._writer.can_write(job):
-            # Jobs cancelled with one that they depend on too: once the write of their end has
-            # failed, nothing else happens to them that would have it written.
+            # This also defers jobs that are cancelled because they depend on a cancelled job: if
+            # the write of their end fails, no later event requests it again.
             if job.attempts or self._replica.is_cancelled(job.id):
                 queue.deferred_jobs.add(job.id)
             return
@@ -58,13 +61,15 @@
         queue.placement_due = True
         if is_over:
             self._commit(job, self._final_priority(job))
-        elif (has_lost_tasks and self._waits_for_step(job.id)) or not self._is_progress_due(job):
+        elif (has_lost_tasks and self._should_wait_for_step(job.id)) or not self._is_progress_due(
+            job
+        ):
             queue.deferred_jobs.add(job.id)
         else:
             self._commit(job, Priority.PROGRESS)
 
     def _commit_stops(self, job: Job) -> bool:
-        """Write the stops requested for the job; False if there is nothing to stop."""
+        """Write the stops requested for the job; return False if there is nothing to stop."""
         if not self._stop_requests.has_pending(job.id):
             return False
         stopped = self._settlement.copy_without_settled_attempts(job)
@@ -77,7 +82,10 @@
         self._writer.commit(job, self._settlement.copy_without_settled_attempts(job), priority)
 
     def _final_priority(self, job: Job) -> Priority:
-        """A job's end is urgent if others depend on it: they start only once it is written."""
+        """Return the priority of the write of the job's end.
+
+        It is urgent if other jobs depend on the job, since they start only after this write.
+        """
         has_dependents = job.id in self._replica.dependencies.dependents
         return Priority.URGENT if has_dependents else Priority.FINAL
 
@@ -85,11 +93,11 @@
         written_at = self._writer.written_at.get(job.id, constants.DISTANT_PAST)
         return self._runtime.now >= written_at + self._pacing.progress_interval_s(job)
 
-    def _waits_for_step(self, job_id: str) -> bool:
-        """Lost tasks wait, for a while, for a step that records their loss in its own write.
+    def _should_wait_for_step(self, job_id: str) -> bool:
+        """Return whether lost tasks should still wait for a step whose write records the loss too.
 
-        Recorded by themselves they take a write more for each job, and their replacements wait
-        for it: after forty machines were lost at once, for up to six seconds.
+        Recording the loss separately takes one more write for each job, for which the replacement
+        tasks have to wait: for up to six seconds after forty machines were lost at once.
         """
         now = self._runtime.now
         freed_at = self._reconcile_queue.capacity_freed_at.setdefault(job_id, now)
