--- a/appledock/core/scheduling/moves/cooldowns.py
+++ b/appledock/core/scheduling/moves/cooldowns.py
@@ -1,4 +1,4 @@
-"""Cool-downs: for how long a job that was moved, or could not be, is left alone."""
+"""Cooldowns: how long a job is not moved after a move, or after a refused one."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class Cooldowns:
-    """Keeps jobs from being moved again and again."""
+    """Prevents jobs from being moved repeatedly in short succession."""
 
     def __init__(self, runtime: Runtime, policy: MovePolicy) -> None:
         self._runtime = runtime
         self._policy = policy
         self._until: dict[str, float] = {}
-        """job -> when its cool-down ends, on the steady clock"""
+        """job -> end of its cooldown, on the monotonic clock"""
 
     def is_cooling_down(self, job_id: str) -> bool:
-        """Was the job moved, or a move of it refused, so lately that it is left alone?"""
+        """Return whether the job's cooldown after a move or a refused one has not ended."""
         return self._runtime.now < self._until.get(job_id, constants.DISTANT_PAST)
 
     def duration_s(self, order: MoveOrder) -> float:
-        """Return the cool-down after this move; short if it drained its source machine."""
+        """Return the cooldown (s) after this move; it is short if its source is being drained."""
         if self._policy.is_draining(order.source):
             return constants.DRAIN_MOVE_COOLDOWN_S
         return self._policy.settings.cooldown_s
 
     def start(self, job_id: str, duration_s: float) -> None:
-        """Start the job's cool-down, in place of one that has begun."""
+        """Start a cooldown of the job, which replaces a running one."""
         self._until[job_id] = self._runtime.now + duration_s
 
     def extend(self, job_id: str, duration_s: float) -> None:
-        """Let the job's cool-down last at least so long from now."""
+        """Make the job's cooldown last at least `duration_s` from now."""
         until = self._runtime.now + duration_s
         self._until[job_id] = max(until, self._until.get(job_id, constants.DISTANT_PAST))
 
     def drop_ended(self) -> None:
-        """Forget cool-downs that have ended."""
+        """Drop the cooldowns that have ended."""
         now = self._runtime.now
         self._until = {job_id: until for job_id, until in self._until.items() if until > now}
--- a/appledock/core/scheduling/moves/coordinator.py
+++ b/appledock/core/scheduling/moves/coordinator.py
@@ -1,4 +1,4 @@
-"""Connects the roles of this controller in moves, and passes messages between them."""
+"""Coordinator of moves: creates this controller's roles in moves and routes their messages."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
 
 
 class Moves:
-    """Moves of running tasks that this controller takes part in, in any role."""
+    """The moves of running tasks in which this controller has any role."""
 
-    def __init__(  # noqa: PLR0913 -- what its three roles need
+    def __init__(  # noqa: PLR0913 -- the collaborators of its three roles
         self,
         *,
         runtime: Runtime,
@@ -98,15 +98,15 @@
 
     # --- for planners of moves ----------------------------------------------
     def request(self, proposal: Proposal) -> None:
-        """Ask the destination's owner for a move."""
+        """Request a move from the owner of its destination."""
         self.requester.request(proposal)
 
     def count_dry_run(self) -> None:
-        """Count a move that is not requested, since the operators have set a dry run."""
+        """Count a move that is not requested because the operators have set a dry run."""
         self.requester.count_dry_run()
 
     def is_cooling_down(self, job_id: str) -> bool:
-        """Is the job moving, or in the cool-down after a move, as far as is known here?"""
+        """Return whether this controller knows of a move or a cooldown of the job."""
         return (
             self.reservations.has_any(job_id)
             or self._cooldowns.is_cooling_down(job_id)
@@ -114,27 +114,27 @@
         )
 
     def is_reachable(self, node: str) -> bool:
-        """Would this job owner receive a move, and this controller its outcome?"""
+        """Return whether messages between this controller and the job owner `node` arrive."""
         return node == self._runtime.node or self._heartbeats.is_reachable(node)
 
     @property
     def requested(self) -> Mapping[int, OngoingMove]:
-        """Moves that this controller has requested and that have not ended, by number."""
+        """Moves that this controller has requested and that have not ended, by order number."""
         return self.requester.requested
 
     @property
     def ended(self) -> deque[EndedMove]:
-        """The last of the moves that this controller has requested, for operators."""
+        """The most recent ended moves that this controller has requested, for operators."""
         return self.requester.ended
 
     @property
     def outcomes(self) -> Counter[str]:
-        """How the moves that this controller has requested ended, counted."""
+        """Outcome -> number of ended moves that this controller has requested."""
         return self.requester.outcomes
 
     # --- for placement ------------------------------------------------------
     def is_moving(self, job_id: str) -> bool:
-        """Is capacity reserved for a task of this job of this controller?"""
+        """Return whether this controller carries out a move of the job as its owner."""
         return job_id in self.reservations.as_job_owner
 
     def place_moved_task(
@@ -144,12 +144,12 @@
         return self.job_owner.place_moved_task(job, unsettled, zones)
 
     def on_step_committed(self, job_id: str, reservations: list[StepReservation]) -> None:
-        """A step of the job is committed."""
+        """End the job's move if the committed step placed a task on the move's destination."""
         self.job_owner.on_step_committed(job_id, reservations)
 
     # --- messages -----------------------------------------------------------
     def on_peer_message(self, message: MoveMessage) -> None:
-        """Pass a message of a peer, or of this controller, to the role that it is for."""
+        """Route a message, from a peer or from this controller, to the role it is meant for."""
         match message:
             case MoveRequested():
                 self.destination_owner.on_requested(message.order)
@@ -169,7 +169,10 @@
 
     # --- time and views -----------------------------------------------------
     def tick(self) -> None:
-        """From time to time, end moves that have expired or are over by the records."""
+        """End moves that have expired or that are finished according to the records.
+
+        Runs every `MOVE_CHECK_INTERVAL_S`.
+        """
         if self._runtime.now < self._next_check_at:
             return
         self._next_check_at = self._runtime.now + constants.MOVE_CHECK_INTERVAL_S
@@ -180,6 +183,6 @@
         self.requester.forget_closed_jobs()
 
     def on_view(self) -> None:
-        """A new view ends all moves: the owners of machines and jobs may have changed."""
+        """End all moves at a new view, since the owners of machines and jobs may have changed."""
         self.requester.on_view()
         self.reservations.release_all()
--- a/appledock/core/scheduling/moves/destination_owner.py
+++ b/appledock/core/scheduling/moves/destination_owner.py
@@ -1,4 +1,4 @@
-"""The destination's owner in a move: reserves the capacity, if it is there."""
+"""Role of the destination owner in a move: reserves capacity on the destination machine."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class DestinationOwner:
-    """Answers requests for capacity on this controller's machines."""
+    """Handles move orders whose destination is a machine of this controller."""
 
-    def __init__(  # noqa: PLR0913 -- an order is checked against all that bears on the machine
+    def __init__(  # noqa: PLR0913 -- the check of an order needs many collaborators
         self,
         *,
         runtime: Runtime,
@@ -42,7 +42,7 @@
         self._send = send
 
     def on_requested(self, order: MoveOrder) -> None:
-        """Reserve the capacity and tell the job's owner; or tell the requester why not."""
+        """Reserve the capacity and notify the job owner, or send the refusal to the requester."""
         refusal = self.refusal(order)
         if refusal is not None:
             self._send(order.planner, MoveEnded(order, refusal))
@@ -52,7 +52,7 @@
         self._send(self._replica.job_owner(job), MoveReserved(order))
 
     def refusal(self, order: MoveOrder) -> MoveOutcome | None:
-        """Return why the order is refused here; None if its capacity can be reserved."""
+        """Return why this controller refuses the order; None if it can reserve the capacity."""
         if not self._policy.is_enabled():
             return MoveOutcome.REBALANCING_OFF
         refusal = self._order_check.refusal(order)
@@ -64,7 +64,7 @@
             order.job in self._reservations.as_destination_owner
             or self._capacity_index.move_reservations.get(order.destination)
         ):
-            # One move at a time: several planners may choose the same empty machine.
+            # One move at a time to each machine: several planners may choose the same empty one.
             return MoveOutcome.MOVE_IN_PROGRESS
         return self._refusal_by_capacity(order)
 
@@ -83,22 +83,22 @@
         return None
 
     def on_ended(self, order: MoveOrder) -> None:
-        """The job's owner says that the move is over."""
+        """Release the capacity of a move that the job owner reports as ended."""
         if self._reservations.is_reserved_as_destination_owner(order):
-            self._drop(order)
+            self._release(order)
 
     def tick(self) -> None:
-        """Release capacity whose move has expired, or has arrived by the job's record."""
+        """Release the capacity of moves that have expired or are finished according to records."""
         for move in list(self._reservations.as_destination_owner.values()):
-            if self._runtime.now >= move.expires_at or self._has_arrived(move.order):
-                self._drop(move.order)
+            if self._runtime.now >= move.expires_at or self._has_finished(move.order):
+                self._release(move.order)
 
-    def _drop(self, order: MoveOrder) -> None:
+    def _release(self, order: MoveOrder) -> None:
         del self._reservations.as_destination_owner[order.job]
         self._reservations.release(order)
 
-    def _has_arrived(self, order: MoveOrder) -> bool:
-        """Do the records show a later attempt at the destination, or no job any more?"""
+    def _has_finished(self, order: MoveOrder) -> bool:
+        """Return whether the job has a later attempt at the destination or has ended."""
         job = self._replica.jobs.get(order.job)
         return job is None or any(
             attempt.machine == order.destination and attempt.attempt_number > order.attempt
--- a/appledock/core/scheduling/moves/job_owner.py
+++ b/appledock/core/scheduling/moves/job_owner.py
@@ -1,4 +1,4 @@
-"""The job's owner in a move: stops the task, and places its next attempt."""
+"""Role of the job owner in a move: stops the task and places its next attempt."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 
 class JobOwner:
-    """Carries out the moves of this controller's jobs."""
+    """Carries out the moves of tasks of this controller's jobs."""
 
-    def __init__(  # noqa: PLR0913 -- an order is checked against all that bears on the job
+    def __init__(  # noqa: PLR0913 -- the check of an order needs many collaborators
         self,
         *,
         runtime: Runtime,
@@ -66,7 +66,7 @@
 
     # --- the stop -----------------------------------------------------------
     def on_reserved(self, order: MoveOrder) -> None:
-        """The destination's owner has reserved the capacity: stop the task, or end the move."""
+        """Stop the task now that the destination owner has reserved capacity, or end the move."""
         refusal = self.refusal(order)
         if refusal is not None:
             self._end(order, refusal)
@@ -75,14 +75,14 @@
         self._stop_requests.add(order.job, order.source, {order.task})
 
     def refusal(self, order: MoveOrder) -> MoveOutcome | None:
-        """Return why the order is refused by what is known now; None if the task may be stopped."""
+        """Return why this controller refuses the order; None if the task may be stopped."""
         refusal = self._order_check.refusal(order)
         if refusal is not None:
             return refusal
         job = self._replica.jobs[order.job]
         return (
             self._refusal_by_policy(job, order)
-            or self._refusal_by_pace(job)
+            or self._refusal_by_rate(job)
             or self._refusal_by_task(job, order)
             or self._refusal_by_replicas(job)
             or self._refusal_by_capacity(job, order)
@@ -98,7 +98,7 @@
             return MoveOutcome.NOT_ALLOWED
         return None
 
-    def _refusal_by_pace(self, job: Job) -> MoveOutcome | None:
+    def _refusal_by_rate(self, job: Job) -> MoveOutcome | None:
         if job.id in self._reservations.as_job_owner or not self._writer.can_write(job):
             return MoveOutcome.MOVE_IN_PROGRESS
         if self._cooldowns.is_cooling_down(job.id):
@@ -123,18 +123,21 @@
         return None
 
     def _refusal_by_replicas(self, job: Job) -> MoveOutcome | None:
-        """A service keeps its replicas, less a configured number, running during moves."""
-        least = job.spec.tasks - self._policy.settings.replicas_down
-        if job.spec.service and self._count_running(job) - 1 < least:
+        """Refuse a move that would leave a service with too few running replicas.
+
+        Moves may take down at most a configured number of a service's replicas at a time.
+        """
+        min_running = job.spec.tasks - self._policy.settings.replicas_down
+        if job.spec.service and self._count_running(job) - 1 < min_running:
             return MoveOutcome.TOO_FEW_REPLICAS
         return None
 
     def _refusal_by_capacity(self, job: Job, order: MoveOrder) -> MoveOutcome | None:
-        """Does this controller see the capacity too, with its own steps under way?
+        """Check the capacity again, including this controller's own steps that are being written.
 
-        Guards against a task that is stopped for capacity which a step of this controller
-        takes meanwhile, on a machine of another controller that it places on as well: its next
-        attempt then preempted others' work.
+        This controller may also place on machines of other controllers. Without this check, the
+        task was stopped although such a step was taking its destination's capacity, and its next
+        attempt then preempted other tasks.
         """
         if self._reservations.is_reserved_as_destination_owner(order):
             return None
@@ -152,9 +155,17 @@
     ) -> list[PlacedTasks]:
         """Place the next attempt of the stopped task on the capacity reserved for it.
 
-        `unsettled` is the job without its settled attempts, `zones` counts its tasks by zone.
-        Empty while the stopped attempt is not settled; also if the capacity is there no more:
-        the move has ended then, and the task is placed as any other.
+        If the capacity is not available any more, the move ends, and the task is placed like any
+        other queued task.
+
+        Args:
+            job: the job whose task is being moved
+            unsettled: the job without its settled attempts
+            zones: zone -> number of the job's unsettled tasks
+
+        Returns:
+            The task placed; empty while the stopped attempt is unsettled, if no task of the job
+            is being moved, or if the move has just ended.
         """
         move = self._reservations.as_job_owner.get(job.id)
         if move is None or find_open_attempt(unsettled, move.order) is not None:
@@ -163,7 +174,7 @@
         if machine is None or not self._preemption.is_available_to(machine.name, job):
             self._end(move.order, MoveOutcome.DESTINATION_UNAVAILABLE)
             return []
-        machine.release(job.spec, 1)  # what is reserved for this task
+        machine.release(job.spec, 1)  # the capacity reserved for this task
         sampling = Sampling(self._runtime.rng)
         placed = placement.place(job.spec, 1, [machine], sampling, zones or {})
         if not placed:
@@ -172,7 +183,7 @@
         return placed
 
     def on_step_committed(self, job_id: str, reservations: list[StepReservation]) -> None:
-        """A step of the job is committed: its move is done if the step used the destination."""
+        """End the job's move if the committed step placed a task on the move's destination."""
         move = self._reservations.as_job_owner.get(job_id)
         if move is not None and any(
             reservation.machine == move.order.destination for reservation in reservations
@@ -181,7 +192,7 @@
 
     # --- the end ------------------------------------------------------------
     def _end(self, order: MoveOrder, outcome: MoveOutcome) -> None:
-        """End the move, and tell its requester and the destination's owner."""
+        """End the move and report its outcome to its requester and to the destination owner."""
         if self._reservations.is_reserved_as_job_owner(order):
             del self._reservations.as_job_owner[order.job]
             self._cooldowns.start(order.job, self._cooldowns.duration_s(order))
@@ -191,7 +202,7 @@
             self._send(node, MoveEnded(order, outcome))
 
     def tick(self) -> None:
-        """End the moves that take too long, or are over by the records."""
+        """End the moves that have expired or that are finished according to the records."""
         for move in list(self._reservations.as_job_owner.values()):
             outcome = self._outcome_by_records(move)
             if outcome is not None:
@@ -211,5 +222,5 @@
             and job.queued_task_count == 0
             and self._writer.can_write(job)
         ):
-            return MoveOutcome.TASK_CHANGED  # it completed before the stop reached it
+            return MoveOutcome.TASK_CHANGED  # the task completed before the stop reached it
         return None
--- a/appledock/core/scheduling/moves/outcome.py
+++ b/appledock/core/scheduling/moves/outcome.py
@@ -1,4 +1,4 @@
-"""How moves end, and the records of moves under way and of past ones."""
+"""Outcomes of moves, and the data of ongoing and ended moves."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MoveOutcome(enum.StrEnum):
-    """How a move ended; the values go to peers and into the administration API."""
+    """How a move ended; the values are sent to peers and shown in the administration API."""
 
     DONE = "done"
     REBALANCING_OFF = "rebalancing is off there"
@@ -34,11 +34,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OngoingMove:
-    """A move that this controller takes part in."""
+    """A move in progress in which this controller has a role."""
 
     order: MoveOrder
     started_at: float
+    """time at which this controller's part began, on the monotonic clock"""
     expires_at: float
+    """time at which the move is given up, on the monotonic clock"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,6 +49,6 @@
 
     order: MoveOrder
     ended_at: float
-    """time of day, s since the epoch"""
+    """time of day, in seconds since the epoch"""
     outcome: str
-    """a `MoveOutcome`, or the text of one that only a later version knows"""
+    """value of a `MoveOutcome`, or one that only a later version of a peer knows"""
--- a/appledock/core/scheduling/moves/policy.py
+++ b/appledock/core/scheduling/moves/policy.py
@@ -1,4 +1,4 @@
-"""What the parts that plan moves decide about them."""
+"""Policy of moves, defined by the components that plan them."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 
     settings: MoveSettings
     is_enabled: Callable[[], bool]
-    """does any part of this controller move tasks?"""
+    """returns whether any component of this controller moves tasks"""
     is_movable: Callable[[wire.JobSpec], bool]
-    """may tasks of the job be stopped to balance load?"""
+    """returns whether tasks of the job may be stopped to balance load"""
     must_leave: Callable[[wire.JobSpec, str], bool]
-    """is a task of the job to leave this machine, which changes its capacity partition?"""
+    """returns whether tasks of the job must leave the named machine because the machine changes
+    its capacity partition"""
     is_draining: Callable[[str], bool]
-    """is this machine being drained to change its capacity partition?"""
+    """returns whether the named machine is being drained to change its capacity partition"""
--- a/appledock/core/scheduling/moves/requester.py
+++ b/appledock/core/scheduling/moves/requester.py
@@ -1,4 +1,4 @@
-"""The requester in a move: asks for it, and keeps account of how it ended."""
+"""Role of the requester in a move: sends the order and records the outcome."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Requester:
-    """Moves that this controller has asked for."""
+    """Requests moves and tracks them until they end."""
 
     def __init__(
         self,
@@ -37,15 +37,17 @@
         self._cooldowns = cooldowns
         self._send = send
         self.requested: dict[int, OngoingMove] = {}
-        """number of the order -> move that has not ended"""
+        """order number -> requested move that has not ended"""
         self.outcomes: Counter[str] = Counter()
+        """outcome -> number of ended moves"""
         self.ended: deque[EndedMove] = deque(maxlen=constants.MOVE_HISTORY_MAX)
+        """most recent ended moves"""
         self._last_number = 0
         self._unanswered: dict[str, int] = {}
-        """job -> moves in a row that its owner did not answer"""
+        """job -> number of consecutive moves without an answer"""
 
     def request(self, proposal: Proposal) -> None:
-        """Ask the destination's owner for a move."""
+        """Send the order of a proposed move to the owner of its destination."""
         self._last_number += 1
         order = MoveOrder(
             self._runtime.node,
@@ -70,15 +72,15 @@
         self._send(self._replica.owner_of(order.destination), MoveRequested(order))
 
     def is_requested(self, job_id: str) -> bool:
-        """Is a move of the job requested that has not ended?"""
+        """Return whether a requested move of the job has not ended."""
         return any(move.order.job == job_id for move in self.requested.values())
 
     def count_dry_run(self) -> None:
-        """Count a move that would be requested if the operators had not set a dry run."""
+        """Count a move that is not requested because the operators have set a dry run."""
         self.outcomes[MoveOutcome.DRY_RUN] += 1
 
     def on_ended(self, order: MoveOrder, outcome: str) -> None:
-        """The job's or the destination's owner says how the move ended."""
+        """End a requested move with the outcome that the job or destination owner reports."""
         if order.planner != self._runtime.node:
             return
         move = self.requested.get(order.number)
@@ -86,19 +88,19 @@
             self._end(order, outcome)
 
     def on_view(self) -> None:
-        """A new view ends all moves: owners may have changed."""
+        """End all moves at a new view, since owners may have changed."""
         for move in list(self.requested.values()):
             self._record(move.order, MoveOutcome.VIEW_CHANGED)
         self.requested.clear()
 
     def tick(self) -> None:
-        """End the moves whose owners have not answered in time."""
+        """End the moves for which no outcome has arrived in time."""
         for move in list(self.requested.values()):
             if self._runtime.now >= move.expires_at + constants.MOVE_CHECK_INTERVAL_S:
                 self._end(move.order, MoveOutcome.NO_ANSWER)
 
     def forget_closed_jobs(self) -> None:
-        """Drop what is counted for jobs that are over."""
+        """Drop the counters of jobs that have ended."""
         for job_id in self._unanswered.keys() - self._replica.jobs.keys():
             del self._unanswered[job_id]
 
@@ -108,14 +110,14 @@
         self._record(order, outcome)
 
     def _cooldown_s(self, order: MoveOrder, outcome: str) -> float:
-        """Return for how long no move of the job is requested: its owner would refuse it."""
+        """Return how long (s) no move of the job is requested, as its owner would refuse it."""
         unanswered = self._unanswered.pop(order.job, 0)
         match outcome:
             case MoveOutcome.DONE | MoveOutcome.COOLING_DOWN:
                 return self._cooldowns.duration_s(order)
             case MoveOutcome.NO_ANSWER:
-                # The owner may run a version without moves: capacity would be reserved for
-                # nothing again and again.
+                # The owner may run a version without moves. Requests at a constant rate would
+                # reserve capacity repeatedly without any use.
                 self._unanswered[order.job] = unanswered + 1
                 backoff_s: float = constants.MOVE_BACKOFF_S * 2 ** min(10, unanswered)
                 return min(constants.MOVE_BACKOFF_MAX_S, backoff_s)
--- a/appledock/core/scheduling/moves/reservations.py
+++ b/appledock/core/scheduling/moves/reservations.py
@@ -11,9 +11,9 @@
 
 
 class MoveReservations:
-    """Moves that capacity is reserved for, by the role of this controller in them.
+    """Moves for which capacity is reserved, by the role of this controller in them.
 
-    In one move this controller may be the destination's owner, the job's owner, or both: the
+    In one move this controller may be the destination owner, the job owner, or both. The
     capacity is reserved once, and released when neither role needs it any more.
     """
 
@@ -29,31 +29,34 @@
         """job of this controller -> its move"""
 
     def reserve_as_destination_owner(self, order: MoveOrder, spec: wire.JobSpec) -> None:
-        """Reserve capacity as the destination's owner."""
+        """Reserve the capacity of a move as the destination owner."""
         self.as_destination_owner[order.job] = begin_move(order, self._runtime.now)
         self._capacity_index.reserve_for_move(order.destination, spec)
 
     def reserve_as_job_owner(self, order: MoveOrder, spec: wire.JobSpec) -> None:
-        """Reserve capacity as the job's owner."""
+        """Reserve the capacity of a move as the job owner."""
         self.as_job_owner[order.job] = begin_move(order, self._runtime.now)
         self._capacity_index.reserve_for_move(order.destination, spec)
 
     def is_reserved_as_destination_owner(self, order: MoveOrder) -> bool:
-        """Is the capacity for exactly this order held here, as the destination's owner?"""
-        as_destination_owner = self.as_destination_owner.get(order.job)
-        return as_destination_owner is not None and as_destination_owner.order == order
+        """Return whether capacity is reserved for exactly this order as the destination owner."""
+        move = self.as_destination_owner.get(order.job)
+        return move is not None and move.order == order
 
     def is_reserved_as_job_owner(self, order: MoveOrder) -> bool:
-        """Is exactly this order carried out here, as the job's owner?"""
-        as_job_owner = self.as_job_owner.get(order.job)
-        return as_job_owner is not None and as_job_owner.order == order
+        """Return whether capacity is reserved for exactly this order as the job owner."""
+        move = self.as_job_owner.get(order.job)
+        return move is not None and move.order == order
 
     def has_any(self, job_id: str) -> bool:
-        """Is capacity reserved here for a move of the job, in either role?"""
+        """Return whether capacity is reserved here for a move of the job, in either role."""
         return job_id in self.as_job_owner or job_id in self.as_destination_owner
 
     def release(self, order: MoveOrder) -> None:
-        """Release the capacity unless the other role of this controller still needs it."""
+        """Release the capacity unless the other role of this controller still needs it.
+
+        The caller has already removed the move of its own role.
+        """
         is_needed = any(
             move is not None and move.order.destination == order.destination
             for move in (self.as_destination_owner.get(order.job), self.as_job_owner.get(order.job))
@@ -63,7 +66,7 @@
             self._reconcile_queue.placement_due = True
 
     def release_all(self) -> None:
-        """End all moves: the owners of machines and jobs may have changed."""
+        """Remove all moves and release their capacity."""
         orders = [
             move.order
             for moves in (self.as_job_owner, self.as_destination_owner)
@@ -76,5 +79,5 @@
 
 
 def begin_move(order: MoveOrder, now: float) -> OngoingMove:
-    """Return a move that begins now, and expires unless it ends before."""
+    """Return a move that begins now and expires after `MOVE_RESERVATION_S`."""
     return OngoingMove(order, now, now + constants.MOVE_RESERVATION_S)
--- a/tests/unit/scheduling/test_moves.py
+++ b/tests/unit/scheduling/test_moves.py
@@ -1,4 +1,4 @@
-"""Moves, the roles built from small fakes: requests, cool-downs, reservations, the next attempt."""
+"""Unit tests of the roles in moves of running tasks, with fakes around them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class CapacityIndexFake:
-    """Notes reservations; its machines are given."""
+    """Capacity index that records reservations and whose machines the test sets."""
 
     def __init__(self) -> None:
         self.machines: dict[str, Any] = {}
@@ -46,8 +46,8 @@
             self.move_reservations.pop(machine, None)
 
 
-class Parts:
-    """The roles of controller n0, which owns `job-1` and all machines, with fakes around."""
+class MoveRoles:
+    """Builds the roles of controller n0, which owns `job-1` and all machines, with fakes."""
 
     def __init__(self) -> None:
         self.runtime = Runtime(settings("n0", ["n0", "n1"]), "x", random.Random(1))
@@ -146,104 +146,103 @@
 
 
 def test_requests_that_are_not_answered_are_repeated_with_doubling_backoff() -> None:
-    parts = Parts()
-    requester = parts.requester()
+    roles = MoveRoles()
+    requester = roles.requester()
     cooldowns_s = []
     for number in (1, 2, 3):
         requester.request(PROPOSAL)
-        assert parts.sent[-1] == ("n1", MoveRequested(order(number)))
-        parts.runtime.now += constants.MOVE_RESERVATION_S + constants.MOVE_CHECK_INTERVAL_S
+        assert roles.sent[-1] == ("n1", MoveRequested(order(number)))
+        roles.runtime.now += constants.MOVE_RESERVATION_S + constants.MOVE_CHECK_INTERVAL_S
         requester.tick()
-        ended_at = parts.runtime.now
-        while parts.cooldowns.is_cooling_down("job-1"):
-            parts.runtime.now += 1.0
-        cooldowns_s.append(parts.runtime.now - ended_at)
+        ended_at = roles.runtime.now
+        while roles.cooldowns.is_cooling_down("job-1"):
+            roles.runtime.now += 1.0
+        cooldowns_s.append(roles.runtime.now - ended_at)
     assert cooldowns_s == [constants.MOVE_BACKOFF_S * factor for factor in (1, 2, 4)]
     assert requester.outcomes == {MoveOutcome.NO_ANSWER: 3} and not requester.requested
 
 
-def test_a_job_cools_down_after_its_move_and_hardly_after_one_that_drains() -> None:
+def test_the_cooldown_after_a_move_is_short_if_its_source_is_being_drained() -> None:
     for is_draining, cooldown_s in ((False, 60.0), (True, constants.DRAIN_MOVE_COOLDOWN_S)):
-        parts = Parts()
-        parts.is_draining = is_draining
-        requester = parts.requester()
+        roles = MoveRoles()
+        roles.is_draining = is_draining
+        requester = roles.requester()
         requester.request(PROPOSAL)
         requester.on_ended(order(number=7), MoveOutcome.DONE)
-        assert requester.is_requested("job-1")  # that was another order
+        assert requester.is_requested("job-1")  # the outcome was that of another order
         requester.on_ended(order(), MoveOutcome.DONE)
         assert not requester.is_requested("job-1")
-        parts.runtime.now += cooldown_s - 0.1
-        assert parts.cooldowns.is_cooling_down("job-1")
-        parts.runtime.now += 0.1
-        assert not parts.cooldowns.is_cooling_down("job-1")
+        roles.runtime.now += cooldown_s - 0.1
+        assert roles.cooldowns.is_cooling_down("job-1")
+        roles.runtime.now += 0.1
+        assert not roles.cooldowns.is_cooling_down("job-1")
 
 
 def test_capacity_stays_reserved_until_neither_role_needs_it() -> None:
-    parts = Parts()
-    reservations = parts.reservations
-    reservations.reserve_as_destination_owner(order(), parts.job.spec)
-    reservations.reserve_as_job_owner(order(), parts.job.spec)
+    roles = MoveRoles()
+    reservations = roles.reservations
+    reservations.reserve_as_destination_owner(order(), roles.job.spec)
+    reservations.reserve_as_job_owner(order(), roles.job.spec)
     del reservations.as_destination_owner["job-1"]
     reservations.release(order())
-    assert parts.index.move_reservations and reservations.has_any("job-1")
+    assert roles.index.move_reservations and reservations.has_any("job-1")
     del reservations.as_job_owner["job-1"]
     reservations.release(order())
-    assert not parts.index.move_reservations and not reservations.has_any("job-1")
-    assert parts.queue.placement_due
+    assert not roles.index.move_reservations and not reservations.has_any("job-1")
+    assert roles.queue.placement_due
 
 
-def test_the_destination_s_owner_reserves_for_one_move_at_a_time() -> None:
-    parts = Parts()
-    owner = parts.destination_owner()
+def test_the_destination_owner_reserves_for_one_move_at_a_time() -> None:
+    roles = MoveRoles()
+    owner = roles.destination_owner()
     assert owner.refusal(order()) is MoveOutcome.REBALANCING_OFF
-    parts.is_enabled = True
+    roles.is_enabled = True
     assert owner.refusal(order(term=4)) is MoveOutcome.STALE_VIEW
     assert owner.refusal(order()) is MoveOutcome.DESTINATION_UNAVAILABLE  # no such machine
     machine = room("vm-2", 4.0)
-    parts.index.machines["vm-2"] = machine
-    assert owner.refusal(order()) is MoveOutcome.LOAD_TOO_HIGH  # its load is not known
-    parts.reservations.reserve_as_destination_owner(order(), parts.job.spec)
+    roles.index.machines["vm-2"] = machine
+    assert owner.refusal(order()) is MoveOutcome.LOAD_TOO_HIGH  # the machine's load is unknown
+    roles.reservations.reserve_as_destination_owner(order(), roles.job.spec)
     owner.on_requested(order(number=2))
-    assert parts.sent == [("n0", MoveEnded(order(number=2), MoveOutcome.MOVE_IN_PROGRESS))]
-    parts.runtime.now += constants.MOVE_RESERVATION_S
+    assert roles.sent == [("n0", MoveEnded(order(number=2), MoveOutcome.MOVE_IN_PROGRESS))]
+    roles.runtime.now += constants.MOVE_RESERVATION_S
     owner.tick()
-    assert not parts.index.move_reservations
+    assert not roles.index.move_reservations
 
 
-def test_the_job_s_owner_stops_the_task_and_places_its_next_attempt_once_it_is_settled() -> None:
-    parts = Parts()
-    parts.is_enabled = True
-    parts.index.machines["vm-2"] = room("vm-2", 4.0)
-    owner = parts.job_owner()
-    parts.running = 1
+def test_the_job_owner_stops_the_task_and_places_its_next_attempt_after_settlement() -> None:
+    roles = MoveRoles()
+    roles.is_enabled = True
+    roles.index.machines["vm-2"] = room("vm-2", 4.0)
+    owner = roles.job_owner()
+    roles.running = 1
     assert owner.refusal(order()) is MoveOutcome.TOO_FEW_REPLICAS
-    parts.running = 2
+    roles.running = 2
     owner.on_reserved(order())
-    assert parts.stopped == [("job-1", "vm-1", {0})] and parts.sent == []
+    assert roles.stopped == [("job-1", "vm-1", {0})] and roles.sent == []
     assert owner.refusal(order()) is MoveOutcome.MOVE_IN_PROGRESS
-    assert (
-        owner.place_moved_task(parts.job, parts.job, {}) == []
-    )  # the stopped attempt is unsettled
-    settled = Job(parts.job.spec, 0.0)
-    placed = owner.place_moved_task(parts.job, settled, {})
+    # Nothing is placed while the stopped attempt is unsettled.
+    assert owner.place_moved_task(roles.job, roles.job, {}) == []
+    settled = Job(roles.job.spec, 0.0)
+    placed = owner.place_moved_task(roles.job, settled, {})
     assert [(machine.name, tasks) for machine, tasks in placed] == [("vm-2", 1)]
-    del parts.index.machines["vm-2"]
-    assert owner.place_moved_task(parts.job, settled, {}) == []
-    assert {node for node, _ in parts.sent} == {"n0", "n1"}
+    del roles.index.machines["vm-2"]
+    assert owner.place_moved_task(roles.job, settled, {}) == []
+    assert {node for node, _ in roles.sent} == {"n0", "n1"}
     assert all(
         message == MoveEnded(order(), MoveOutcome.DESTINATION_UNAVAILABLE)
-        for _, message in parts.sent
+        for _, message in roles.sent
     )
-    assert parts.cooldowns.is_cooling_down("job-1") and not parts.index.move_reservations
+    assert roles.cooldowns.is_cooling_down("job-1") and not roles.index.move_reservations
 
 
-def test_a_refused_order_ends_at_its_requester_and_the_destination_s_owner() -> None:
-    parts = Parts()
-    owner = parts.job_owner()
+def test_a_refusal_is_reported_to_the_requester_and_to_the_destination_owner() -> None:
+    roles = MoveRoles()
+    owner = roles.job_owner()
     owner.on_reserved(order())
-    assert sorted(node for node, _ in parts.sent) == ["n0", "n1"]
+    assert sorted(node for node, _ in roles.sent) == ["n0", "n1"]
     assert all(
-        message == MoveEnded(order(), MoveOutcome.REBALANCING_OFF) for _, message in parts.sent
+        message == MoveEnded(order(), MoveOutcome.REBALANCING_OFF) for _, message in roles.sent
     )
-    assert MoveReserved(order()) not in [message for _, message in parts.sent]
-    assert not parts.cooldowns.is_cooling_down("job-1")
+    assert MoveReserved(order()) not in [message for _, message in roles.sent]
+    assert not roles.cooldowns.is_cooling_down("job-1")
