--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -30,6 +30,63 @@
     "test_nothing_is_free_beside_a_task_that_no_record_explains": (
         "test_no_capacity_is_free_beside_an_orphaned_task"
     ),
+    "test_a_batch_job_that_was_handed_here_rests_before_it_is_handed_off_again": (
+        "test_a_batch_job_handed_to_this_controller_stays_there_during_the_cooldown"
+    ),
+    "test_a_gang_goes_whole_to_one_peer_or_to_the_leader_for_all_machines": (
+        "test_a_gang_is_handed_to_a_peer_on_which_it_fits_whole_or_else_to_the_leader"
+    ),
+    "test_a_job_cools_down_after_its_move_and_hardly_after_one_that_drains": (
+        "test_the_cooldown_after_a_move_is_short_if_its_source_is_being_drained"
+    ),
+    "test_the_destination_s_owner_reserves_for_one_move_at_a_time": (
+        "test_the_destination_owner_reserves_for_one_move_at_a_time"
+    ),
+    "test_the_job_s_owner_stops_the_task_and_places_its_next_attempt_once_it_is_settled": (
+        "test_the_job_owner_stops_the_task_and_places_its_next_attempt_after_settlement"
+    ),
+    "test_a_refused_order_ends_at_its_requester_and_the_destination_s_owner": (
+        "test_a_refusal_is_reported_to_the_requester_and_to_the_destination_owner"
+    ),
+    "test_placed_tasks_name_each_machine_once_and_their_capacity_is_reserved": (
+        "test_placed_tasks_are_grouped_by_machine_and_their_capacity_is_reserved"
+    ),
+    "test_a_co_located_job_is_confined_to_its_zone_or_else_to_the_freest": (
+        "test_a_co_located_job_gets_the_zone_of_its_tasks_or_the_one_with_most_free_slots"
+    ),
+    "test_tasks_that_lose_least_are_stopped_and_their_machine_is_claimed": (
+        "test_the_victims_with_least_lost_work_are_stopped_and_their_machine_is_claimed"
+    ),
+    "test_the_job_is_handed_to_the_controller_of_the_cheapest_victims_if_none_are_ours": (
+        "test_the_job_is_handed_to_the_owner_of_the_cheapest_victims_if_this_one_has_none"
+    ),
+    "test_a_claim_ends_with_its_time_its_placement_and_its_job": (
+        "test_a_claim_ends_when_it_expires_and_when_its_job_is_placed_or_ends"
+    ),
+    "test_gangs_cancelled_jobs_and_those_of_inherited_rank_are_spared": (
+        "test_gangs_cancelled_jobs_and_jobs_of_equal_inherited_rank_are_not_preempted"
+    ),
+    "test_stopping_attempts_and_those_of_earlier_epochs_free_nothing": (
+        "test_attempts_that_are_stopping_or_of_earlier_agent_epochs_are_not_victims"
+    ),
+    "test_a_job_that_waits_too_long_is_served_first_in_its_rank_and_later_before_all": (
+        "test_a_job_that_waits_too_long_comes_first_in_its_rank_and_later_before_all"
+    ),
+    "test_jobs_that_may_not_start_wait_with_the_reason_of_the_first_phase_that_says_so": (
+        "test_jobs_that_may_not_start_wait_with_the_reason_of_the_first_phase_that_refuses"
+    ),
+    "test_what_fits_is_placed_and_reserved_and_the_rest_handed_off": (
+        "test_tasks_that_fit_are_placed_and_reserved_and_the_others_handed_off"
+    ),
+    "test_a_step_that_waits_for_more_capacity_gives_back_what_it_reserved": (
+        "test_a_step_that_waits_for_more_capacity_releases_its_reservations"
+    ),
+    "test_a_job_whose_team_is_at_its_limit_goes_where_the_teams_own_work_can_be_preempted": (
+        "test_a_job_of_a_team_at_its_limit_is_handed_to_where_the_teams_work_can_be_preempted"
+    ),
+    "test_capacity_is_counted_anew_where_a_step_cannot_be_written_now": (
+        "test_the_capacity_of_machines_is_recomputed_if_a_step_cannot_be_written"
+    ),
 }
 """name of a test -> its later name"""
 
