--- a/appledock/core/scheduling/moves/coordinator.py
+++ b/appledock/core/scheduling/moves/coordinator.py
@@ -140,7 +140,7 @@
     def place_moved_task(
         self, job: Job, unsettled: Job, zones: dict[str, int] | None
     ) -> list[PlacedTasks]:
-        """Place the next attempt of a moved task; see `JobOwner.place_held`."""
+        """Place the next attempt of a moved task; see `JobOwner.place_moved_task`."""
         return self.job_owner.place_moved_task(job, unsettled, zones)
 
     def on_step_committed(self, job_id: str, reservations: list[StepReservation]) -> None:
--- a/appledock/core/scheduling/moves/job_owner.py
+++ b/appledock/core/scheduling/moves/job_owner.py
@@ -99,6 +99,7 @@
         return None
 
     def _refusal_by_rate(self, job: Job) -> MoveOutcome | None:
+        """Refuse a move during another one, during the cooldown, or while writes are limited."""
         if job.id in self._reservations.as_job_owner or not self._writer.can_write(job):
             return MoveOutcome.MOVE_IN_PROGRESS
         if self._cooldowns.is_cooling_down(job.id):
@@ -135,9 +136,9 @@
     def _refusal_by_capacity(self, job: Job, order: MoveOrder) -> MoveOutcome | None:
         """Check the capacity again, including this controller's own steps that are being written.
 
-        This controller may also place on machines of other controllers. Without this check, the
-        task was stopped although such a step was taking its destination's capacity, and its next
-        attempt then preempted other tasks.
+        This controller may also place on machines of other controllers. Without this check, a
+        task was stopped to move to capacity that one of these steps was already taking on such a
+        machine, and the task's next attempt then preempted other tasks.
         """
         if self._reservations.is_reserved_as_destination_owner(order):
             return None
