--- a/appledock/core/fleet/cloud.py
+++ b/appledock/core/fleet/cloud.py
@@ -31,7 +31,7 @@
 class CloudClient:
     """Sends calls to the cloud; each result is the decoded answer or a `CloudFailure`.
 
-    Callers must call `back_off` after each failure that does not concern only their own request,
+    Callers must call `back_off` after each failure, unless it concerns only their own request,
     and must send no call before `paused_until`.
     """
 
--- a/appledock/core/fleet/deletions.py
+++ b/appledock/core/fleet/deletions.py
@@ -50,7 +50,7 @@
         self.pending[machine] = PendingDeletion(cordoned_at, reason, is_forced=True)
 
     def on_failed(self, machines: list[str]) -> None:
-        """Mark machines that the cloud lists as failed as deleted, and schedule their deletion."""
+        """Mark machines listed as failed as deleted, and schedule their deletion from the cloud."""
         deleted = self._workers.deleted_machines
         new = [machine for machine in machines if machine not in deleted]
         if new:
@@ -106,7 +106,7 @@
                 and now - deletion.cordoned_at > constants.CORDON_TTL_S / 3
             ):
                 # Calls to the cloud keep failing. The cordon is renewed so that it does not
-                # expire at the peers, which would place tasks on the machine.
+                # expire at the peers, which would then place tasks on the machine again.
                 deletion.cordoned_at = now - constants.DELETION_CORDON_S
                 self._cordons.announce(machine, deletion.reason)
         self._cloud.delete(machines, lambda failure: self._on_result(machines, failure))
--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -84,7 +84,8 @@
     def freed_soon(self) -> Iterator[MachineCapacity]:
         """Yield, by machine, the capacity that batch tasks are about to free.
 
-        Tasks count if they end while a new machine would boot and fetch the image of their job.
+        Tasks count if they are expected to end while a new machine would boot and fetch the image
+        of their job.
         """
         for name, machine in self._capacity_index.machines.items():
             worker = self._workers.table[name]
--- a/appledock/core/fleet/desired_capacity.py
+++ b/appledock/core/fleet/desired_capacity.py
@@ -126,7 +126,7 @@
         running = sum(worker.report is not None for worker in self._workers.table.values())
         remaining = int(self._operator_settings["machines_max"]) - running - booting
         for kind, count in missing.items():
-            rented = min(count, constants.RENTAL_MACHINES_MAX, remaining)
-            if rented > 0:
-                remaining -= rented
-                self._scale_out.rent(kind, rented)
+            rental_count = min(count, constants.RENTAL_MACHINES_MAX, remaining)
+            if rental_count > 0:
+                remaining -= rental_count
+                self._scale_out.rent(kind, rental_count)
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -78,6 +78,7 @@
         )
 
     def _is_due(self, job: Job) -> bool:
+        """Return whether the job will be ready by the time that a new machine has booted."""
         boot_times_s = [
             machine_type.boot_s
             for machine_type in self._machine_types.values()
--- a/appledock/core/fleet/idle_reserve.py
+++ b/appledock/core/fleet/idle_reserve.py
@@ -53,13 +53,13 @@
             )
             for image, task_cpus in task_cpus_by_image.items()
         }
-        """image -> number of machines that have it and the CPUs for its largest task"""
+        """image -> number of machines that have it and the CPUs for the largest task"""
 
     def can_spare(self, machine_name: str, target_cpus: float) -> bool:
         """Return whether the reserve is sufficient without this machine.
 
-        The other machines must have `target_cpus`, and one of them must be able to run the
-        largest task of each image that this machine has.
+        The other machines must have `target_cpus` in total. For each requested image that this
+        machine has, one of them must have the image and the CPUs for the largest task that uses it.
         """
         machine = self._machines.get(machine_name)
         return machine is None or (
@@ -106,9 +106,10 @@
             self._arrivals[job.id] = ServiceArrival(self._runtime.now - age_s, job.spec)
 
     def target(self) -> ReserveTarget:
-        """Return the target: the CPUs that services request on average during a boot and fetch.
+        """Return the size of the reserve for services that arrive as often as recently.
 
-        The CPUs of the largest task are added, since services arrive one at a time.
+        It covers the CPUs that services request on average while a machine boots and fetches an
+        image. The CPUs of the largest task are added, since services arrive one at a time.
         """
         now, window_s = self._runtime.now, constants.HEADROOM_WINDOW_S
         self._arrivals = {
--- a/appledock/core/fleet/inventory.py
+++ b/appledock/core/fleet/inventory.py
@@ -61,14 +61,14 @@
     def _drop_old_rentals(self) -> None:
         """Drop rentals whose machine has a known worker, was deleted or did not appear in time."""
         now, workers = self._runtime.now, self._workers
-        lost_after_s = (
+        rental_timeout_s = (
             constants.UNLISTED_MACHINE_TIMEOUT_S
             + 2 * self._runtime.settings.cluster.cloud.list_lag_s
         )
         for name, rental in list(self.rentals.items()):
             if (
                 name in workers.table
-                or now - rental.rented_at > lost_after_s
+                or now - rental.rented_at > rental_timeout_s
                 or (name in workers.deleted_machines and name in self.listed)
             ):
                 del self.rentals[name]
--- a/appledock/core/fleet/machine_list.py
+++ b/appledock/core/fleet/machine_list.py
@@ -27,9 +27,9 @@
     """Reads the machine list at intervals, within a fixed share of the cloud's rate limit.
 
     The pauses between pages and the retry of a refused page ensure that the list is completed.
-    Eight pages without a pause are more calls than a cloud that accepts two a second allows, and
-    when the listing was restarted after each refusal, a list of 4,000 machines was never read to
-    its end.
+    Eight pages without a pause are more calls than a cloud with a limit of two a second accepts,
+    and when the listing was restarted after each refusal, a list of 4,000 machines was never read
+    to its end.
     """
 
     def __init__(
--- a/appledock/core/fleet/unresponsive.py
+++ b/appledock/core/fleet/unresponsive.py
@@ -31,11 +31,11 @@
         self._report_s = runtime.settings.cluster.workers.report_s
 
     def are_most_workers_reporting(self) -> bool:
-        """Return whether most workers send heartbeats, including those this controller owns.
+        """Return whether most workers, and most of those that this controller owns, are reporting.
 
         If not, this controller or the network has failed, and no machine may be considered
-        failed. The second condition, which counts the heartbeats that owned workers send directly
-        to this controller, guards against a leader that alone is cut off from its workers. Their
+        failed. The second condition counts the heartbeats that owned workers send directly to this
+        controller. It guards against a leader that alone is cut off from its workers. Their
         heartbeats still arrive through the peers and only its own probes stay unanswered; such a
         leader once deleted a fifth of the machines.
         """
--- a/appledock/core/fleet/zone_distribution.py
+++ b/appledock/core/fleet/zone_distribution.py
@@ -41,8 +41,8 @@
     def distribute(self, job: Job, tasks: int, supply: CapacitySupply) -> list[ZoneTasks]:
         """Return how many of the tasks need capacity in which zone.
 
-        Free capacity is used first. The remaining tasks go to zones where machines can be rented
-        before other zones.
+        Free capacity is used first. The remaining tasks go to zones where machines can be rented,
+        and only then to other zones.
         """
         spec = job.spec
         if not (spec.one_zone or spec.spread):
