--- a/tests/unit/workers/parts.py
+++ b/tests/unit/workers/fixture.py
@@ -22,7 +22,7 @@
 TERM = 5
 
 
-class Parts:
+class WorkersFixture:
     """Components of the controller `n0`, which owns every worker as the only member of its view."""
 
     def __init__(self) -> None:
--- a/tests/unit/workers/test_settlement_evidence.py
+++ b/tests/unit/workers/test_settlement_evidence.py
@@ -7,12 +7,12 @@
 from appledock import wire
 from appledock.core.records.attempt_verdict import AttemptVerdict
 from appledock.core.workers.settlement_evidence import SettlementEvidence
-from tests.unit.workers.parts import MACHINE, TERM, Parts, heartbeat, task
+from tests.unit.workers.fixture import MACHINE, TERM, WorkersFixture, heartbeat, task
 
 
-def verdict(parts: Parts, cancelled: bool = False) -> AttemptVerdict | None:
-    job, attempt = parts.open_attempt(cancelled=cancelled)
-    evidence = SettlementEvidence(parts.membership, parts.table)
+def verdict(fixture: WorkersFixture, cancelled: bool = False) -> AttemptVerdict | None:
+    job, attempt = fixture.open_attempt(cancelled=cancelled)
+    evidence = SettlementEvidence(fixture.membership, fixture.table)
     return evidence.verdict(job, attempt, 0)
 
 
@@ -30,35 +30,35 @@
 def test_the_verdict_on_a_task_that_the_worker_reports(
     state: str, why: str | None, expected: AttemptVerdict | None
 ) -> None:
-    parts = Parts()
-    parts.intake.ingest(heartbeat(1, [task(state, why)]))
-    assert verdict(parts) is expected
+    fixture = WorkersFixture()
+    fixture.intake.ingest(heartbeat(1, [task(state, why)]))
+    assert verdict(fixture) is expected
 
 
 def test_a_missing_heartbeat_proves_nothing_and_an_expired_epoch_settles_the_attempt() -> None:
-    parts = Parts()
-    assert verdict(parts) is None
-    parts.table.get_or_create(MACHINE)
-    assert verdict(parts) is None
-    parts.table.mark_expired(MACHINE, 1)
-    assert verdict(parts) is AttemptVerdict.SETTLED
+    fixture = WorkersFixture()
+    assert verdict(fixture) is None
+    fixture.table.get_or_create(MACHINE)
+    assert verdict(fixture) is None
+    fixture.table.mark_expired(MACHINE, 1)
+    assert verdict(fixture) is AttemptVerdict.SETTLED
 
 
 def test_a_task_never_seen_is_settled_by_a_higher_fencing_token_or_a_record_that_forbids_it() -> (
     None
 ):
-    parts = Parts()
-    parts.intake.ingest(heartbeat(1))
-    assert verdict(parts) is None  # a launch may be in flight
-    assert verdict(parts, cancelled=True) is AttemptVerdict.SETTLED
-    parts.table.rows[MACHINE].sent_commands.launched_at["job-1/0", 1] = 99.0
-    assert verdict(parts, cancelled=True) is None
-    parts.intake.ingest(heartbeat(2, token=TERM + 1))
-    assert verdict(parts, cancelled=True) is AttemptVerdict.SETTLED
+    fixture = WorkersFixture()
+    fixture.intake.ingest(heartbeat(1))
+    assert verdict(fixture) is None  # a launch may be in flight
+    assert verdict(fixture, cancelled=True) is AttemptVerdict.SETTLED
+    fixture.table.rows[MACHINE].sent_commands.launched_at["job-1/0", 1] = 99.0
+    assert verdict(fixture, cancelled=True) is None
+    fixture.intake.ingest(heartbeat(2, token=TERM + 1))
+    assert verdict(fixture, cancelled=True) is AttemptVerdict.SETTLED
 
 
 def test_the_deletion_of_a_machine_settles_its_attempts() -> None:
-    parts = Parts()
-    parts.intake.ingest(heartbeat(1, [task(wire.RUNNING)]))
-    parts.table.mark_deleted([MACHINE])
-    assert verdict(parts) is AttemptVerdict.SETTLED
+    fixture = WorkersFixture()
+    fixture.intake.ingest(heartbeat(1, [task(wire.RUNNING)]))
+    fixture.table.mark_deleted([MACHINE])
+    assert verdict(fixture) is AttemptVerdict.SETTLED
