--- a/appledock/core/membership/format_upgrade.py
+++ b/appledock/core/membership/format_upgrade.py
@@ -62,12 +62,12 @@
             or self._is_recording
             or self._runtime.now < self._next_attempt_at
             or not self._membership.is_leader()
-            or not self._do_all_nodes_support_it()
+            or not self._do_all_nodes_support_newest_format()
         ):
             return
         self._record_newest_format()
 
-    def _do_all_nodes_support_it(self) -> bool:
+    def _do_all_nodes_support_newest_format(self) -> bool:
         members = self._replica.members
         return len(members) >= self._cluster_size and all(
             member.record_format >= self._newest_format for member in members.values()
--- a/appledock/core/membership/heartbeats.py
+++ b/appledock/core/membership/heartbeats.py
@@ -155,7 +155,10 @@
         )
 
     def peer_with_most_owner_timeouts(self, owner: str) -> str | None:
-        """Return the reachable peer that counts the most such workers; None if none does."""
+        """Return the reachable peer to which most workers reported after the owner timed out.
+
+        None if no worker reported to a reachable peer for this reason.
+        """
         counts = {
             received.heartbeat.node: received.heartbeat.owner_timeouts.get(owner, 0)
             for received in self._heartbeats_of_reachable_peers()
--- a/appledock/core/membership/view_requests.py
+++ b/appledock/core/membership/view_requests.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class ViewChangeRequests:
-    """Changes requested for the next view, besides those of its members that follow the leases.
+    """Changes requested for the next view, in addition to members whose leases began or ended.
 
     Any part of the controller may file a request; only `ViewChanger` carries requests out. They
     apply to one view: a change that is still needed under a newer view has to be requested again.
--- a/appledock/core/workers/command_pusher.py
+++ b/appledock/core/workers/command_pusher.py
@@ -37,13 +37,13 @@
         runtime: Runtime,
         membership: Membership,
         table: WorkerTable,
-        commands: CommandReconciler,
+        command_reconciler: CommandReconciler,
         intake: HeartbeatIntake,
     ) -> None:
         self.runtime = runtime
         self.membership = membership
         self.table = table
-        self.commands = commands
+        self.command_reconciler = command_reconciler
         self.intake = intake
         self._due: set[str] = set()
         """workers whose commands may have changed"""
@@ -77,11 +77,13 @@
             return
         launched_before = dict(worker.sent_commands.launched_at)
         unconfirmed_before = dict(worker.sent_commands.unconfirmed_launches)
-        commands = self.commands.commands_for(worker, pushed=True)
+        commands = self.command_reconciler.commands_for(worker, pushed=True)
         if not commands:
             return
         term = self.membership.term
-        keys = [(x.task, x.attempt) for x in commands if x.op == wire.LAUNCH]
+        keys = [
+            (command.task, command.attempt) for command in commands if command.op == wire.LAUNCH
+        ]
         pushed = PushedLaunches(self.runtime.now, term, keys, launched_before, unconfirmed_before)
         worker.sent_commands.unconfirmed_launches.update((key, term) for key in keys)
         worker.reachability.calls_in_flight += 1
--- a/appledock/core/workers/command_reconciler.py
+++ b/appledock/core/workers/command_reconciler.py
@@ -46,11 +46,15 @@
         commands: list[wire.Command] = []
         retained = 0
         for key, entry in worker.tasks.items():
-            known = recorded.get(key)
+            recorded_task = recorded.get(key)
             if entry.state != wire.EXITED:
-                if known is None or known.job.cancelled or known.attempt.stopping:
-                    commands += self._halt(worker, key, entry, known)
-            elif known is None and not pushed and self._is_outcome_certain(worker, key):
+                if (
+                    recorded_task is None
+                    or recorded_task.job.cancelled
+                    or recorded_task.attempt.stopping
+                ):
+                    commands += self._halt(worker, key, entry, recorded_task)
+            elif recorded_task is None and not pushed and self._is_outcome_certain(worker, key):
                 # `forget` is sent only after the end of the attempt was recorded: until then,
                 # the worker's report is the only proof.
                 if self.may_run_again(worker, key):
@@ -98,12 +102,16 @@
         return recorded
 
     def _halt(
-        self, worker: Worker, key: TaskKey, entry: wire.TaskReport, known: RecordedTask | None
+        self,
+        worker: Worker,
+        key: TaskKey,
+        entry: wire.TaskReport,
+        recorded_task: RecordedTask | None,
     ) -> list[wire.Command]:
         """Return the halt, if it is due, of a task that should no longer be on the worker."""
-        if known is None:
+        if recorded_task is None:
             return [wire.Command(wire.HALT, *key, grace_s=0.0)]
-        job = known.job
+        job = recorded_task.job
         grace_s = 0.0
         if not job.cancelled:
             if entry.state == wire.SAVING:
--- a/appledock/core/workers/detached_members.py
+++ b/appledock/core/workers/detached_members.py
@@ -44,7 +44,7 @@
         self._timed_out.setdefault(owner, {})[machine] = self.runtime.now
 
     def owner_timeout_counts(self) -> dict[str, int]:
-        """Return owner -> how many of its workers recently reported here after a timeout at it."""
+        """Return, by owner, how many of its workers recently reported here after a timeout."""
         return {owner: len(machines) for owner, machines in self._timed_out.items()}
 
     def on_view(self) -> None:
--- a/appledock/core/workers/dissemination.py
+++ b/appledock/core/workers/dissemination.py
@@ -1,9 +1,9 @@
 """Dissemination: the messages about workers that this controller sends to its peers.
 
 Every controller knows every worker, so that it can take over any of them at any time. Heartbeats
-with a change are sent completely; of the others, only number and age are sent. Expired agent
-epochs and deleted machines are sent repeatedly while recorded attempts depend on them, because a
-link may lose any message.
+with a change are sent in full; for the others, number and ages are sent. Expired agent epochs and
+deleted machines are sent repeatedly while recorded attempts depend on them, because a link may
+lose any message.
 """
 
 from __future__ import annotations
@@ -63,8 +63,9 @@
     def broadcast(self, worker: Worker) -> None:
         """Send the worker's newest heartbeat to the peers.
 
-        A heartbeat with a change is sent completely and at once. A heartbeat without changes is
-        part of the next summary, and is sent completely once per `WORKER_RESEND_INTERVAL_S`.
+        A heartbeat with a change is sent in full and at once. For a heartbeat without changes, the
+        next summary contains its number and ages, and it is sent in full at most once per
+        `WORKER_RESEND_INTERVAL_S`.
         """
         report = worker.report
         if report is None:
@@ -78,7 +79,7 @@
             self._unchanged.add(worker.id)
 
     def announce_expired(self, machine: str, agent_epoch: int, to: str | None = None) -> None:
-        """Tell one peer, or all peers, that the agent epoch is proven to have ended."""
+        """Send the proof that the agent epoch has ended to one peer, or to all peers."""
         self.runtime.emit(PeerSend(AgentEpochExpired(machine, agent_epoch), to))
 
     def on_peer_connected(self, peer: str) -> None:
@@ -117,9 +118,9 @@
             ]
             if not machines:
                 del self._backlogs[peer]
-            self._send_part(peer, part)
+            self._send_workers(peer, part)
 
-    def _send_part(self, peer: str, machines: list[str]) -> None:
+    def _send_workers(self, peer: str, machines: list[str]) -> None:
         for machine in machines:
             worker = self.table.rows.get(machine)
             if worker is None:
--- a/appledock/core/workers/heartbeat_intake.py
+++ b/appledock/core/workers/heartbeat_intake.py
@@ -55,9 +55,9 @@
         worker was last known to be healthy.
         """
         if report.worker in self.table.deleted_machines:
-            # Guards against copies of old heartbeats. Each of them brought a deleted machine
-            # back, which nothing removed from the table again. Most machines then seemed
-            # unresponsive, and the leader never again deleted one that really was.
+            # Guards against copies of old heartbeats. Each copy brought a deleted machine back
+            # that nothing removed from the table again. Most machines then seemed unresponsive,
+            # and because of that the leader no longer deleted those that really were.
             return False
         worker = self.table.get_or_create(report.worker)
         old, old_tasks = worker.report, worker.tasks
@@ -113,7 +113,7 @@
             worker.sent_commands.clear()
             if old is not None:
                 status.image_seen_at = {}
-        worker.sent_commands.drop_void_launches(
+        worker.sent_commands.drop_invalid_launches(
             report.token, token_changed=old is None or old.token != report.token
         )
 
--- a/appledock/core/workers/heartbeat_responder.py
+++ b/appledock/core/workers/heartbeat_responder.py
@@ -28,7 +28,7 @@
         membership: Membership,
         table: WorkerTable,
         intake: HeartbeatIntake,
-        commands: CommandReconciler,
+        command_reconciler: CommandReconciler,
         redirects: Redirects,
         observers: WorkerObservers,
     ) -> None:
@@ -36,7 +36,7 @@
         self.membership = membership
         self.table = table
         self.intake = intake
-        self.commands = commands
+        self.command_reconciler = command_reconciler
         self.redirects = redirects
         self.observers = observers
 
@@ -79,7 +79,7 @@
         ):
             self._refuse(request_id, "outdated report")
             return
-        commands = self.commands.commands_for(worker, pushed=False)
+        commands = self.command_reconciler.commands_for(worker, pushed=False)
         worker.lease.renewable_until = max(worker.lease.renewable_until, self.runtime.now)
         self.runtime.emit(
             Response(request_id, 200, wire.ReportAnswer(self.membership.term, commands))
--- a/appledock/core/workers/lease_expiry.py
+++ b/appledock/core/workers/lease_expiry.py
@@ -91,4 +91,7 @@
 
     def _newest_recorded_epoch(self, machine: str) -> int:
         attempts = self.replica.attempts_by_machine[machine].values()
-        return max((attempt.agent_epoch for row in attempts for attempt in row), default=0)
+        return max(
+            (attempt.agent_epoch for job_attempts in attempts for attempt in job_attempts),
+            default=0,
+        )
--- a/appledock/core/workers/manager.py
+++ b/appledock/core/workers/manager.py
@@ -179,7 +179,7 @@
         return self.own_reachability.reporting_fraction()
 
     def owner_timeout_counts(self) -> dict[str, int]:
-        """Return owner -> how many of its workers recently reported here after a timeout at it."""
+        """Return, by owner, how many of its workers recently reported here after a timeout."""
         return self.detached_members.owner_timeout_counts()
 
     # --- peers ------------------------------------------------------------
--- a/appledock/core/workers/observers.py
+++ b/appledock/core/workers/observers.py
@@ -21,17 +21,17 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerObservers:
-    """Callbacks, each called as soon as its event occurs."""
+    """Callbacks of the parts above this package, called as soon as an event occurs."""
 
     on_capacity_changed: Callable[[str], None]
-    """(machine): the free capacity of the machine may have changed"""
+    """called with a machine whose free capacity may have changed"""
     has_capacity: Callable[[str], bool]
-    """(machine): returns whether the machine is in the capacity index"""
+    """returns whether a machine is in the capacity index"""
     on_task_completed: Callable[[str, Job, float], None]
-    """(machine, job, run time in s): a task of the job completed on the machine"""
+    """called with machine, job and run time in seconds when a task of the job has completed"""
     on_machine_deleted: Callable[[str], None]
-    """(machine): the machine no longer exists"""
+    """called with a machine that no longer exists"""
     on_unanswerable_heartbeat: Callable[[wire.Report], None]
-    """a heartbeat arrived that this controller has no authority to answer"""
+    """called with a heartbeat that this controller has no authority to answer"""
     on_view_confirmation_needed: Callable[[], None]
-    """a decision depends on the newest view, so the view has to be read"""
+    """called when a decision depends on the newest view, so that the view has to be read"""
--- a/appledock/core/workers/probes.py
+++ b/appledock/core/workers/probes.py
@@ -20,7 +20,7 @@
         self.intake = intake
 
     def probe_if_due(self, worker: Worker) -> None:
-        """Probe a silent worker if a job that this controller owns depends on its status."""
+        """Probe a worker without recent heartbeats if a job owned here depends on its status."""
         now, reachability = self.runtime.now, worker.reachability
         if (
             worker.report is not None
--- a/appledock/core/workers/record.py
+++ b/appledock/core/workers/record.py
@@ -55,7 +55,7 @@
     image_seen_at: dict[str, float] = field(default_factory=dict)
     """image -> when it was last known to be on this machine"""
     broadcast_at: float = constants.DISTANT_PAST
-    """when a complete heartbeat was last broadcast to the peers"""
+    """when a heartbeat was last broadcast to the peers in full"""
 
 
 @dataclass(slots=True)
@@ -122,7 +122,7 @@
         self.unconfirmed_launches.clear()
         self.replayable_launches.clear()
 
-    def drop_void_launches(self, fencing_token: int, token_changed: bool) -> None:
+    def drop_invalid_launches(self, fencing_token: int, token_changed: bool) -> None:
         """Drop the launches of terms below the worker's fencing token: it rejects them."""
         if self.replayable_launches and token_changed:
             self.replayable_launches = _since_term(self.replayable_launches, fencing_token)
