--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -24,6 +24,123 @@
     "test_budget_leaves_the_others_what_they_use_and_users_wait_for_nobody": (
         "test_rate_limiter_leaves_the_others_what_they_use_and_users_wait_for_nobody"
     ),
+    # membership
+    "test_a_heartbeat_carries_the_figures_of_the_other_parts": (
+        "test_a_heartbeat_carries_the_status_of_the_other_parts"
+    ),
+    "test_isolated_is_only_who_is_served_later_than_a_reachable_peer": (
+        "test_a_controller_is_isolated_only_if_the_store_still_serves_a_reachable_peer"
+    ),
+    "test_the_leader_has_failed_if_it_alone_is_silent_or_not_served": (
+        "test_the_leader_has_failed_if_it_alone_is_unreachable_or_not_served_by_the_store"
+    ),
+    "test_authority_ends_one_lease_after_sending_less_drift_and_margin": (
+        "test_authority_ends_one_lease_less_drift_and_margin_after_the_request_was_sent"
+    ),
+    "test_a_lost_lease_ends_authority_and_the_next_incarnation_is_a_new_one": (
+        "test_a_lost_lease_ends_authority_and_the_next_join_uses_a_new_incarnation"
+    ),
+    "test_a_detached_member_stays_so_until_it_restarts_or_attaches_itself": (
+        "test_a_member_stays_detached_until_it_restarts_or_attaches_itself"
+    ),
+    "test_never_are_all_members_detached": "test_all_members_are_never_detached_at_the_same_time",
+    "test_an_override_ends_with_its_owner_and_with_its_machine": (
+        "test_an_override_is_removed_with_its_owner_and_with_its_machine"
+    ),
+    # workers
+    "test_a_recorded_task_that_is_not_there_is_launched_and_again_only_after_a_while": (
+        "test_a_recorded_task_missing_on_the_worker_is_launched_and_retried_after_a_delay"
+    ),
+    "test_an_exited_task_is_forgotten_only_in_an_answer_once_recorded_and_no_launch_may_come": (
+        "test_an_exited_task_is_forgotten_only_in_an_answer_and_only_if_no_launch_can_follow"
+    ),
+    "test_a_heartbeat_no_newer_than_the_one_known_changes_nothing_and_is_not_broadcast": (
+        "test_a_heartbeat_that_is_not_newer_has_no_effect_and_is_not_broadcast"
+    ),
+    "test_a_completed_task_is_published_with_the_time_that_it_was_seen_running": (
+        "test_observers_receive_a_completed_task_with_the_time_for_which_it_was_seen_running"
+    ),
+    "test_only_what_decisions_depend_on_asks_for_reconciliation": (
+        "test_only_relevant_changes_trigger_reconciliation"
+    ),
+    "test_no_epoch_expires_under_a_view_that_is_not_confirmed_for_the_whole_lease": (
+        "test_no_epoch_expires_before_the_view_is_confirmed_up_to_the_end_of_the_lease"
+    ),
+    "test_a_former_owner_that_is_still_a_member_may_answer_for_one_lease_more": (
+        "test_a_former_owner_that_is_still_a_member_may_answer_for_one_more_lease"
+    ),
+    "test_the_verdict_on_a_task_that_the_worker_shows": (
+        "test_the_verdict_on_a_task_that_the_worker_reports"
+    ),
+    "test_a_missing_heartbeat_proves_nothing_and_an_ended_epoch_settles": (
+        "test_a_missing_heartbeat_proves_nothing_and_an_expired_epoch_settles_the_attempt"
+    ),
+    "test_a_deleted_machine_settles_whatever_was_there": (
+        "test_the_deletion_of_a_machine_settles_its_attempts"
+    ),
+    "test_a_step_beyond_it_raises_the_allocation_from_what_nobody_has": (
+        "test_a_step_beyond_the_allocation_raises_it_from_the_unallocated_rest"
+    ),
+    "test_nothing_is_free_beside_a_task_that_no_record_explains": (
+        "test_no_capacity_is_free_beside_an_orphaned_task"
+    ),
+    "test_a_batch_job_that_was_handed_here_rests_before_it_is_handed_off_again": (
+        "test_a_batch_job_handed_to_this_controller_stays_there_during_the_cooldown"
+    ),
+    "test_a_gang_goes_whole_to_one_peer_or_to_the_leader_for_all_machines": (
+        "test_a_gang_is_handed_to_a_peer_on_which_it_fits_whole_or_else_to_the_leader"
+    ),
+    "test_a_job_cools_down_after_its_move_and_hardly_after_one_that_drains": (
+        "test_the_cooldown_after_a_move_is_short_if_its_source_is_being_drained"
+    ),
+    "test_the_destination_s_owner_reserves_for_one_move_at_a_time": (
+        "test_the_destination_owner_reserves_for_one_move_at_a_time"
+    ),
+    "test_the_job_s_owner_stops_the_task_and_places_its_next_attempt_once_it_is_settled": (
+        "test_the_job_owner_stops_the_task_and_places_its_next_attempt_after_settlement"
+    ),
+    "test_a_refused_order_ends_at_its_requester_and_the_destination_s_owner": (
+        "test_a_refusal_is_reported_to_the_requester_and_to_the_destination_owner"
+    ),
+    "test_placed_tasks_name_each_machine_once_and_their_capacity_is_reserved": (
+        "test_placed_tasks_are_grouped_by_machine_and_their_capacity_is_reserved"
+    ),
+    "test_a_co_located_job_is_confined_to_its_zone_or_else_to_the_freest": (
+        "test_a_co_located_job_gets_the_zone_of_its_tasks_or_the_one_with_most_free_slots"
+    ),
+    "test_tasks_that_lose_least_are_stopped_and_their_machine_is_claimed": (
+        "test_the_victims_with_least_lost_work_are_stopped_and_their_machine_is_claimed"
+    ),
+    "test_the_job_is_handed_to_the_controller_of_the_cheapest_victims_if_none_are_ours": (
+        "test_the_job_is_handed_to_the_owner_of_the_cheapest_victims_if_this_one_has_none"
+    ),
+    "test_a_claim_ends_with_its_time_its_placement_and_its_job": (
+        "test_a_claim_ends_when_it_expires_and_when_its_job_is_placed_or_ends"
+    ),
+    "test_gangs_cancelled_jobs_and_those_of_inherited_rank_are_spared": (
+        "test_gangs_cancelled_jobs_and_jobs_of_equal_inherited_rank_are_not_preempted"
+    ),
+    "test_stopping_attempts_and_those_of_earlier_epochs_free_nothing": (
+        "test_attempts_that_are_stopping_or_of_earlier_agent_epochs_are_not_victims"
+    ),
+    "test_a_job_that_waits_too_long_is_served_first_in_its_rank_and_later_before_all": (
+        "test_a_job_that_waits_too_long_comes_first_in_its_rank_and_later_before_all"
+    ),
+    "test_jobs_that_may_not_start_wait_with_the_reason_of_the_first_phase_that_says_so": (
+        "test_jobs_that_may_not_start_wait_with_the_reason_of_the_first_phase_that_refuses"
+    ),
+    "test_what_fits_is_placed_and_reserved_and_the_rest_handed_off": (
+        "test_tasks_that_fit_are_placed_and_reserved_and_the_others_handed_off"
+    ),
+    "test_a_step_that_waits_for_more_capacity_gives_back_what_it_reserved": (
+        "test_a_step_that_waits_for_more_capacity_releases_its_reservations"
+    ),
+    "test_a_job_whose_team_is_at_its_limit_goes_where_the_teams_own_work_can_be_preempted": (
+        "test_a_job_of_a_team_at_its_limit_is_handed_to_where_the_teams_work_can_be_preempted"
+    ),
+    "test_capacity_is_counted_anew_where_a_step_cannot_be_written_now": (
+        "test_the_capacity_of_machines_is_recomputed_if_a_step_cannot_be_written"
+    ),
 }
 """name of a test -> its later name"""
 
