--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -28,7 +28,7 @@
 
 LOG_LEVELS = ("error", "info", "debug")
 
-StateReader = Callable[[], object]
+BodyReader = Callable[[], object]
 """reads the JSON body that a `GET` answers"""
 
 
@@ -40,7 +40,7 @@
         *,
         runtime: Runtime,
         responder: AdminResponder,
-        readers: Mapping[str, StateReader],
+        readers: Mapping[str, BodyReader],
         console_feed: ConsoleFeed,
         settings: SettingsApi,
         machine_actions: MachineActions,
@@ -74,14 +74,14 @@
             handler(request, parameters)
 
     # --- handlers ---------------------------------------------------------
-    def _reading(self, read: StateReader) -> Handler:
+    def _reading(self, read: BodyReader) -> Handler:
         return lambda request, _: self._responder.answer(request, read())
 
     def _capacity_route(self, action: CapacityAction) -> Route:
         return route(
             "POST",
             f"capacity/{action}",
-            lambda request, _: self._capacity.request(request, action),
+            lambda request, _: self._capacity.handle(request, action),
         )
 
     def _read_changes(self, request: AdminRequest, parameters: Parameters) -> None:
@@ -92,7 +92,7 @@
             error = f"changes/INCARNATION/VERSION/ROWS: integers, ROWS from 1 to {rows_max}"
             self._responder.refuse(request, 400, error)
             return
-        changes = self.console_feed.since(incarnation, int(version), int(limit))
+        changes = self.console_feed.changes_since(incarnation, int(version), int(limit))
         self._responder.answer(request, changes)
 
     def _set_log_level(self, request: AdminRequest, _: Parameters) -> None:
--- a/appledock/core/api/admin_readers.py
+++ b/appledock/core/api/admin_readers.py
@@ -9,7 +9,7 @@
 
 from appledock import wire
 from appledock.core.api.health import HealthCheck
-from appledock.core.api.open_requests import OpenRequests
+from appledock.core.api.pending_requests import PendingRequests
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
 from appledock.core.machines.capacity_index import CapacityIndex
 from appledock.core.membership.membership import Membership
@@ -36,7 +36,7 @@
         membership: Membership,
         workers: Workers,
         health: HealthCheck,
-        open_requests: OpenRequests,
+        pending_requests: PendingRequests,
         machine_types: Mapping[str, wire.MachineType],
         booting_machines: Callable[[], Sized],
     ) -> None:
@@ -46,7 +46,7 @@
         self._membership = membership
         self._workers = workers
         self._health = health
-        self._open_requests = open_requests
+        self._open_requests = pending_requests
         self._machine_types = machine_types
         self._booting_machines = booting_machines
 
--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -87,7 +87,7 @@
         self._usage = usage
         self._summary = summary
 
-    def request(self, request: AdminRequest, action: str) -> None:
+    def handle(self, request: AdminRequest, action: str) -> None:
         """Carry out a request; `action` is a value of `CapacityAction`."""
         settings = self._partitions.settings
         if settings is None:
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -58,7 +58,7 @@
         self._moves = moves
         self._changes = RowChanges(runtime.incarnation)
 
-    def since(self, incarnation: str, version: int, limit: int) -> Changes:
+    def changes_since(self, incarnation: str, version: int, limit: int) -> Changes:
         """What has changed since a version that a console knows, at most `limit` rows of it."""
         self._changes.update(self._read_rows())
         return self._changes.since(incarnation, version, limit)
--- a/appledock/core/api/first_owner.py
+++ b/appledock/core/api/initial_owner.py
@@ -10,7 +10,7 @@
 from appledock.core.store.replica import Replica
 
 
-class FirstOwner:
+class InitialOwnerPolicy:
     """Chooses who owns a job from its creation on: recorded with the job, it costs no write."""
 
     def __init__(
--- a/appledock/core/api/job_cancellation.py
+++ b/appledock/core/api/job_cancellation.py
@@ -8,9 +8,9 @@
 from typing import Protocol
 
 from appledock import constants, wire
-from appledock.core.api.job_records import JobRecords
+from appledock.core.api.job_records import JobRecordReader
 from appledock.core.api.job_states import JobStates
-from appledock.core.api.open_requests import NO_SUCH_JOB, STORE_UNAVAILABLE, OpenRequests
+from appledock.core.api.pending_requests import NO_SUCH_JOB, STORE_UNAVAILABLE, PendingRequests
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.records.job import Job
 from appledock.core.runtime import Runtime
@@ -28,7 +28,7 @@
 )
 
 
-class Broadcast(Protocol):
+class BroadcastCancellation(Protocol):
     """Announces a committed cancellation to the peers."""
 
     def __call__(self, job: Job | None, job_id: str, revision: int) -> None:
@@ -45,29 +45,29 @@
         client: StoreClient,
         replica: Replica,
         codec: JobRecordCodec,
-        requests: OpenRequests,
-        records: JobRecords,
+        requests: PendingRequests,
+        record_reader: JobRecordReader,
         states: JobStates,
-        broadcast: Broadcast,
+        broadcast: BroadcastCancellation,
     ) -> None:
         self._runtime = runtime
         self._client = client
         self._replica = replica
         self._codec = codec
         self._requests = requests
-        self._records = records
+        self._record_reader = record_reader
         self._states = states
         self._broadcast = broadcast
 
     def cancel(self, request_id: int, job_id: str) -> None:
         """Cancel the job, after a read if the replica does not know it."""
-        if self._records.is_known(job_id):
+        if self._record_reader.is_known(job_id):
             self._cancel_known(request_id, job_id)
         else:
             self._read_and_cancel(request_id, job_id)
 
     def _read_and_cancel(self, request_id: int, job_id: str) -> None:
-        self._records.read(
+        self._record_reader.read(
             job_id,
             lambda: self._cancel_known(request_id, job_id),
             lambda: self._requests.refuse(request_id, STORE_UNAVAILABLE),
@@ -77,7 +77,7 @@
         """Decide by the replica, which has the newest records known."""
         if request_id not in self._requests:
             return
-        state = self._states.state(job_id)
+        state = self._states.state_of(job_id)
         if state is None:
             self._requests.refuse(request_id, NO_SUCH_JOB)
         elif job_id in self._replica.final_states or self._replica.is_cancelled(job_id):
--- a/appledock/core/api/job_records.py
+++ b/appledock/core/api/job_records.py
@@ -11,7 +11,7 @@
 from appledock.core.store.replica import Replica
 
 
-class JobRecords:
+class JobRecordReader:
     """Reads jobs that the replica lacks, or may have in an old version."""
 
     def __init__(self, replica: Replica, reader: StoreReader) -> None:
@@ -45,19 +45,23 @@
         self._reader.read_keys([JOBS_PREFIX + job_id], read_final, on_failed)
 
 
-class DependencyOutcomes:
+class DependencyOutcomeReader:
     """Reads how the dependencies of open jobs ended where the replica does not say.
 
     That is so after a start, and for jobs that ended long ago.
     """
 
     def __init__(
-        self, runtime: Runtime, replica: Replica, reader: StoreReader, records: JobRecords
+        self,
+        runtime: Runtime,
+        replica: Replica,
+        reader: StoreReader,
+        record_reader: JobRecordReader,
     ) -> None:
         self._runtime = runtime
         self._replica = replica
         self._reader = reader
-        self._records = records
+        self._record_reader = record_reader
         self._being_read: set[str] = set()
         self._retry_at: dict[str, float] = {}
         """dependency that could not be read -> when it is read again"""
@@ -85,4 +89,4 @@
             else:
                 self._retry_at.pop(job_id, None)
 
-        self._records.read(job_id, finish, finish)
+        self._record_reader.read(job_id, finish, finish)
--- a/appledock/core/api/job_states.py
+++ b/appledock/core/api/job_states.py
@@ -15,7 +15,7 @@
         self._replica = replica
         self._workers = workers
 
-    def state(self, job_id: str) -> wire.JobState | None:
+    def state_of(self, job_id: str) -> wire.JobState | None:
         """The job's state; None: neither open nor, as far as is kept, over."""
         final_state = self._replica.final_states.get(job_id)
         if final_state is not None:
--- a/appledock/core/api/machine_actions.py
+++ b/appledock/core/api/machine_actions.py
@@ -27,12 +27,12 @@
         workers: Workers,
         membership: Membership,
         responder: AdminResponder,
-        act_on_machine: Callable[[str, str], None],
+        apply_operator_action: Callable[[str, str], None],
     ) -> None:
         self._workers = workers
         self._membership = membership
         self._responder = responder
-        self._act_on_machine = act_on_machine
+        self._apply_operator_action = apply_operator_action
 
     def carry_out(self, request: AdminRequest, machine: str, action: MachineAction) -> None:
         """Act and answer with the machine's cordon; 404 unless its worker has reported."""
@@ -42,6 +42,6 @@
         elif not self._membership.can_act():
             self._responder.refuse(request, 503, "this controller has no authority now")
         else:
-            self._act_on_machine(machine, action.value)
+            self._apply_operator_action(machine, action.value)
             reason = worker.placement.cordon_reason or None
             self._responder.answer(request, {"id": machine, "cordoned": reason})
--- a/appledock/core/api/open_requests.py
+++ b/appledock/core/api/pending_requests.py
@@ -24,7 +24,7 @@
 NO_SUCH_JOB = Refusal(404, "no such job")
 
 
-class OpenRequests:
+class PendingRequests:
     """The requests of users that have no final answer yet, by request id."""
 
     def __init__(self, runtime: Runtime, reader: StoreReader) -> None:
--- a/appledock/core/api/status_polls.py
+++ b/appledock/core/api/status_polls.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 
 from appledock import constants
-from appledock.core.api.job_records import JobRecords
+from appledock.core.api.job_records import JobRecordReader
 from appledock.core.api.job_states import JobStates
-from appledock.core.api.open_requests import STORE_UNAVAILABLE, OpenRequests
+from appledock.core.api.pending_requests import STORE_UNAVAILABLE, PendingRequests
 from appledock.core.runtime import Runtime
 from appledock.core.store.client import StoreClient
 from appledock.core.store.keys import FINAL_PREFIX, JOBS_PREFIX
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PendingRequest:
+class StatusPoll:
     """A user's request that is answered with a job's state."""
 
     request_id: int
@@ -40,18 +40,18 @@
         runtime: Runtime,
         client: StoreClient,
         replica: Replica,
-        requests: OpenRequests,
-        records: JobRecords,
+        requests: PendingRequests,
+        record_reader: JobRecordReader,
         states: JobStates,
     ) -> None:
         self._runtime = runtime
         self._client = client
         self._replica = replica
         self._requests = requests
-        self._records = records
+        self._record_reader = record_reader
         self._states = states
-        self._polls: list[PendingRequest] = []
-        self._lagging: list[tuple[PendingRequest, int]] = []
+        self._polls: list[StatusPoll] = []
+        self._lagging: list[tuple[StatusPoll, int]] = []
         """polls of jobs with dependencies, and the revision that the replica must reach"""
         self._is_confirming = False
         self._next_confirm_at = 0.0
@@ -65,7 +65,7 @@
             if request.request_id in self._requests:
                 self.answer_at_revision(request, revision)
 
-    def add(self, request: PendingRequest) -> None:
+    def add(self, request: StatusPoll) -> None:
         """Answer with the job's state, at once if it is final.
 
         That holds in an outage too: a committed cancellation is never taken back, nor does its
@@ -77,21 +77,21 @@
         else:
             self._polls.append(request)
 
-    def answer(self, request: PendingRequest, *, is_absence_confirmed: bool) -> None:
+    def answer(self, request: StatusPoll, *, is_absence_confirmed: bool) -> None:
         """Answer from the replica, whose state of the job has just been confirmed.
 
         Without a record of the job, `no such job` is right only if its absence was confirmed
         too. Otherwise it ended meanwhile and its final state is not in the replica yet.
         """
-        state = self._states.state(request.job_id)
+        state = self._states.state_of(request.job_id)
         if state is not None:
             self._requests.answer(request.request_id, 200, state)
         elif is_absence_confirmed:
             request.on_absent()
         else:
-            self.read(request)
+            self.read_and_answer(request)
 
-    def read(self, request: PendingRequest) -> None:
+    def read_and_answer(self, request: StatusPoll) -> None:
         """The cached version is not the newest: read both records, then answer."""
 
         def on_read() -> None:
@@ -100,7 +100,7 @@
             else:
                 self.answer(request, is_absence_confirmed=True)
 
-        self._records.read(
+        self._record_reader.read(
             request.job_id,
             on_read,
             lambda: self._requests.refuse(request.request_id, STORE_UNAVAILABLE),
@@ -130,11 +130,11 @@
             Transaction(conditions), Priority.USER, on_outcome, constants.REQUEST_TIMEOUT_S
         )
 
-    def _take_batch(self) -> tuple[list[PendingRequest], dict[str, int]]:
+    def _take_batch(self) -> tuple[list[StatusPoll], dict[str, int]]:
         """Take as many waiting polls as one transaction holds, with its conditions."""
         conditions: dict[str, int] = {}
-        batch: list[PendingRequest] = []
-        rest: list[PendingRequest] = []
+        batch: list[StatusPoll] = []
+        rest: list[StatusPoll] = []
         state_settings = self._runtime.settings.cluster.state
         max_conditions = min(constants.POLL_CONFIRMATION_CONDITIONS_MAX, 4 * state_settings.txn_ops)
         for request in self._polls:
@@ -157,7 +157,7 @@
 
     def _on_compared(
         self,
-        batch: list[PendingRequest],
+        batch: list[StatusPoll],
         conditions: dict[str, int],
         failed: set[str],
         revision: int,
@@ -166,13 +166,13 @@
         for request in batch:
             job_id = request.job_id
             if JOBS_PREFIX + job_id in failed or FINAL_PREFIX + job_id in failed:
-                self.read(request)
+                self.read_and_answer(request)
             elif job_id in self._replica.dependencies.waiting_jobs:
                 self.answer_at_revision(request, revision)
             else:
                 self.answer(request, is_absence_confirmed=FINAL_PREFIX + job_id in conditions)
 
-    def answer_at_revision(self, request: PendingRequest, revision: int) -> None:
+    def answer_at_revision(self, request: StatusPoll, revision: int) -> None:
         """Answer once the watch has brought the replica up to the revision.
 
         That the record of a job has not changed does not show that none of its dependencies was
--- a/appledock/core/api/submission.py
+++ b/appledock/core/api/submission.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from appledock import constants, wire
-from appledock.core.api.job_records import JobRecords
-from appledock.core.api.open_requests import STORE_UNAVAILABLE, OpenRequests, Refusal
-from appledock.core.api.status_polls import PendingRequest, StatusPolls
+from appledock.core.api.job_records import JobRecordReader
+from appledock.core.api.pending_requests import STORE_UNAVAILABLE, PendingRequests, Refusal
+from appledock.core.api.status_polls import StatusPoll, StatusPolls
 from appledock.core.api.submission_check import MACHINE_TYPES_UNKNOWN, SubmissionCheck
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.jobs.reconcile_queue import ReconcileQueue
@@ -29,7 +29,7 @@
 
 log = logging.getLogger(__name__)
 
-DEPENDENCIES_FORMAT = 2
+DEPENDENCIES_MIN_FORMAT = 2
 """the first format of records that can hold dependencies"""
 DEPENDENCIES_NOT_SUPPORTED = Refusal(503, "not every controller knows jobs that need others yet")
 REJECTED_BY_STORE = Refusal(400, "refused by the state service")
@@ -51,11 +51,11 @@
         replica: Replica,
         codec: JobRecordCodec,
         reconcile_queue: ReconcileQueue,
-        requests: OpenRequests,
-        records: JobRecords,
+        requests: PendingRequests,
+        record_reader: JobRecordReader,
         polls: StatusPolls,
         check: SubmissionCheck,
-        choose_first_owner: Callable[[Job], HandoffTarget | None],
+        choose_initial_owner: Callable[[Job], HandoffTarget | None],
     ) -> None:
         self._runtime = runtime
         self._client = client
@@ -63,14 +63,14 @@
         self._codec = codec
         self._reconcile_queue = reconcile_queue
         self._requests = requests
-        self._records = records
+        self._record_reader = record_reader
         self._polls = polls
         self._check = check
-        self._choose_first_owner = choose_first_owner
+        self._choose_first_owner = choose_initial_owner
 
     def submit(self, request_id: int, spec: wire.JobSpec) -> None:
         """Create the job, or answer with its state if it was accepted before."""
-        if self._records.is_known(spec.id):
+        if self._record_reader.is_known(spec.id):
             self._polls.add(self._request(request_id, spec))
             return
         refusal = self._check.refusal(spec)
@@ -81,9 +81,9 @@
         else:
             self._refuse_unless_accepted(request_id, spec.id, refusal)
 
-    def _request(self, request_id: int, spec: wire.JobSpec) -> PendingRequest:
+    def _request(self, request_id: int, spec: wire.JobSpec) -> StatusPoll:
         """A poll that creates the job if it turns out that it does not exist."""
-        return PendingRequest(
+        return StatusPoll(
             request_id,
             spec.id,
             lambda: self._create_after_dependencies(request_id, spec, list(spec.needs or ())),
@@ -95,7 +95,7 @@
         It may have been accepted when the machine types, or the limits, were others.
         """
         self._polls.add(
-            PendingRequest(request_id, job_id, lambda: self._requests.refuse(request_id, refusal))
+            StatusPoll(request_id, job_id, lambda: self._requests.refuse(request_id, refusal))
         )
 
     def _create_after_dependencies(
@@ -105,22 +105,22 @@
 
         That never changes, so the creation itself need not be conditional on it.
         """
-        if spec.needs and self._replica.record_format.value < DEPENDENCIES_FORMAT:
+        if spec.needs and self._replica.record_format.value < DEPENDENCIES_MIN_FORMAT:
             self._requests.refuse(request_id, DEPENDENCIES_NOT_SUPPORTED)
             return
-        while unread and self._records.is_known(unread[0]):
+        while unread and self._record_reader.is_known(unread[0]):
             unread.pop(0)
         if not unread:
             self._create(request_id, spec)
             return
 
         def on_read() -> None:
-            if self._records.is_known(unread[0]):
+            if self._record_reader.is_known(unread[0]):
                 self._create_after_dependencies(request_id, spec, unread[1:])
             else:
                 self._refuse_unless_accepted(request_id, spec.id, never_accepted(unread[0]))
 
-        self._records.read(
+        self._record_reader.read(
             unread[0], on_read, lambda: self._requests.refuse(request_id, STORE_UNAVAILABLE)
         )
 
@@ -139,7 +139,7 @@
                     job.version = outcome.revision
                     self._on_created(request_id, job)
                 case Conflict():
-                    self._polls.read(self._request(request_id, spec))
+                    self._polls.read_and_answer(self._request(request_id, spec))
                 case Rejected():
                     self._requests.refuse(request_id, REJECTED_BY_STORE)
                 case _:
@@ -161,7 +161,7 @@
         )
         if spec.id not in self._replica.jobs:
             # Over before this answer came: cancelled together with one of its dependencies.
-            self._polls.read(self._request(request_id, spec))
+            self._polls.read_and_answer(self._request(request_id, spec))
             return
         state = wire.CANCELLED if self._replica.is_cancelled(spec.id) else wire.PENDING
         self._requests.answer(request_id, 201, wire.JobState(spec.id, state))
--- a/appledock/core/api/submission_check.py
+++ b/appledock/core/api/submission_check.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from appledock import constants, wire
-from appledock.core.api.open_requests import Refusal
+from appledock.core.api.pending_requests import Refusal
 from appledock.core.jobs.codec import JobRecordCodec
 from appledock.core.machines.machine_capacity import can_run_on_type
 from appledock.core.quota.resources import demand_of, limit_of
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -11,13 +11,13 @@
 from appledock.core.api.admin_responses import AdminResponder
 from appledock.core.api.capacity_api import PartitionSharesApi
 from appledock.core.api.console_feed import ConsoleFeed
-from appledock.core.api.first_owner import FirstOwner
 from appledock.core.api.health import HealthCheck
+from appledock.core.api.initial_owner import InitialOwnerPolicy
 from appledock.core.api.job_cancellation import JobCancellations
-from appledock.core.api.job_records import DependencyOutcomes, JobRecords
+from appledock.core.api.job_records import DependencyOutcomeReader, JobRecordReader
 from appledock.core.api.job_states import JobStates
 from appledock.core.api.machine_actions import MachineActions
-from appledock.core.api.open_requests import OpenRequests
+from appledock.core.api.pending_requests import PendingRequests
 from appledock.core.api.settings_api import SettingsApi
 from appledock.core.api.status_polls import StatusPolls
 from appledock.core.api.submission import Submissions
@@ -442,7 +442,7 @@
             membership=self.membership,
             workers=self.workers,
             health=self.health,
-            open_requests=self.user_requests.open_requests,
+            pending_requests=self.user_requests.pending_requests,
             machine_types=self.machine_types,
             booting_machines=self.fleet.booting,
         )
@@ -524,10 +524,10 @@
 
     def _build_user_requests(self) -> UserRequests:
         """Requests of users, one part for each kind."""
-        requests = OpenRequests(self.runtime, self.reader)
-        records = JobRecords(self.replica, self.reader)
+        requests = PendingRequests(self.runtime, self.reader)
+        record_reader = JobRecordReader(self.replica, self.reader)
         polls = StatusPolls(
-            self.runtime, self.client, self.replica, requests, records, self.job_states
+            self.runtime, self.client, self.replica, requests, record_reader, self.job_states
         )
         submissions = Submissions(
             runtime=self.runtime,
@@ -536,10 +536,10 @@
             codec=self.codec,
             reconcile_queue=self.reconcile_queue,
             requests=requests,
-            records=records,
+            record_reader=record_reader,
             polls=polls,
             check=SubmissionCheck(self.runtime, self.client, self.codec, self.machine_types),
-            choose_first_owner=FirstOwner(
+            choose_initial_owner=InitialOwnerPolicy(
                 self.replica,
                 self.membership,
                 self.heartbeats,
@@ -552,12 +552,14 @@
             replica=self.replica,
             codec=self.codec,
             requests=requests,
-            records=records,
+            record_reader=record_reader,
             states=self.job_states,
             broadcast=self.cancellation_dissemination.broadcast,
         )
-        outcomes = DependencyOutcomes(self.runtime, self.replica, self.reader, records)
-        return UserRequests(requests, submissions, polls, cancellations, outcomes)
+        outcome_reader = DependencyOutcomeReader(
+            self.runtime, self.replica, self.reader, record_reader
+        )
+        return UserRequests(requests, submissions, polls, cancellations, outcome_reader)
 
     def handle(self, batch: list[Command], now: float, wall: float) -> list[Effect]:
         """Work through a batch; `now` is the steady clock, `wall` the time of day (s)."""
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -144,7 +144,7 @@
         """Answer with status 500 if the command was a request; else its sender would wait."""
         request_id = getattr(command, "request_id", None)
         if request_id is not None:
-            self._user_requests.open_requests.discard(request_id)
+            self._user_requests.pending_requests.discard(request_id)
             self._runtime.emit(Response(request_id, 500, {"error": "internal error"}))
 
     # --- commands ---------------------------------------------------------
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -220,14 +220,14 @@
 def test_a_controller_tells_rows_whether_load_is_spread_or_not() -> None:
     engine = leading()
     engine.handle([HeartbeatReceived(1, report(1))], NOW, 0.0)
-    told = engine.admin.console_feed.since("-", 0, 100)
+    told = engine.admin.console_feed.changes_since("-", 0, 100)
     assert told.full and not told.more and told.rows["cluster/"][4] == "off"
     assert told.rows["worker/vm-1"][:2] == ["n0", 0.0]
-    assert engine.admin.console_feed.since(told.incarnation, told.version, 100).rows == {}
+    assert engine.admin.console_feed.changes_since(told.incarnation, told.version, 100).rows == {}
     world = crowded(1, rules())
     world.clock.run(31.0)
     feed = world.nodes["n0"].engine.admin.console_feed
-    told = feed.since("-", 0, 500)
+    told = feed.changes_since("-", 0, 500)
     assert told.rows["cluster/"][4] == "on"
     assert sum(key.startswith("worker/") for key in told.rows) == 12
     assert sum(key.startswith("controller/") for key in told.rows) == 3
--- a/tests/test_shared_cluster.py
+++ b/tests/test_shared_cluster.py
@@ -391,7 +391,7 @@
     world.clock.run(CHANGE_S)
     world.apply("n0", 0.25, "r1")
     world.clock.run(CHANGE_S + 5.0)
-    told = world.nodes["n2"].engine.admin.console_feed.since("-", 0, 500).rows
+    told = world.nodes["n2"].engine.admin.console_feed.changes_since("-", 0, 500).rows
     assert told["partition/sealing.all"] == [3, 3, 3, 24, ""]
     assert told["partition/front.all"] == [9, 6, 0, 0, ""]
 
--- a/tests/unit/api/test_open_requests.py
+++ b/tests/unit/api/test_pending_requests.py
@@ -7,17 +7,17 @@
 from typing import Any, cast
 
 from appledock import constants, wire
-from appledock.core.api.open_requests import NO_SUCH_JOB, OpenRequests
+from appledock.core.api.pending_requests import NO_SUCH_JOB, PendingRequests
 from appledock.core.effects import Response
 from appledock.core.runtime import Runtime
 from appledock.core.store.reader import StoreReader
 from tests.standins.deployment import settings
 
 
-def build(loaded: bool = True) -> tuple[Runtime, OpenRequests]:
+def build(loaded: bool = True) -> tuple[Runtime, PendingRequests]:
     runtime = Runtime(settings("n0", ["n0"]), "a", random.Random(1))
     reader = cast("StoreReader", SimpleNamespace(loaded=loaded))
-    return runtime, OpenRequests(runtime, reader)
+    return runtime, PendingRequests(runtime, reader)
 
 
 def replies(runtime: Runtime) -> list[tuple[int, Any, Any]]:
--- a/tests/unit/api/test_status_polls.py
+++ b/tests/unit/api/test_status_polls.py
@@ -6,10 +6,10 @@
 from types import SimpleNamespace
 from typing import cast
 
-from appledock.core.api.job_records import JobRecords
+from appledock.core.api.job_records import JobRecordReader
 from appledock.core.api.job_states import JobStates
-from appledock.core.api.open_requests import NO_SUCH_JOB, OpenRequests
-from appledock.core.api.status_polls import PendingRequest, StatusPolls
+from appledock.core.api.pending_requests import NO_SUCH_JOB, PendingRequests
+from appledock.core.api.status_polls import StatusPoll, StatusPolls
 from appledock.core.commands import StoreReply
 from appledock.core.effects import Response, StoreCall
 from appledock.core.records.job import Job
@@ -34,22 +34,20 @@
         self.client = StoreClient(self.runtime)
         reader = cast("StoreReader", SimpleNamespace(loaded=True))
         workers = cast("Workers", SimpleNamespace(table={}))
-        self.requests = OpenRequests(self.runtime, reader)
+        self.requests = PendingRequests(self.runtime, reader)
         self.polls = StatusPolls(
             self.runtime,
             self.client,
             self.replica,
             self.requests,
-            JobRecords(self.replica, reader),
+            JobRecordReader(self.replica, reader),
             JobStates(self.replica, workers),
         )
 
     def poll(self, request_id: int, job_id: str) -> None:
         self.requests.admit(request_id)
         self.polls.add(
-            PendingRequest(
-                request_id, job_id, lambda: self.requests.refuse(request_id, NO_SUCH_JOB)
-            )
+            StatusPoll(request_id, job_id, lambda: self.requests.refuse(request_id, NO_SUCH_JOB))
         )
 
     def calls(self) -> list[StoreCall]:
--- a/tests/unit/test_engine.py
+++ b/tests/unit/test_engine.py
@@ -51,7 +51,7 @@
     parts.fakes["user_requests"].poll.side_effect = raising
     effects = parts.engine.handle([GetJobState(4, "job-1"), HeartbeatReceived(5, Mock())], 1.0, 2.0)
     assert effects == [Response(4, 500, {"error": "internal error"})]
-    parts.fakes["user_requests"].open_requests.discard.assert_called_once_with(4)
+    parts.fakes["user_requests"].pending_requests.discard.assert_called_once_with(4)
     parts.fakes["workers"].on_heartbeat.assert_called_once()
     assert (parts.runtime.now, parts.runtime.wall_time) == (1.0, 2.0)
 
