--- a/appledock/capacity/assignment.py
+++ b/appledock/capacity/assignment.py
@@ -20,7 +20,7 @@
     name: str
     ownership: Ownership | None
     """None: never assigned"""
-    tasks: dict[str, int] = field(default_factory=dict)
+    task_counts: dict[str, int] = field(default_factory=dict)
     """partition -> its unsettled tasks"""
     drain_s: float = 0.0
     """estimated time until it is drained"""
@@ -28,7 +28,7 @@
     @property
     def is_empty(self) -> bool:
         """Is no unsettled task on it, by the records?"""
-        return not self.tasks
+        return not self.task_counts
 
 
 def next_owners(
@@ -80,7 +80,7 @@
         self._owned[partition] += 1
 
     def _hand_over(self, machine: MachineUse, ownership: Ownership) -> None:
-        self._changes[machine.name] = ownership.handed_over()
+        self._changes[machine.name] = ownership.with_handover_started()
         self._owned[ownership.partition] -= 1
 
     # --- steps ----------------------------------------------------------------
@@ -102,7 +102,7 @@
             if (
                 ownership is not None
                 and ownership.is_being_handed_over
-                and not set(machine.tasks) - {ownership.partition}
+                and not set(machine.task_counts) - {ownership.partition}
                 and self._owned[ownership.partition] < self._target.get(ownership.partition, 0)
             ):
                 self._assign(machine, ownership.partition)
@@ -113,7 +113,7 @@
             if machine.name in self._changes or not self._target:
                 continue
             ownership = machine.ownership
-            if ownership is None and machine.tasks:
+            if ownership is None and machine.task_counts:
                 self._adopt(machine)
             elif machine.is_empty and (ownership is None or ownership.is_being_handed_over):
                 below_target = self._partitions_below_target()
@@ -122,8 +122,10 @@
 
     def _adopt(self, machine: MachineUse) -> None:
         """Assign a machine that was in use before partitions were in force."""
-        partition = max(sorted(machine.tasks), key=machine.tasks.__getitem__)
-        if len(machine.tasks) == 1 and self._owned[partition] < self._target.get(partition, 0):
+        partition = max(sorted(machine.task_counts), key=machine.task_counts.__getitem__)
+        if len(machine.task_counts) == 1 and self._owned[partition] < self._target.get(
+            partition, 0
+        ):
             self._assign(machine, partition)
         else:
             self._changes[machine.name] = Ownership(partition, is_being_handed_over=True)
@@ -162,7 +164,7 @@
             key=lambda row: (
                 not row[1].is_lent,
                 row[0].drain_s,
-                sum(row[0].tasks.values()),
+                sum(row[0].task_counts.values()),
                 row[0].name,
             ),
         )
--- a/appledock/capacity/history.py
+++ b/appledock/capacity/history.py
@@ -38,7 +38,7 @@
     tasks: int
 
 
-def rows(summary: dict[str, Any], at: float) -> list[HistoryRow]:
+def summary_rows(summary: dict[str, Any], at: float) -> list[HistoryRow]:
     """The rows of one answer of the administration API."""
     return [
         HistoryRow(
@@ -90,7 +90,7 @@
             self.pending.clear()
 
 
-def read(path: Path) -> Iterator[HistoryRow]:
+def read_rows(path: Path) -> Iterator[HistoryRow]:
     """The rows of a file in their order; raises HistoryError where it cannot be read on."""
     decoder = msgspec.json.Decoder(HistoryRow)
     try:
--- a/appledock/capacity/lending.py
+++ b/appledock/capacity/lending.py
@@ -32,26 +32,26 @@
 
 
 @dataclass
-class Lenders:
+class SurplusTracker:
     """Which partitions may lend: those with surplus machines for long enough.
 
     Otherwise machines would change owner with every short pause of a busy partition.
     """
 
-    after_s: float
+    lend_after_s: float
     """how long machines must have been surplus"""
-    surplus_since: dict[str, float] = field(default_factory=dict)
+    surplus_started_at: dict[str, float] = field(default_factory=dict)
     """partition -> since when it has surplus machines"""
 
     def update(self, now: float, agreed: dict[str, int], needed: dict[str, int]) -> set[str]:
         """Take in the present numbers, and return the partitions that may lend."""
         for name, machines in agreed.items():
             if needed.get(name, 0) >= machines:
-                self.surplus_since.pop(name, None)
+                self.surplus_started_at.pop(name, None)
             else:
-                self.surplus_since.setdefault(name, now)
+                self.surplus_started_at.setdefault(name, now)
         return {
             name
-            for name, since in self.surplus_since.items()
-            if name in agreed and now - since >= self.after_s
+            for name, since in self.surplus_started_at.items()
+            if name in agreed and now - since >= self.lend_after_s
         }
--- a/appledock/capacity/ownership.py
+++ b/appledock/capacity/ownership.py
@@ -19,7 +19,7 @@
     is_lent: bool = False
     """it is beyond the owner's agreed number: its lender gets it back when in need"""
 
-    def handed_over(self) -> Ownership:
+    def with_handover_started(self) -> Ownership:
         """The same machine, being handed over."""
         return Ownership(self.partition, True, self.is_lent)
 
--- a/appledock/cli_capacity.py
+++ b/appledock/cli_capacity.py
@@ -155,7 +155,7 @@
                 reply = ask(api, "GET", "capacity")
                 if not reply["enabled"]:
                     fail("capacity shares are off", FAILED)
-                writer.add(archive.rows(reply, round(time.time(), 3)))
+                writer.add(archive.summary_rows(reply, round(time.time(), 3)))
         except KeyboardInterrupt:
             return
 
@@ -167,7 +167,9 @@
     """Print a collected history."""
     archive = history_module()
     try:
-        rows = [{**msgspec.structs.asdict(row), "at": moment(row.at)} for row in archive.read(file)]
+        rows = [
+            {**msgspec.structs.asdict(row), "at": moment(row.at)} for row in archive.read_rows(file)
+        ]
     except archive.HistoryError as error:
         fail(str(error), FAILED)
     show(rows, as_json, rows, list(archive.HistoryRow.__struct_fields__))
--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -266,6 +266,6 @@
         "target": target,
         "holds": len(owned),
         "drains": [use.name for use in drained],
-        "tasks": sum(sum(use.tasks.values()) for use in drained),
+        "tasks": sum(sum(use.task_counts.values()) for use in drained),
         "left_s": round(max((use.drain_s for use in drained), default=0.0), 1),
     }
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -10,7 +10,7 @@
 
 from appledock import constants, wire
 from appledock.capacity.assignment import MachineUse, next_owners
-from appledock.capacity.lending import Lenders, lend_surplus
+from appledock.capacity.lending import SurplusTracker, lend_surplus
 from appledock.capacity.ownership import Ownership, OwnershipBucket, bucket_of
 from appledock.capacity.settings import Capacity, Pool
 from appledock.core.capacity.machine_usage import MachineUsage
@@ -83,7 +83,7 @@
         """records that one transaction writes; fewer where it was not executed"""
         self._settled_inputs: AssignmentInputs | None = None
         """the inputs of the last pass, if it found nothing to change"""
-        self._lenders: dict[str, Lenders] = {}
+        self._surplus_trackers: dict[str, SurplusTracker] = {}
         """pool -> partitions with surplus machines there"""
 
     def tick(self) -> None:
@@ -159,7 +159,9 @@
         if not settings.lend:
             return agreed
         needed = self._needed_machines(pool, uses)
-        lenders = self._lenders.setdefault(pool.name, Lenders(settings.lend_after_s))
+        lenders = self._surplus_trackers.setdefault(
+            pool.name, SurplusTracker(settings.lend_after_s)
+        )
         return lend_surplus(agreed, needed, lenders.update(self._runtime.now, agreed, needed))
 
     def _needed_machines(self, pool: Pool, uses: list[MachineUse]) -> dict[str, int]:
@@ -173,7 +175,7 @@
                 slots = max((_count_slots(spec, kind) for kind in machine_types), default=0)
                 if slots:
                     queued[name] = queued.get(name, 0.0) + demand.tasks / slots
-        in_use = Counter(name for use in uses for name in use.tasks)
+        in_use = Counter(name for use in uses for name in use.task_counts)
         return {
             name: in_use[name] + math.ceil(queued.get(name, 0.0) - constants.EPSILON)
             for name in self._partitions.agreed_fractions()
--- a/appledock/core/capacity/summary.py
+++ b/appledock/core/capacity/summary.py
@@ -57,12 +57,12 @@
             "leaving": [
                 {
                     "machine": use.name,
-                    "tasks": sum(use.tasks.values()),
+                    "tasks": sum(use.task_counts.values()),
                     "left_s": round(use.drain_s, 1),
                 }
                 for use, ownership in owned
                 if ownership.is_being_handed_over
             ],
-            "tasks": sum(use.tasks.get(name, 0) for use in uses),
+            "tasks": sum(use.task_counts.get(name, 0) for use in uses),
             "controller": settings.partition(name).controller,
         }
--- a/tests/loopback/shares.py
+++ b/tests/loopback/shares.py
@@ -16,7 +16,7 @@
 
 import click
 
-from appledock.capacity.history import HistoryWriter, read, rows
+from appledock.capacity.history import HistoryWriter, read_rows, summary_rows
 from appledock.capacity.ownership import SECTIONS
 from tests.loopback import interrupt
 from tests.loopback.__main__ import Run
@@ -120,7 +120,7 @@
                 for name in self.cluster.names:
                     summary = await self.cluster.admin(name, "capacity")
                     if summary:
-                        writer.add(rows(summary, round(self.run.now(), 3)))
+                        writer.add(summary_rows(summary, round(self.run.now(), 3)))
                         break
 
     async def drive(self, seconds: float) -> None:
@@ -223,7 +223,7 @@
             cluster.spawn(shares.strike(seconds))
         await asyncio.sleep(seconds)
         figures = shares.figures()
-    told = list(read(archive))
+    told = list(read_rows(archive))
     figures["told"] = {
         "rows": len(told),
         "bytes": archive.stat().st_size,
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -22,8 +22,14 @@
 from appledock import constants as c
 from appledock.capacity.apportion import apportion
 from appledock.capacity.assignment import MachineUse, next_owners
-from appledock.capacity.history import HistoryError, HistoryRow, HistoryWriter, read, rows
-from appledock.capacity.lending import Lenders, lend_surplus
+from appledock.capacity.history import (
+    HistoryError,
+    HistoryRow,
+    HistoryWriter,
+    read_rows,
+    summary_rows,
+)
+from appledock.capacity.lending import SurplusTracker, lend_surplus
 from appledock.capacity.ownership import Ownership, OwnershipBucket, bucket_of, decode_bucket
 from appledock.capacity.settings import Capacity, CapacityError, Partition, Pool, parse
 from appledock.cli import main
@@ -184,7 +190,7 @@
 
 
 def test_only_what_was_spare_for_a_while_is_lent() -> None:
-    lenders = Lenders(15.0)
+    lenders = SurplusTracker(15.0)
     target = {"a": 4, "b": 4}
     assert lenders.update(0.0, target, {"a": 1, "b": 9}) == set()
     assert lenders.update(10.0, target, {"a": 4, "b": 9}) == set()
@@ -366,8 +372,8 @@
     for first in (0, 1000):
         with HistoryWriter(path) as writer:
             for at in range(first, first + 1000):
-                writer.add(rows(summary(at % 5), float(at)))
-    told = list(read(path))
+                writer.add(summary_rows(summary(at % 5), float(at)))
+    told = list(read_rows(path))
     assert [row.at for row in told] == [float(at) for at in range(2000)]
     assert told[7] == HistoryRow(7.0, 9, "all", "a", 3, 2, 1, 1, 7)
     assert path.stat().st_size < 20_000
@@ -381,11 +387,11 @@
     path = tmp_path / "history.zst"
     with HistoryWriter(path) as writer:
         for at in range(1000):
-            writer.add(rows(summary(1), float(at)))
+            writer.add(summary_rows(summary(1), float(at)))
     path.write_bytes(path.read_bytes()[:-40])
     told = []
     with pytest.raises(HistoryError, match="its last block ends early"):
-        for row in read(path):
+        for row in read_rows(path):
             told.append(row)
     assert len(told) >= 700
     path.write_text("no history")
