--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -87,7 +87,7 @@
         self._usage = usage
         self._summary = summary
 
-    def request(self, request: AdminRequest, action: str) -> None:
+    def handle(self, request: AdminRequest, action: str) -> None:
         """Carry out a request; `action` is a value of `CapacityAction`."""
         settings = self._partitions.settings
         if settings is None:
@@ -266,6 +266,6 @@
         "target": target,
         "holds": len(owned),
         "drains": [use.name for use in drained],
-        "tasks": sum(sum(use.tasks.values()) for use in drained),
+        "tasks": sum(sum(use.task_counts.values()) for use in drained),
         "left_s": round(max((use.drain_s for use in drained), default=0.0), 1),
     }
