--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -115,7 +115,7 @@
         }
 
     def _read_teams(self) -> dict[str, Row]:
-        bounds = {row["name"]: row for row in self._rebalancer.teams()}
+        bounds = {row["name"]: row for row in self._rebalancer.team_summaries()}
         rows: dict[str, Row] = {}
         for name, team in sorted(self._runtime.teams.items()):
             bound = bounds.get(name)
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -561,9 +561,9 @@
         )
         return UserRequests(requests, submissions, polls, cancellations, outcome_reader)
 
-    def handle(self, batch: list[Command], now: float, wall: float) -> list[Effect]:
-        """Work through a batch; `now` is the steady clock, `wall` the time of day (s)."""
-        return self.engine.handle(batch, now, wall)
+    def handle(self, batch: list[Command], now: float, wall_time: float) -> list[Effect]:
+        """Work through a batch; `now` is the steady clock, `wall_time` the time of day (s)."""
+        return self.engine.handle(batch, now, wall_time)
 
     # --- what the workers tell parts that are built after them --------------
     def _on_replica_loaded(self) -> None:
@@ -574,7 +574,7 @@
         self.capacity_index.mark_changed(machine)
 
     def _on_task_completed(self, machine: str, job: Job, seconds: float) -> None:
-        self.rebalancer.completed(machine, job, seconds)
+        self.rebalancer.on_task_completed(machine, job, seconds)
 
     def _on_machine_deleted(self, machine: str) -> None:
         self.rebalancer.speeds.forget(machine)
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -116,13 +116,13 @@
         self._is_started = False
 
     # --- batches ----------------------------------------------------------
-    def handle(self, batch: list[Command], now: float, wall: float) -> list[Effect]:
-        """Work through a batch; `now` is the steady clock, `wall` the time of day (s).
+    def handle(self, batch: list[Command], now: float, wall_time: float) -> list[Effect]:
+        """Work through a batch; `now` is the steady clock, `wall_time` the time of day (s).
 
         Never raises: bad input or a bug in one part is logged, and the rest of the batch and its
         effects are kept.
         """
-        self._runtime.now, self._runtime.wall_time = now, wall
+        self._runtime.now, self._runtime.wall_time = now, wall_time
         if not self._is_started:
             self._workers.on_start()
             self._is_started = True
--- a/appledock/core/rebalancing/move_planning.py
+++ b/appledock/core/rebalancing/move_planning.py
@@ -65,7 +65,7 @@
             return
         # Jitter: controllers would otherwise keep planning at the same moment.
         self._next_pass_at = now + settings.every_s * (0.9 + 0.2 * self._runtime.rng.random())
-        self._snapshots.smooth(settings.smooth_s)
+        self._snapshots.update_smoothed(settings.smooth_s)
         if self._operator_settings["moves_paused"]:
             return
         self.blocked = {name: row for name, row in self.blocked.items() if row.until > now}
@@ -101,7 +101,7 @@
             self._mean_loads(),
             self._snapshots.running_tasks,
             self._remaining_moves(),
-            pair=lambda source, destination: mean[source.owner] > mean[destination.owner],
+            owner_filter=lambda source, destination: mean[source.owner] > mean[destination.owner],
         )
         self._carry_out([move for move in plan.proposals if self._is_between_owners(move)])
 
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -11,7 +11,7 @@
 from appledock.core.operator_settings import OperatorSettings
 from appledock.core.rebalancing.data_availability import DataAvailability
 from appledock.core.rebalancing.move_planning import BlockedMachine, MovePlanning
-from appledock.core.rebalancing.scoring import Scorer, Scoring
+from appledock.core.rebalancing.scoring import ScorerFactory, WeightedScorer
 from appledock.core.rebalancing.snapshots import FleetSnapshots
 from appledock.core.rebalancing.summary import move_summary, team_summaries, worker_summaries
 from appledock.core.records.job import Job
@@ -23,7 +23,7 @@
 from appledock.rebalancing.planner import Planner
 from appledock.rebalancing.settings import Rebalancing
 from appledock.rebalancing.snapshot import means
-from appledock.rebalancing.speeds import Speeds
+from appledock.rebalancing.speeds import MachineSpeeds
 
 
 class Rebalancer:
@@ -49,10 +49,10 @@
         self._moves = moves
         self.settings = settings
         self.enabled = settings is not None
-        self.speeds = Speeds()
+        self.speeds = MachineSpeeds()
         rules = settings or Rebalancing()
         datasets = DataSets(rules.datasets)
-        self._scoring = Scoring(rules, datasets, self.speeds.slowness)
+        self._scorer_factory = ScorerFactory(rules, datasets, self.speeds.slowness)
         self._planner = Planner(rules, datasets, runtime.rng)
         self._data_availability = DataAvailability(rules.datasets, capacity_index, machine_types)
         self._snapshots = FleetSnapshots(
@@ -72,23 +72,23 @@
             planner=self._planner,
             snapshots=self._snapshots,
             moves=moves,
-            mean_loads=lambda: self._scoring.means,
+            mean_loads=lambda: self._scorer_factory.means,
         )
         self._means_at = constants.DISTANT_PAST
 
     # --- placement ----------------------------------------------------------
-    def scorer(self, spec: wire.JobSpec) -> Scorer | None:
+    def scorer(self, spec: wire.JobSpec) -> WeightedScorer | None:
         """Return the scorer of the job's class; None: the default score holds."""
-        return self._scoring.scorer(spec) if self.enabled else None
+        return self._scorer_factory.scorer(spec) if self.enabled else None
 
     def is_movable(self, spec: wire.JobSpec) -> bool:
         """May tasks of the job be stopped to balance load?"""
         return self._planner.is_movable(spec)
 
-    def completed(self, machine: str, job: Job, seconds: float) -> None:
+    def on_task_completed(self, machine: str, job: Job, seconds: float) -> None:
         """A heartbeat shows that a task of the job completed after so many seconds."""
         if self.enabled:
-            self.speeds.completed(machine, job.spec.job_class, seconds)
+            self.speeds.add_run_time(machine, job.spec.job_class, seconds)
 
     def refresh_means(self) -> None:
         """Compute the mean loads and check the data sets, at most once in an interval."""
@@ -96,7 +96,7 @@
         if not self.enabled or now < self._means_at + constants.MEAN_LOAD_INTERVAL_S:
             return
         self._means_at = now
-        self._scoring.means = means(
+        self._scorer_factory.means = means(
             (machine.type.cpus, machine.load)
             for machine in self._capacity_index.machines.values()
             if machine.load is not None
@@ -128,17 +128,17 @@
             "paused": bool(self._operator_settings["moves_paused"]),
             "dry_run": bool(self._operator_settings["moves_dry_run"]),
             "bound": self.settings.bound,
-            "mean": round(self._scoring.means.total, 4),
+            "mean": round(self._scorer_factory.means.total, 4),
             "workers": worker_summaries(
                 self._capacity_index, self._snapshots.smoothed, self.blocked
             ),
-            "teams": self.teams(),
+            "teams": self.team_summaries(),
             "datasets": self._data_availability.by_dataset,
             **move_summary(self._moves, self._runtime.now),
         }
 
-    def teams(self) -> list[dict[str, Any]]:
+    def team_summaries(self) -> list[dict[str, Any]]:
         """Return each team's mean, its most loaded machine, and whether it is within bounds."""
         if self.settings is None:
             return []
-        return team_summaries(self._capacity_index, self._scoring.means, self.settings.bound)
+        return team_summaries(self._capacity_index, self._scorer_factory.means, self.settings.bound)
--- a/appledock/core/rebalancing/scoring.py
+++ b/appledock/core/rebalancing/scoring.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scorer:
+class WeightedScorer:
     """Scores machines for the tasks of one job; lower is better."""
 
     spec: wire.JobSpec
@@ -37,7 +37,9 @@
         result = weights.locality * self.distance(machine)
         if machine.load is not None:
             share = task_share(spec, machine.type)
-            result += weights.spread * (machine.load.total + machine.load.of(spec.team) + share)
+            result += weights.spread * (
+                machine.load.total + machine.load.of_team(spec.team) + share
+            )
         if weights.image:
             result += weights.image * image_fetch_s(spec, machine) / constants.FETCH_SCALE_S
         if weights.packing:
@@ -52,7 +54,7 @@
         if far < 1.0 and machine.load is not None:
             share = task_share(self.spec, machine.type)
             mean = self.means.team(self.spec.team)
-            if exceeds_bound(machine.load.of(self.spec.team), share, mean, self.bound):
+            if exceeds_bound(machine.load.of_team(self.spec.team), share, mean, self.bound):
                 return 1.0
         return far
 
@@ -65,7 +67,7 @@
         )
 
 
-class Scoring:
+class ScorerFactory:
     """Makes the scorers, with the mean loads as last computed."""
 
     def __init__(
@@ -77,9 +79,9 @@
         self.means = Means()
         self._weights = {row.name: row for row in rebalancing.classes}
 
-    def scorer(self, spec: wire.JobSpec) -> Scorer | None:
+    def scorer(self, spec: wire.JobSpec) -> WeightedScorer | None:
         """Return the scorer of a job; None: its class has no weights, the default score holds."""
         weights = self._weights.get(spec.job_class)
         if weights is None:
             return None
-        return Scorer(spec, weights, self.datasets, self.means, self.bound, self.slowness)
+        return WeightedScorer(spec, weights, self.datasets, self.means, self.bound, self.slowness)
--- a/appledock/core/rebalancing/snapshots.py
+++ b/appledock/core/rebalancing/snapshots.py
@@ -40,7 +40,7 @@
         self._smoothed_at = constants.DISTANT_PAST
 
     # --- machines -----------------------------------------------------------
-    def smooth(self, time_constant_s: float) -> None:
+    def update_smoothed(self, time_constant_s: float) -> None:
         """Average the loads exponentially; a new machine begins with the highest known load.
 
         Guards against machines that join and leave in waves: filled at once, each would give
@@ -51,12 +51,12 @@
         self._smoothed_at = now
         highest = Load()
         for load in self.smoothed.values():
-            highest = highest.at_least(load)
+            highest = highest.maximum_with(load)
         smoothed: dict[str, Load] = {}
         for name, machine in self._capacity_index.machines.items():
             if machine.load is not None:
-                known = self.smoothed.get(name) or machine.load.at_least(highest)
-                smoothed[name] = known.moved_towards(machine.load, weight)
+                known = self.smoothed.get(name) or machine.load.maximum_with(highest)
+                smoothed[name] = known.interpolated_towards(machine.load, weight)
         self.smoothed = smoothed
 
     def machines(self) -> list[MachineLoad]:
--- a/appledock/core/rebalancing/summary.py
+++ b/appledock/core/rebalancing/summary.py
@@ -64,7 +64,7 @@
     rows = []
     for team, mean in sorted(mean_loads.teams.items()):
         most, machine, tasks = max(
-            (machine.load.of(team), name, machine.load.counts.get(team, 0))
+            (machine.load.of_team(team), name, machine.load.task_counts.get(team, 0))
             for name, machine in capacity_index.machines.items()
             if machine.load is not None
         )
--- a/appledock/rebalancing/planner.py
+++ b/appledock/rebalancing/planner.py
@@ -10,7 +10,7 @@
 
 from appledock import constants, wire
 from appledock.rebalancing.locality import DataSets
-from appledock.rebalancing.potential import gain
+from appledock.rebalancing.potential import move_gain
 from appledock.rebalancing.settings import ClassWeights, Rebalancing
 from appledock.rebalancing.snapshot import (
     MachineLoad,
@@ -98,12 +98,12 @@
         machines: list[MachineLoad],
         means: Means,
         read_tasks: ReadTasks,
-        most: int,
-        pair: OwnerFilter | None = None,
+        max_moves: int,
+        owner_filter: OwnerFilter | None = None,
         review: Sequence[MachineLoad] = (),
         skip: Container[str] = (),
     ) -> Plan:
-        """Plan up to `most` moves; the loads of the machines are changed as planned.
+        """Plan up to `max_moves` moves; the loads of the machines are changed as planned.
 
         `review`: machines whose tasks are looked at for their data, however even the load is.
         `skip`: machines off which nothing could be moved lately.
@@ -116,17 +116,17 @@
         sources += [machine for machine in review if machine.name not in overloaded]
         moved: set[str] = set()
         for source in sources:
-            if len(plan.proposals) >= most:
+            if len(plan.proposals) >= max_moves:
                 break
             source.tasks = read_tasks(source)
-            best, obstacle = self._best(source, machines, means, pair, moved, plan)
+            best, obstacle = self._best(source, machines, means, owner_filter, moved, plan)
             if best is None:
                 if source.name in overloaded:
                     plan.obstacles[source.name] = obstacle
                 continue
             moved.add(best.proposal.job)
-            source.count(best.task.spec, -1)
-            best.destination.count(best.task.spec, 1)
+            source.add_tasks(best.task.spec, -1)
+            best.destination.add_tasks(best.task.spec, 1)
             plan.proposals.append(best.proposal)
         return plan
 
@@ -136,27 +136,30 @@
     ) -> list[MachineLoad]:
         """The machines furthest beyond the dead band, the worst first."""
         beyond = [
-            (excess, machine.name, machine)
+            (overload_ratio, machine.name, machine)
             for machine in machines
-            if machine.name not in skip and (excess := self.excess(machine, means)) > 1.0
+            if machine.name not in skip
+            and (overload_ratio := self.overload_ratio(machine, means)) > 1.0
         ]
         return [machine for _, _, machine in heapq.nlargest(constants.MOVE_SOURCES_MAX, beyond)]
 
-    def excess(self, machine: MachineLoad, means: Means) -> float:
+    def overload_ratio(self, machine: MachineLoad, means: Means) -> float:
         """Return the load, or the highest of a team, over the most that the dead band allows.
 
         A single task cannot be spread, however much of the machine it takes.
         """
         trigger = self.settings.trigger
-        excess = 0.0
-        if means.total > constants.EPSILON and machine.load.tasks > 1:
-            excess = min(machine.load.total, machine.smoothed.total) / (trigger * means.total)
+        overload_ratio = 0.0
+        if means.total > constants.EPSILON and machine.load.task_count > 1:
+            overload_ratio = min(machine.load.total, machine.smoothed.total) / (
+                trigger * means.total
+            )
         for team, share in machine.load.teams.items():
             mean = means.team(team)
-            if mean > constants.EPSILON and machine.load.counts[team] > 1:
-                lasting = min(share, machine.smoothed.of(team))
-                excess = max(excess, lasting / (trigger * mean))
-        return excess
+            if mean > constants.EPSILON and machine.load.task_counts[team] > 1:
+                lasting = min(share, machine.smoothed.of_team(team))
+                overload_ratio = max(overload_ratio, lasting / (trigger * mean))
+        return overload_ratio
 
     # --- choice -----------------------------------------------------------
     def _best(
@@ -164,7 +167,7 @@
         source: MachineLoad,
         machines: list[MachineLoad],
         means: Means,
-        pair: OwnerFilter | None,
+        owner_filter: OwnerFilter | None,
         moved: set[str],
         plan: Plan,
     ) -> tuple[_Candidate | None, Obstacle]:
@@ -174,7 +177,7 @@
         for task in self._candidates(source, moved):
             weights = self.weights[task.spec.job_class]
             room = False
-            for destination in self._destinations(task.spec, source, machines, pair):
+            for destination in self._destinations(task.spec, source, machines, owner_filter):
                 plan.comparisons += 1
                 room = True
                 found, reason = self._weigh(task, weights, source, destination, means)
@@ -206,7 +209,7 @@
         spec: wire.JobSpec,
         source: MachineLoad,
         machines: list[MachineLoad],
-        pair: OwnerFilter | None,
+        owner_filter: OwnerFilter | None,
     ) -> list[MachineLoad]:
         """The least loaded machines that may take a task, and those that hold its data."""
         fitting = [
@@ -215,7 +218,7 @@
             if machine is not source
             and machine.fits(spec)
             and self._is_allowed(spec, source, machine)
-            and (pair is None or pair(source, machine))
+            and (owner_filter is None or owner_filter(source, machine))
         ]
         least = heapq.nsmallest(
             2 * constants.MOVE_DESTINATIONS_MAX, fitting, key=lambda m: (m.load.total, m.name)
@@ -266,17 +269,17 @@
         spec, settings = task.spec, self.settings
         arrives = task_share(spec, destination.machine_type)
         if exceeds_bound(
-            destination.load.of(spec.team), arrives, means.team(spec.team), self.bound
+            destination.load.of_team(spec.team), arrives, means.team(spec.team), self.bound
         ):
             return None, Obstacle.TOO_LARGE
         fetch_s = self.fetch_s(spec, destination)
         if fetch_s > settings.fetch_s:
             return None, Obstacle.GAIN_TOO_SMALL
-        found = gain(spec, weights, source, destination, self.datasets)
+        found = move_gain(spec, weights, source, destination, self.datasets)
         if found.now <= 0:
             return None, Obstacle.TOO_LARGE
         cost = (task.lost_core_s + fetch_s * spec.cpus) / settings.payback_s
-        net = found.lower - cost
+        net = found.minimum - cost
         if net < settings.min_gain * max(spec.cpus, constants.MOVE_MIN_CORES):
             return None, Obstacle.GAIN_TOO_SMALL
         proposal = Proposal(
--- a/appledock/rebalancing/potential.py
+++ b/appledock/rebalancing/potential.py
@@ -30,17 +30,19 @@
     smoothed: float
 
     @property
-    def lower(self) -> float:
+    def minimum(self) -> float:
         """The lower of the two gains: what the move gains by either load."""
         return min(self.now, self.smoothed)
 
 
 def _growth(cores: float, load: Load, team: str, change: float) -> float:
     """How much the terms of one machine grow when a team's load there changes."""
-    return cores * sum((before + change) ** 2 - before**2 for before in (load.total, load.of(team)))
+    return cores * sum(
+        (before + change) ** 2 - before**2 for before in (load.total, load.of_team(team))
+    )
 
 
-def gain(
+def move_gain(
     spec: wire.JobSpec,
     weights: ClassWeights,
     source: MachineLoad,
--- a/appledock/rebalancing/settings.py
+++ b/appledock/rebalancing/settings.py
@@ -38,7 +38,7 @@
     speed: Weight = 0.0
     """machines on which tasks took less than their estimates"""
 
-    def any(self) -> bool:
+    def has_positive_weight(self) -> bool:
         """Does anything count?"""
         return any((self.spread, self.locality, self.image, self.packing, self.speed))
 
@@ -152,7 +152,7 @@
 
 def _check_values(rebalancing: Rebalancing) -> None:
     for place, weights in enumerate(rebalancing.classes):
-        if not weights.any():
+        if not weights.has_positive_weight():
             raise RebalancingError(f"all weights are 0 - at `$.classes[{place}]`")
     for place, data in enumerate(rebalancing.datasets):
         where = f"$.datasets[{place}]"
--- a/appledock/rebalancing/snapshot.py
+++ b/appledock/rebalancing/snapshot.py
@@ -32,53 +32,53 @@
 
     total: float = 0.0
     teams: dict[str, float] = field(default_factory=dict)
-    counts: dict[str, int] = field(default_factory=dict)
+    task_counts: dict[str, int] = field(default_factory=dict)
     """team -> its tasks"""
 
     def add(self, team: str, share: float, tasks: int) -> None:
         """Count tasks of a team, each of this share (negative: no longer)."""
         self.total += share * tasks
-        left = self.counts.get(team, 0) + tasks
+        left = self.task_counts.get(team, 0) + tasks
         if left > 0:
-            self.counts[team] = left
+            self.task_counts[team] = left
             self.teams[team] = self.teams.get(team, 0.0) + share * tasks
         else:
-            self.counts.pop(team, None)
+            self.task_counts.pop(team, None)
             self.teams.pop(team, None)
 
-    def shift(self, team: str, share: float) -> None:
+    def add_share(self, team: str, share: float) -> None:
         """Add a share that is not a whole number of tasks."""
         self.total += share
         self.teams[team] = self.teams.get(team, 0.0) + share
 
     @property
-    def tasks(self) -> int:
+    def task_count(self) -> int:
         """How many tasks are counted."""
-        return sum(self.counts.values())
+        return sum(self.task_counts.values())
 
-    def moved_towards(self, now: Load, weight: float) -> Load:
+    def interpolated_towards(self, now: Load, weight: float) -> Load:
         """Return this load, moved towards the present one by `weight` of their difference."""
         teams = {
-            team: self.of(team) + weight * (now.of(team) - self.of(team))
+            team: self.of_team(team) + weight * (now.of_team(team) - self.of_team(team))
             for team in self.teams.keys() | now.teams.keys()
         }
-        return Load(self.total + weight * (now.total - self.total), teams, dict(now.counts))
+        return Load(self.total + weight * (now.total - self.total), teams, dict(now.task_counts))
 
-    def at_least(self, other: Load) -> Load:
+    def maximum_with(self, other: Load) -> Load:
         """Return the maximum of both loads, team by team."""
         teams = {
-            team: max(self.of(team), other.of(team))
+            team: max(self.of_team(team), other.of_team(team))
             for team in self.teams.keys() | other.teams.keys()
         }
-        return Load(max(self.total, other.total), teams, dict(self.counts))
+        return Load(max(self.total, other.total), teams, dict(self.task_counts))
 
-    def of(self, team: str) -> float:
+    def of_team(self, team: str) -> float:
         """Return the team's share."""
         return self.teams.get(team, 0.0)
 
     def copy(self) -> Load:
         """Return a copy that may be changed."""
-        return Load(self.total, dict(self.teams), dict(self.counts))
+        return Load(self.total, dict(self.teams), dict(self.task_counts))
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,14 +165,14 @@
             and self.memory_gb + constants.EPSILON >= spec.memory_gb
         )
 
-    def count(self, spec: wire.JobSpec, tasks: int) -> None:
+    def add_tasks(self, spec: wire.JobSpec, tasks: int) -> None:
         """Count tasks of the job as placed here; a negative number as moved away."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
         self.memory_gb -= spec.memory_gb * tasks
         share = task_share(spec, self.machine_type)
         self.load.add(spec.team, share, tasks)
-        self.smoothed.shift(spec.team, share * tasks)
+        self.smoothed.add_share(spec.team, share * tasks)
 
 
 def exceeds_bound(load: float, share: float, mean: float, bound: float) -> bool:
--- a/appledock/rebalancing/speeds.py
+++ b/appledock/rebalancing/speeds.py
@@ -17,14 +17,14 @@
         self.value += (value - self.value) / min(self.count, constants.SPEED_SAMPLES_MAX)
 
 
-class Speeds:
+class MachineSpeeds:
     """Run times against the mean of their class; estimates are wrong for whole classes."""
 
     def __init__(self) -> None:
         self._classes: dict[str, _Average] = {}
         self._machines: dict[str, _Average] = {}
 
-    def completed(self, machine: str, job_class: str, seconds: float) -> None:
+    def add_run_time(self, machine: str, job_class: str, seconds: float) -> None:
         """A task of the class took so long on the machine."""
         if seconds <= 0:
             return
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -19,7 +19,7 @@
 from appledock import wire
 from appledock.cli import main
 from appledock.core.machines.machine_capacity import MachineCapacity
-from appledock.core.rebalancing.scoring import Scoring
+from appledock.core.rebalancing.scoring import ScorerFactory
 from appledock.core.scheduling.placement import Sampling, place
 from appledock.rebalancing.locality import DataSets
 from appledock.rebalancing.planner import Obstacle, Plan, Planner
@@ -34,7 +34,7 @@
     schema,
 )
 from appledock.rebalancing.snapshot import Load, MachineLoad, Means, RunningTask, means
-from appledock.rebalancing.speeds import Speeds
+from appledock.rebalancing.speeds import MachineSpeeds
 from tests.standins.deployment import settings as deployed
 from tests.standins.deployment import settings_file
 
@@ -214,8 +214,8 @@
             if where == number
         ]
         for task in row.tasks:
-            row.count(task.spec, 1)
-        row.smoothed = self.smoothed.get(number, row.load).moved_towards(row.load, self.lag)
+            row.add_tasks(task.spec, 1)
+        row.smoothed = self.smoothed.get(number, row.load).interpolated_towards(row.load, self.lag)
         return row
 
     def rows(self) -> list[MachineLoad]:
@@ -322,7 +322,7 @@
 def test_machines_that_join_and_leave_in_waves_are_not_filled_at_once() -> None:
     fleet = Fleet(balanced(moves=Moves()), [(n % 2, spec(n)) for n in range(8)], 4)
     fullest = fleet.rows()[0].load
-    fleet.smoothed = {n: Load().at_least(fullest) for n in (2, 3)}
+    fleet.smoothed = {n: Load().maximum_with(fullest) for n in (2, 3)}
     fleet.lag = 0.1
     assert fleet.step().proposals == []
     for _ in range(30):
@@ -349,7 +349,7 @@
         assert fleet.potential() < known
         known = fleet.potential()
         assert fleet.moves < 40
-    held = [load.of("red") for load in (row.load for row in fleet.rows())]
+    held = [load.of_team("red") for load in (row.load for row in fleet.rows())]
     assert held[0] <= 2.0 * fleet.means().team("red") + 1e-9, "closeness stops at the bound"
 
 
@@ -434,7 +434,7 @@
     rows = fleet.rows()
     for number, tasks in by_machine.items():
         for task in tasks:
-            rows[number].count(task.spec, 1)
+            rows[number].add_tasks(task.spec, 1)
 
     def read(row: MachineLoad) -> list[RunningTask]:
         nonlocal reads
@@ -460,13 +460,13 @@
     rebalancing: Rebalancing, count: int, tasks: int, fleet: list[MachineCapacity]
 ) -> list[int]:
     """Tasks on each machine after `tasks` single placements of class `svc`, team red."""
-    scoring = Scoring(rebalancing, DataSets(rebalancing.datasets), lambda machine: 1.0)
+    scorer_factory = ScorerFactory(rebalancing, DataSets(rebalancing.datasets), lambda machine: 1.0)
     for number in range(tasks):
-        scoring.means = means((room.type.cpus, room.load) for room in fleet if room.load)
+        scorer_factory.means = means((room.type.cpus, room.load) for room in fleet if room.load)
         one = spec(number, 0.5)
-        sampling = Sampling(random.Random(number), 16, scoring.scorer(one))
+        sampling = Sampling(random.Random(number), 16, scorer_factory.scorer(one))
         assert place(one, 1, fleet, sampling, {})
-    return [room.load.tasks for room in fleet if room.load is not None]
+    return [room.load.task_count for room in fleet if room.load is not None]
 
 
 def test_a_class_with_a_weight_is_spread_and_one_without_is_packed() -> None:
@@ -499,17 +499,17 @@
         classes=[ClassWeights("svc", spread=1.0, locality=1000.0)],
         datasets=[DataSet("d", machines=["m0"], teams=["red"])],
     )
-    scoring = Scoring(rebalancing, DataSets(rebalancing.datasets), lambda machine: 1.0)
+    scorer_factory = ScorerFactory(rebalancing, DataSets(rebalancing.datasets), lambda machine: 1.0)
     for one in (spec(1, zone="b"), spec(1, types=["h8"]), spec(1, cpus=5.0)):
-        sampling = Sampling(random.Random(1), 16, scoring.scorer(one))
+        sampling = Sampling(random.Random(1), 16, scorer_factory.scorer(one))
         assert {room.zone for room, _ in place(one, 2, rooms(4), sampling, {})} <= {"b"}
 
 
 def test_slow_machines_are_known_by_the_run_times_of_their_class() -> None:
-    speeds = Speeds()
+    speeds = MachineSpeeds()
     for _ in range(12):
         for machine, seconds in (("m0", 10.0), ("m1", 10.0), ("m2", 30.0)):
-            speeds.completed(machine, "arr", seconds)
+            speeds.add_run_time(machine, "arr", seconds)
     assert speeds.slowness("m2") > 1.5 > speeds.slowness("m0")
     assert speeds.slowness("unknown") == 1.0
     speeds.forget("m2")
--- a/tests/unit/rebalancing/test_move_planning.py
+++ b/tests/unit/rebalancing/test_move_planning.py
@@ -47,7 +47,7 @@
             machines=lambda: fleet,
             own_machines=lambda: fleet[:2],
             running_tasks=lambda row: [],
-            smooth=self._smooth,
+            update_smoothed=self._update_smoothed,
         )
         self.moves: Any = SimpleNamespace(
             requested={}, request=self.requested.append, count_dry_run=self._count_dry_run
@@ -73,7 +73,7 @@
         self.calls.append({"machines": [row.name for row in machines], "most": most, **options})
         return self.plans.pop(0)
 
-    def _smooth(self, time_constant_s: float) -> None:
+    def _update_smoothed(self, time_constant_s: float) -> None:
         self.smoothed += 1
 
     def _count_dry_run(self) -> None:
@@ -100,9 +100,9 @@
     parts = Planning(Plan(), Plan([between, within]), is_leader=True)
     parts.planning.tick()
     assert parts.requested == [between]
-    pair = parts.calls[1]["pair"]
-    assert pair(machine("vm-1", 0.0), machine("vm-3", 0.0))  # 0.5 on average, against 0.2
-    assert not pair(machine("vm-3", 0.0), machine("vm-1", 0.0))
+    owner_filter = parts.calls[1]["owner_filter"]
+    assert owner_filter(machine("vm-1", 0.0), machine("vm-3", 0.0))  # 0.5 on average, against 0.2
+    assert not owner_filter(machine("vm-3", 0.0), machine("vm-1", 0.0))
 
 
 def test_a_machine_that_nothing_can_be_moved_off_is_left_alone_for_a_while() -> None:
