--- a/appledock/constants.py
+++ b/appledock/constants.py
@@ -112,7 +112,7 @@
 WAITING_CALLS_THRESHOLD = 2
 """calls; with more steps than this waiting, the batching window of arrays and the interval of
 progress writes are longer."""
-BATCH_JOB_DEFERRAL_MAX_S = 3.0
+ARRAY_DEFERRAL_MAX_S = 3.0
 """s; longest time for which arrays are not placed because users and services wait for their
 writes. At the start of a day, steps of arrays that were reserved and not yet written held the
 machines that the services still to be accepted needed."""
@@ -388,7 +388,7 @@
 NO_CAPACITY_BACKOFF_S = 6.0
 """s; a machine type that the cloud refused is not requested again before."""
 IDLE_RETURN_S = 6.0
-"""s; an idle machine beyond the headroom is kept for this long, once its minimum charge is used
+"""s; an idle machine beyond the idle reserve is kept for this long, once its minimum charge is used
 up. At hundreds of machines, those idle for less than ten seconds were a tenth."""
 IDLE_HEARTBEAT_AGE_MAX_S = 5.0
 """s; a machine whose last heartbeat is older is not returned as idle."""
@@ -435,8 +435,8 @@
 UNLISTED_MACHINE_TIMEOUT_S = 30.0
 """s; a rented machine that is not listed and sends no heartbeat is forgotten after this plus
 twice the list lag."""
-HEADROOM_WINDOW_S = 120.0
-"""s; window in which arrivals of services are counted for the headroom."""
+IDLE_RESERVE_WINDOW_S = 120.0
+"""s; window in which arrivals of services are counted for the idle reserve."""
 
 # --- Peers ----------------------------------------------------------------
 PEER_FRAME_MAX_BYTES = 1_000_000
--- a/appledock/core/fleet/idle_reserve.py
+++ b/appledock/core/fleet/idle_reserve.py
@@ -97,7 +97,7 @@
         self._capacity_index = capacity_index
         self._machine_types = machine_types
         self._arrivals: dict[str, ServiceArrival] = {}
-        """service -> its arrival within the last `HEADROOM_WINDOW_S`"""
+        """service -> its arrival within the last `IDLE_RESERVE_WINDOW_S`"""
 
     def on_job_changed(self, job: Job) -> None:
         """Record the arrival if the job is a service that is not known yet."""
@@ -111,7 +111,7 @@
         It covers the CPUs that services request on average while a machine boots and fetches an
         image. The CPUs of the largest task are added, since services arrive one at a time.
         """
-        now, window_s = self._runtime.now, constants.HEADROOM_WINDOW_S
+        now, window_s = self._runtime.now, constants.IDLE_RESERVE_WINDOW_S
         self._arrivals = {
             job_id: arrival
             for job_id, arrival in self._arrivals.items()
--- a/appledock/core/jobs/writer.py
+++ b/appledock/core/jobs/writer.py
@@ -58,7 +58,7 @@
 class RecordUpdate:
     """The job stays open.
 
-    The write records progress, a step, a handoff or attempts marked as stopping.
+    The write records progress, a step, a hand-off or attempts marked as stopping.
     """
 
 
@@ -187,7 +187,7 @@
         While steps are rate limited, a step waits in the client's queue. If it also wrote the
         team's record, it would conflict with other controllers' writes of that record and would
         have to be placed again. A job that is handed off is exempt: its reservation moves in the
-        transaction of the handoff, since otherwise the new owner's allocation would include
+        transaction of the hand-off, since otherwise the new owner's allocation would include
         capacity that this controller's job still holds.
         """
         return new_owner == self._runtime.node and self._is_step_rate_limited()
--- a/appledock/core/machines/machine_capacity.py
+++ b/appledock/core/machines/machine_capacity.py
@@ -145,7 +145,7 @@
     """Return how many tasks of the job the machines could take under its zone constraints.
 
     Slots in zones that are not open to the job must not count. Otherwise, a controller with only
-    such slots would repeatedly be chosen for a handoff while another could place the task.
+    such slots would repeatedly be chosen for a hand-off while another could place the task.
     """
     slots: dict[str, int] = {}
     for machine in machines:
--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -5,8 +5,8 @@
 other. The allocations add up to at most the limit. These rules keep jobs from ever holding more:
 
 * Within a view, only the owner of a job changes what the job holds, and only a controller itself
-  lowers its allocation. A handoff of a job moves the job's reservation to the new owner's
-  allocation in the transaction that records the handoff.
+  lowers its allocation. A hand-off of a job moves the job's reservation to the new owner's
+  allocation in the transaction that records the hand-off.
 * A record of an earlier view grants nothing. The first controller that needs it under the new
   view writes a new one, based on what all jobs hold after all commits of earlier views. No job
   can have grown in between, because that takes this record.
--- a/appledock/core/rebalancing/summary.py
+++ b/appledock/core/rebalancing/summary.py
@@ -21,7 +21,11 @@
             for move in moves.requested.values()
         ],
         "ended": [
-            {**_order_row(move.order), "at": round(move.ended_at, 1), "outcome": move.outcome}
+            {
+                **_order_row(move.order),
+                "at": round(move.ended_wall_time, 1),
+                "outcome": move.outcome,
+            }
             for move in moves.ended
         ],
         "outcomes": dict(moves.outcomes),
--- a/appledock/core/scheduling/handoff.py
+++ b/appledock/core/scheduling/handoff.py
@@ -72,7 +72,7 @@
         }
 
     def _is_worthwhile(self, job: Job, tasks: int, free_slots: int) -> bool:
-        """Return whether handing a batch job off saves enough waiting time to be worth a write.
+        """Return whether handing an array off saves enough waiting time to be worth a write.
 
         Capacity is freed on this controller's machines as well, so handing a job off for a few
         tasks at a time would take more writes than the shorter wait is worth.
--- a/appledock/core/scheduling/moves/outcome.py
+++ b/appledock/core/scheduling/moves/outcome.py
@@ -48,7 +48,7 @@
     """A past move, kept for operators."""
 
     order: MoveOrder
-    ended_at: float
+    ended_wall_time: float
     """time of day, in seconds since the epoch"""
     outcome: str
     """value of a `MoveOutcome`, or one that only a later version of a peer knows"""
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -40,7 +40,7 @@
         self._batching_since: dict[str, float] = {}
         """job -> time since which it waits for capacity for a larger step"""
         self._deferred_since = math.inf
-        """time since which batch jobs wait for the writes of users and services; inf if they do
+        """time since which arrays wait for the writes of users and services; inf if they do
         not wait"""
 
     def forget(self, job_id: str) -> None:
@@ -60,26 +60,26 @@
         return self._limiter.count_queued_up_to(Priority.URGENT) > constants.WAITING_CALLS_THRESHOLD
 
     def batching_window_s(self) -> float:
-        """Return the seconds until batch jobs are placed again."""
+        """Return the seconds until arrays are placed again."""
         if self.is_step_rate_limited():
             return constants.BATCHING_WINDOW_RATE_LIMITED_S
         if self._limiter.has_spare_writes():
             return constants.BATCHING_WINDOW_SPARE_WRITES_S
         return constants.BATCHING_WINDOW_S
 
-    def should_defer_batch_jobs(self) -> bool:
-        """Return whether batch jobs must wait for the writes of users and services.
+    def should_defer_arrays(self) -> bool:
+        """Return whether arrays must wait for the writes of users and services.
 
-        They wait for services of this controller and of others, because steps of batch jobs
+        They wait for services of this controller and of others, because steps of arrays
         would take capacity and writes from these. One such wait lasts at most
-        `BATCH_JOB_DEFERRAL_MAX_S`.
+        `ARRAY_DEFERRAL_MAX_S`.
         """
         if not self.is_service_rate_limited() and not self._is_peer_rate_limited():
             self._deferred_since = math.inf
             return False
         now = self._runtime.now
         self._deferred_since = min(self._deferred_since, now)
-        if now - self._deferred_since < constants.BATCH_JOB_DEFERRAL_MAX_S:
+        if now - self._deferred_since < constants.ARRAY_DEFERRAL_MAX_S:
             return True
         self._deferred_since = now
         return False
@@ -106,7 +106,7 @@
     def should_batch(self, job: Job, unsettled: Job, tasks: int) -> bool:
         """Return whether a step of `tasks` tasks should wait for more capacity.
 
-        A small step of a batch job waits while steps are rate limited, for at most
+        A small step of an array waits while steps are rate limited, for at most
         `STEP_BATCHING_WINDOW_S`. `unsettled` is the job without its settled attempts.
         """
         if job.spec.service or job.spec.gang or not self.is_step_rate_limited():
--- a/appledock/core/scheduling/placement_pass.py
+++ b/appledock/core/scheduling/placement_pass.py
@@ -64,20 +64,20 @@
         self._step_writer = step_writer
         self._moves = moves
         self._mean_loads = mean_loads
-        self._next_batch_pass_at = 0.0
-        """earliest time of the next pass that places batch jobs, on the monotonic clock"""
+        self._next_array_pass_at = 0.0
+        """earliest time of the next pass that places arrays, on the monotonic clock"""
 
     def run(self) -> None:
         """Decide the next step of each queued job that can be written now, and request the write.
 
-        Batch jobs are left out until the next batching window opens.
+        Arrays are left out until the next batching window opens.
         """
         queued = self._queued_jobs()
-        includes_batch_jobs = self._open_batching_window(queued)
+        includes_arrays = self._open_batching_window(queued)
         ready = [
             job
             for job in queued
-            if self._writer.can_write(job) and (includes_batch_jobs or job.spec.service)
+            if self._writer.can_write(job) and (includes_arrays or job.spec.service)
         ]
         if len(ready) < len(queued):
             self._reconcile_queue.placement_due = True
@@ -103,15 +103,15 @@
         return [job for job in jobs if replica.owns_job(self._runtime.node, job)]
 
     def _open_batching_window(self, queued: list[Job]) -> bool:
-        """Return whether this pass places batch jobs; start the next batching window if it does.
+        """Return whether this pass places arrays; start the next batching window if it does.
 
         Running tasks free capacity in small amounts. The batching window collects it, so that
         one job takes it in a single step and not several jobs in a step (one write) each.
         """
         now = self._runtime.now
-        if not queued or now < self._next_batch_pass_at or self._pacing.should_defer_batch_jobs():
+        if not queued or now < self._next_array_pass_at or self._pacing.should_defer_arrays():
             return False
-        self._next_batch_pass_at = now + self._pacing.batching_window_s()
+        self._next_array_pass_at = now + self._pacing.batching_window_s()
         return True
 
     def _place_each(self, jobs: list[Job], machines: list[MachineCapacity]) -> None:
--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -17,6 +17,12 @@
 ROOT = Path(__file__).parents[1]
 
 RENAMED = {
+    "test_a_batch_job_goes_to_the_peer_with_most_free_slots_if_it_has_enough": (
+        "test_an_array_goes_to_the_peer_with_most_free_slots_if_it_has_enough"
+    ),
+    "test_a_machine_reserved_for_replicas_admits_no_batch_job": (
+        "test_a_machine_reserved_for_replicas_admits_no_array"
+    ),
     "test_budget_serves_by_priority_and_lets_reads_pass": (
         "test_rate_limiter_serves_by_priority_and_lets_reads_pass"
     ),
@@ -85,7 +91,7 @@
         "test_no_capacity_is_free_beside_an_orphaned_task"
     ),
     "test_a_batch_job_that_was_handed_here_rests_before_it_is_handed_off_again": (
-        "test_a_batch_job_handed_to_this_controller_stays_there_during_the_cooldown"
+        "test_an_array_handed_to_this_controller_stays_there_during_the_cooldown"
     ),
     "test_a_gang_goes_whole_to_one_peer_or_to_the_leader_for_all_machines": (
         "test_a_gang_is_handed_to_a_peer_on_which_it_fits_whole_or_else_to_the_leader"
--- a/tests/loopback/mixed_versions.py
+++ b/tests/loopback/mixed_versions.py
@@ -30,7 +30,7 @@
 TEAMS = {"booking": 48.0, "reload": 24.0}
 WORKERS = 6
 JOBS_PER_STAGE = 6
-"""batch jobs, two thirds of them submitted before the leader is killed"""
+"""arrays, two thirds of them submitted before the leader is killed"""
 SERVICES = 3
 RESTART_AFTER_S = 3.0
 DONE_WITHIN_S = 90.0
@@ -105,13 +105,13 @@
         for number in range(JOBS_PER_STAGE):
             if number == JOBS_PER_STAGE * 2 // 3:
                 result.killed_leader = await self._kill_leader()
-            result.jobs.append(self._submit(self._batch_job()))
+            result.jobs.append(self._submit(self._array()))
             await asyncio.sleep(0.5)
         await self.cluster.healthy(60.0)
         result.not_done = await self._wait_until_done(result.jobs)
         return result
 
-    def _batch_job(self) -> dict[str, Any]:
+    def _array(self) -> dict[str, Any]:
         return self.run.job(
             berth="tariff",
             owner="reload",
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -500,13 +500,13 @@
 
 def test_arrays_hold_no_room_while_users_and_services_wait_for_writes() -> None:
     e = engine()
-    assert not e.pacing.should_defer_batch_jobs()
+    assert not e.pacing.should_defer_arrays()
     for _ in range(5):
         e.client.limiter.add(call(Priority.USER, 1))
     held = []
     for _ in range(50):  # ten seconds
         e.runtime.now += 0.2
-        held.append(e.pacing.should_defer_batch_jobs())
+        held.append(e.pacing.should_defer_arrays())
     assert held[:14] == [True] * 14
     assert 2 <= held.count(False) <= 4  # held back, but not for ever
 
@@ -518,13 +518,13 @@
     e.heartbeats.on_peer_message(
         ControllerHeartbeat("n1", 0.1, write_rate=9.0, is_service_rate_limited=True)
     )
-    assert e.pacing.should_defer_batch_jobs()
+    assert e.pacing.should_defer_arrays()
     e.runtime.now += c.CONTROLLER_HEARTBEAT_TIMEOUT_S + 1
-    assert not e.pacing.should_defer_batch_jobs()  # it may be over since: nobody is heard
+    assert not e.pacing.should_defer_arrays()  # it may be over since: nobody is heard
     e.heartbeats.on_peer_message(
         ControllerHeartbeat("n1", 0.1, write_rate=9.0, is_service_rate_limited=False)
     )
-    assert not e.pacing.should_defer_batch_jobs()
+    assert not e.pacing.should_defer_arrays()
 
 
 def test_objectives_order_arrays_by_class_and_unknown_ones_are_ignored(
--- a/tests/unit/capacity/test_partition_map.py
+++ b/tests/unit/capacity/test_partition_map.py
@@ -65,7 +65,7 @@
     assert handed_over.is_being_handed_over(MACHINE)
 
 
-def test_a_machine_reserved_for_replicas_admits_no_batch_job() -> None:
+def test_a_machine_reserved_for_replicas_admits_no_array() -> None:
     found = partitions(Ownership("first"))
     found.reserved_for_replicas["first"] = MACHINE
     assert not spec().service and not admits(found)
--- a/tests/unit/scheduling/test_handoff.py
+++ b/tests/unit/scheduling/test_handoff.py
@@ -34,14 +34,14 @@
     return Job(spec(cores=1.0, memory_gb=0.0, **changes), 0.0)
 
 
-def test_a_batch_job_goes_to_the_peer_with_most_free_slots_if_it_has_enough() -> None:
+def test_an_array_goes_to_the_peer_with_most_free_slots_if_it_has_enough() -> None:
     handoff, _ = handoff_policy()
     machines = [machine("n0", 9), machine("n1", 1), machine("n2", 2), machine("gone", 9)]
     assert handoff.choose_target(job(crates=4), machines, 4, {}) == "n2"
     assert handoff.choose_target(job(crates=40), machines, 40, {}) is None
 
 
-def test_a_batch_job_handed_to_this_controller_stays_there_during_the_cooldown() -> None:
+def test_an_array_handed_to_this_controller_stays_there_during_the_cooldown() -> None:
     handoff, runtime = handoff_policy()
     received = job(crates=4)
     received.handoff_target = HandoffTarget("n0", "x")
