--- a/appledock/constants.py
+++ b/appledock/constants.py
@@ -5,8 +5,8 @@
 
 # --- Membership -----------------------------------------------------------
 CONTROLLER_LEASE_S = 16.0
-"""s; lease of a controller. Longer than Kafka's default of 10, because outages of the state
-service last about 15 s; a crash is noticed without waiting for the lease."""
+"""s; lease of a controller. Longer than Kafka's default of 10, because outages of the store
+last about 15 s; a crash is noticed without waiting for the lease."""
 CONTROLLER_LEASE_MIN_S = 2.0
 """s; shortest lease of a controller: below it, renewals could not be retried."""
 CANCEL_RESERVE_S = 3.0
@@ -17,16 +17,17 @@
 """s; delay after a refused renewal or another refused write of the membership: an outage must
 not use up the request budget."""
 CLOCK_DRIFT = 0.001
-"""ratio; twice the protocol's 0.05 %, since two clocks may drift apart."""
+"""ratio; twice the 0.05 % that the platform's protocol states, since two clocks may drift apart."""
 AUTHORITY_MARGIN_S = 0.3
 """s; subtracted from the lease, for timers that fire late on a busy core."""
 LEASE_EXPIRY_MARGIN_S = 0.5
 """s; added to a worker's lease before its session counts as expired."""
 VIEW_JITTER_S = 0.3
-"""s; members other than the leader wait up to this long before they change the view, so that
-one change wins."""
+"""s; members other than the leader wait for 0.3 to 1.3 times this long before they change the view,
+so that one change wins."""
 OWNER_OVERRIDE_DELAY_S = 5.0
-"""s; a worker that keeps reporting to a non-owner for this long is assigned to it."""
+"""s; a worker that keeps reporting to a controller that does not own it is assigned to this
+controller after this time."""
 OWNER_OVERRIDE_REDIRECTS_MIN = 3
 """redirects; number after which a worker counts as unable to reach its owner."""
 OWNER_TIMEOUT_SILENCE_MIN_S = 4.6
@@ -54,10 +55,11 @@
 """rounds; consecutive ones that all probed workers must answer before the member asks to be
 attached again."""
 TERM_BUMP_DELAY_S = 6.0
-"""s; a stopped attempt that has not been seen on its worker for this long requests a new term,
-which makes a launch still in flight harmless. Well below every `cancel_s`."""
+"""s; if an attempt that is to be stopped has not been seen on its worker for this long, a new term
+is requested, which makes a launch still in flight harmless. Well below every `cancel_s`."""
 TERM_BUMP_INTERVAL_MIN_S = 10.0
-"""s; shortest interval between two views that are written only to raise the term."""
+"""s; shortest interval between a view and a next one that is written only to raise the term, set
+overrides, change the leader or attach a member."""
 
 # --- Cancellations --------------------------------------------------------
 CANCEL_HALT_FALLBACK_DELAY_S = 3.0
@@ -69,13 +71,13 @@
 CANCEL_DELETE_RETRY_DELAY_S = 2.0
 """s; delay before such a deletion is requested again, until the cloud answers."""
 
-# --- State service --------------------------------------------------------
+# --- Key-value store ------------------------------------------------------
 KEY_PREFIX = "ad/"
 """prefix of all keys, so that one watch sees every change in order."""
 STORE_TIMEOUT_S = 1.5
-"""s; timeout of a call to the state service, whose outcome is then unknown."""
+"""s; timeout of a call to the store, whose outcome is then unknown."""
 WATCH_BLOCK_MS = 10_000
-"""ms; time for which the state service holds a watch open without a change."""
+"""ms; time for which the store holds a watch open without a change."""
 WATCH_TIMEOUT_S = 15.0
 """s; timeout of a watch, which is then opened again."""
 WATCH_DELAY_S = 0.08
@@ -83,9 +85,9 @@
 STORE_LIST_LIMIT = 500
 """rows; page size of a listing of keys."""
 STORE_RATE_BUDGET_SHARE = 0.95
-"""ratio; part of the state service's rate limits that the controllers plan to use."""
+"""ratio; part of the store's rate limits that the controllers plan to use."""
 WRITE_RATE_MAX_SHARE = 0.8
-"""ratio; largest part of the state service's write limit that one controller tries to use."""
+"""ratio; largest part of the store's write limit that one controller tries to use."""
 FINAL_WRITE_DELAY_S = 0.4
 """s; additional time that final results wait for their write, compared with a service's step."""
 STEP_WRITE_DELAY_S = 1.5
@@ -100,8 +102,8 @@
 at the end of the queue: with the shorter timeout, more than half of the ends of some classes
 were dropped."""
 CALL_DISPATCH_INTERVAL_S = 0.02
-"""s; shortest interval between two sorts of the calls that wait for the rate limit: at the usual
-rates, it takes three times as long until one more write is allowed."""
+"""s; shortest interval between two sorts of the calls that wait for the rate limit, unless a new
+call arrives: at the usual rates, it takes three times as long until one more write is allowed."""
 WRITE_RATE_TIME_CONSTANT_S = 2.0
 """s; time constant of the moving average of a controller's own writes, which it reports to the
 other controllers."""
@@ -113,11 +115,11 @@
 """calls; with more steps than this waiting, the batching window of arrays and the interval of
 progress writes are longer."""
 ARRAY_DEFERRAL_MAX_S = 3.0
-"""s; longest time for which arrays are not placed because users and services wait for their
-writes. At the start of a day, steps of arrays that were reserved and not yet written held the
+"""s; longest time for which arrays and gangs are not placed because users and services wait for
+their writes. At the start of a day, steps of arrays that were reserved and not yet written held the
 machines that the services still to be accepted needed."""
 BATCHING_WINDOW_S = 0.3
-"""s; usual pause between two passes that place arrays."""
+"""s; usual pause between two passes that place arrays and gangs."""
 BATCHING_WINDOW_RATE_LIMITED_S = 0.8
 """s; pause between two such passes while steps wait for their writes."""
 BATCHING_WINDOW_SPARE_WRITES_S = 0.1
@@ -136,14 +138,14 @@
 """ratio; part of `value_kb` that a record may fill before no task is added."""
 VALUE_LIMIT_MIN_BYTES = 1200
 """bytes; a description of usual length and the attempts of a step. The size limit of records is
-never lowered further, whatever the state service refuses."""
+never lowered further, whatever the store refuses."""
 DESCRIPTION_SHARE = 0.7
 """ratio; part of the record's size limit that a job's description may fill: the rest is for its
 attempts."""
 CALL_QUEUE_LIMIT_S = 20.0
-"""s; limit of the queue, as the time that the state service's request rate takes for its calls.
-New calls beyond it are refused at once; queued ones are dropped after six seconds anyway. Users'
-calls are limited by `PENDING_REQUESTS_MAX` and do not count."""
+"""s; limit of the queue, as the time that its calls take at the store's request rate. New calls
+beyond it are refused at once; queued ones are dropped after six seconds anyway. Users' calls are
+limited by `PENDING_REQUESTS_MAX` and do not count."""
 CALL_QUEUE_LIMIT_MIN = 400
 """calls; smallest limit of the queue, whatever the request rate."""
 RETRY_DELAY_MIN_S = 0.15
@@ -153,7 +155,7 @@
 
 # --- API requests ---------------------------------------------------------
 BODY_MAX_BYTES = 65_536
-"""bytes; the protocol's limit for a request body."""
+"""bytes; the platform protocol's limit for a request body."""
 HEADER_MAX_BYTES = 16_384
 """bytes; a larger request head is malformed."""
 REQUEST_READ_TIMEOUT_S = 10.0
@@ -161,7 +163,7 @@
 IDLE_CONNECTION_TIMEOUT_S = 120.0
 """s; an idle connection is closed after this time."""
 FD_RESERVE = 100
-"""sockets; reserved below the platform's limit for state service, cloud, peers and files."""
+"""sockets; reserved below the platform's limit for store, cloud, peers and files."""
 REFUSED_CONNECTIONS_MAX = FD_RESERVE // 4
 """connections; number beyond the limit that get an answer (503 with Retry-After); more are
 reset."""
@@ -173,10 +175,10 @@
 """ratio; part of the platform's limit reserved for calls to workers. Incoming connections get the
 rest: at 900 machines, one controller alone has 900 heartbeats and its users."""
 REQUEST_TIMEOUT_S = 1.6
-"""s; a user's request that the state service has not answered by then gets 503.
-Users wait 2 s for a poll."""
+"""s; a user's request that the store has not answered by then gets 503. Users wait 2 s for a
+poll."""
 RETRY_AFTER_S = 1
-"""s; Retry-After of refused users: the shortest pause that the protocol allows."""
+"""s; Retry-After of refused users: the shortest pause that the platform's protocol allows."""
 PENDING_REQUESTS_MAX = 300
 """requests; with more of them pending, users are refused at once with Retry-After."""
 POLL_CONFIRMATION_WINDOW_S = 0.1
@@ -204,14 +206,15 @@
 """s; the same while steps wait for their writes. Where 15 writes a second were the bottleneck,
 accepting jobs, their steps and their ends were less than half of the writes."""
 HANDOFF_MIN_SHARE = 0.25
-"""ratio; smallest part of an array's queued tasks for which another controller must have
-capacity before the array is handed off."""
+"""ratio; of the tasks of an array's step that found no capacity here, the smallest part for which
+another controller must have capacity before the array is handed off."""
 HANDOFF_COOLDOWN_S = 2.0
 """s; shortest time for which a controller keeps an array that was handed to it."""
 LAUNCH_RETRY_DELAY_S = 1.0
 """s; a launch that is not seen in a heartbeat by then is sent again."""
 RETAINED_ATTEMPTS_MAX = 60
-"""attempts; with more of them that one worker may not forget yet, a new term is requested."""
+"""attempts; a new term is requested if one worker has to retain more ended ones than this, because
+a duplicate of their launch might still arrive."""
 HALT_RETRY_DELAY_S = 1.5
 """s; a halt that shows no effect by then is sent again."""
 WORKER_COMMAND_TIMEOUT_S = 3.0
@@ -278,7 +281,7 @@
 LOST_WORK_WEIGHT = 0.25
 """ratio; weight of one second of lost work against one second of waiting."""
 EPSILON = 1e-6
-"""cores; tolerance of decimal sums."""
+"""cores, GPUs, GB, shares; tolerance for rounding errors in sums."""
 
 # --- Rebalancing ----------------------------------------------------------
 FETCH_SCALE_S = 10.0
@@ -307,8 +310,8 @@
 """s; a machine from which nothing could be moved is not considered again before: it would keep
 machines that can be relieved out of the pass."""
 MOVE_MIN_CORES = 0.1
-"""cores; a task with fewer must still gain as much as one with these: its move costs the same
-writes."""
+"""cores; the move of a task that requests fewer must gain as much as if the task requested this
+many: the move costs the same writes."""
 MOVE_BACKOFF_S = 10.0
 """s; no new move is requested for a job this long after one was refused."""
 MOVE_BACKOFF_MAX_S = 300.0
@@ -355,7 +358,7 @@
 MACHINE_LIST_INTERVAL_S = 2.0
 """s; interval at which the leader reads the machine list."""
 MACHINE_LIST_LIMIT = 500
-"""machines; the protocol's limit for one page of the list."""
+"""machines; the platform protocol's limit for one page of the list."""
 MACHINE_LIST_CALLS_SHARE = 0.5
 """ratio; part of the cloud's rate limit that the pages of a list may take: the rest is for
 rentals and deletions."""
@@ -364,9 +367,9 @@
 MACHINE_TYPES_INTERVAL_S = 30.0
 """s; interval at which machine types and prices are read again."""
 MACHINE_TYPES_RETRY_DELAY_S = 1.0
-"""s; shortest delay before they are read again after the cloud did not answer."""
+"""s; shortest delay before the machine types are read again after the cloud did not answer."""
 CATALOGUE_WRITE_RETRY_DELAY_S = 5.0
-"""s; delay before they are read again after they could not be stored in the state service."""
+"""s; delay before the machine types are read again after they could not be written to the store."""
 CLOUD_PAUSE_S = 0.5
 """s; shortest pause of all calls to the cloud after it refused or failed one."""
 CLOUD_TIMEOUT_S = 4.0
@@ -382,9 +385,9 @@
 """failures; no machines are rented for a job with this many consecutive failed attempts, since it
 fails everywhere."""
 RENTAL_MACHINES_MAX = 50
-"""machines; the protocol's limit for one rental request."""
+"""machines; the platform protocol's limit for one rental request."""
 DELETION_MACHINES_MAX = 100
-"""machines; the protocol's limit for one deletion request."""
+"""machines; the platform protocol's limit for one deletion request."""
 NO_CAPACITY_BACKOFF_S = 6.0
 """s; a machine type that the cloud refused is not requested again before."""
 IDLE_RETURN_S = 6.0
@@ -431,7 +434,8 @@
 """ratio; a leader deletes no machine as unresponsive unless this part of the workers has sent a
 heartbeat lately."""
 SILENT_MACHINE_TIMEOUT_S = 45.0
-"""s; any machine that is silent for this long is deleted."""
+"""s; any machine, with or without replicas, that is silent for this long is deleted once no
+recorded task can still run on it."""
 UNLISTED_MACHINE_TIMEOUT_S = 30.0
 """s; a rented machine that is not listed and sends no heartbeat is forgotten after this plus
 twice the list lag."""
@@ -468,13 +472,13 @@
 CONTROLLER_HEARTBEAT_TIMEOUT_S = 1.8
 """s; a controller without a heartbeat for this long counts as unreachable: three heartbeats."""
 STORE_UNREACHABLE_TIMEOUT_S = 4.0
-"""s; a peer that the state service has not answered for this long has lost it: renewals are sent
+"""s; a peer that the store has not answered for this long has lost the store: renewals are sent
 every two seconds."""
 ISOLATION_TIMEOUT_S = 2.8
-"""s; a controller that the state service has not answered for this long may be isolated. It
-notices this a little sooner than its peers do, one refused renewal later."""
+"""s; a controller that the store has not answered for this long may be isolated: by then one
+renewal has been refused. The controller thus notices this a little sooner than its peers do."""
 ISOLATION_PEER_AHEAD_S = 2.4
-"""s; a peer that the state service answered this much later than this controller is still served:
+"""s; a peer that the store answered this much later than this controller is still served:
 renewals are two seconds apart, so that in an outage all last answers lie within that time."""
 ISOLATION_CONFIRMATION_S = 0.8
 """s; isolation counts only once it has lasted this long: after an outage some controllers are
@@ -513,7 +517,7 @@
 # --- Process --------------------------------------------------------------
 BATCH_INTERVAL_S = 0.01
 """s; shortest interval between two batches: commands that arrive meanwhile are handled together.
-Answers to users may take 200 ms, of which the state service takes a part."""
+Answers to users may take 200 ms, of which the store takes a part."""
 GC_THRESHOLD_OBJECTS = 50_000
 """objects; allocated, less those freed, before the garbage collector searches for cycles.
 There are few cycles, and the default of 700 means several searches in each batch."""
