--- a/appledock/core/jobs/reconcile_queue.py
+++ b/appledock/core/jobs/reconcile_queue.py
@@ -38,10 +38,10 @@
     """whether something has changed that may let a queued job start"""
     pending_reasons: dict[str, PendingReason] = field(default_factory=dict)
     """job -> why its queued tasks wait, for the administration API"""
-    capacity_freed_at: dict[str, float] = field(default_factory=dict)
-    """job -> when it was found to have lost tasks that its record does not show as lost yet"""
+    loss_noticed_at: dict[str, float] = field(default_factory=dict)
+    """job -> when it was first found to have lost tasks whose loss its record does not show yet"""
 
     def forget(self, job_id: str) -> None:
         """Drop the entries of a job that has ended."""
         self.pending_reasons.pop(job_id, None)
-        self.capacity_freed_at.pop(job_id, None)
+        self.loss_noticed_at.pop(job_id, None)
--- a/appledock/core/scheduling/objectives.py
+++ b/appledock/core/scheduling/objectives.py
@@ -16,14 +16,17 @@
 
 
 class ObjectiveKind(enum.StrEnum):
-    """What an objective limits; the values are those of the settings file."""
+    """What an objective limits; the values are those of the settings file.
+
+    A job is ready once it is submitted and all jobs that it depends on are done.
+    """
 
     WAIT = "wait"
-    """time from submission to the job's start"""
+    """time from the job's readiness to its start"""
     DEADLINE = "deadline"
     """time from submission to completion, as a multiple of the job's own deadline"""
     FINISHED = "finished"
-    """time from submission to completion"""
+    """time from the job's readiness to its completion"""
     GUARANTEE = "guarantee"
     """delivery of the teams' guaranteed quota; it does not affect the queue order"""
 
--- a/appledock/core/scheduling/pacing.py
+++ b/appledock/core/scheduling/pacing.py
@@ -40,8 +40,8 @@
         self._batching_since: dict[str, float] = {}
         """job -> time since which it waits for capacity for a larger step"""
         self._deferred_since = math.inf
-        """time since which arrays wait for the writes of users and services; inf if they do
-        not wait"""
+        """time since which arrays and gangs wait for the writes of users and services; inf if they
+        do not wait"""
 
     def forget(self, job_id: str) -> None:
         """End the job's batching window, because the job has ended or its step is being written."""
@@ -60,7 +60,7 @@
         return self._limiter.count_queued_up_to(Priority.URGENT) > constants.WAITING_CALLS_THRESHOLD
 
     def batching_window_s(self) -> float:
-        """Return the seconds until arrays are placed again."""
+        """Return the seconds until arrays and gangs are placed again."""
         if self.is_step_rate_limited():
             return constants.BATCHING_WINDOW_RATE_LIMITED_S
         if self._limiter.has_spare_writes():
@@ -68,10 +68,10 @@
         return constants.BATCHING_WINDOW_S
 
     def should_defer_arrays(self) -> bool:
-        """Return whether arrays must wait for the writes of users and services.
+        """Return whether arrays and gangs must wait for the writes of users and services.
 
-        They wait for services of this controller and of others, because steps of arrays
-        would take capacity and writes from these. One such wait lasts at most
+        They wait for services of this controller and of others, because their steps would take
+        capacity and writes from these services. One such wait lasts at most
         `ARRAY_DEFERRAL_MAX_S`.
         """
         if not self.is_service_rate_limited() and not self._is_peer_rate_limited():
--- a/appledock/core/scheduling/placement.py
+++ b/appledock/core/scheduling/placement.py
@@ -6,9 +6,9 @@
 
 Choosing the best fit within a random sample, and not among all machines, is the rule of the
 architecture page ("best fit among 8 sampled machines"; docs/design.md says why the sample is
-larger here). It applies the power of two choices, with more than two, to packing: the cost of a
-pass does not grow with the number of machines, and controllers that place at the same time with
-the same knowledge rarely choose the same machine.
+larger here). This is the "power of d choices" rule, applied to packing: the cost of a pass does
+not grow with the number of machines, and controllers that place at the same time with the same
+knowledge rarely choose the same machine.
 """
 
 from __future__ import annotations
--- a/appledock/core/scheduling/placement_pass.py
+++ b/appledock/core/scheduling/placement_pass.py
@@ -65,12 +65,13 @@
         self._moves = moves
         self._mean_loads = mean_loads
         self._next_array_pass_at = 0.0
-        """earliest time of the next pass that places arrays, on the monotonic clock"""
+        """earliest time of the next pass that places arrays and gangs, on the monotonic clock"""
 
     def run(self) -> None:
         """Decide the next step of each queued job that can be written now, and request the write.
 
-        Arrays are left out until the next batching window opens.
+        Only services are placed in every pass: arrays and gangs are left out until the next
+        batching window opens.
         """
         queued = self._queued_jobs()
         includes_arrays = self._open_batching_window(queued)
@@ -96,14 +97,14 @@
         replica = self._replica
         lost_tasks = (
             job_id
-            for job_id in self._reconcile_queue.capacity_freed_at
+            for job_id in self._reconcile_queue.loss_noticed_at
             if job_id in replica.jobs and job_id not in replica.dependencies.waiting_jobs
         )
         jobs = (replica.jobs[job_id] for job_id in replica.queued_jobs.union(lost_tasks))
         return [job for job in jobs if replica.owns_job(self._runtime.node, job)]
 
     def _open_batching_window(self, queued: list[Job]) -> bool:
-        """Return whether this pass places arrays; start the next batching window if it does.
+        """Return whether this pass places arrays and gangs; if so, start the next batching window.
 
         Running tasks free capacity in small amounts. The batching window collects it, so that
         one job takes it in a single step and not several jobs in a step (one write) each.
--- a/appledock/core/scheduling/preemption.py
+++ b/appledock/core/scheduling/preemption.py
@@ -123,7 +123,7 @@
         }
 
     def _has_tasks_to_start(self, job: Job) -> bool:
-        return job.queued_task_count > 0 or job.id in self._reconcile_queue.capacity_freed_at
+        return job.queued_task_count > 0 or job.id in self._reconcile_queue.loss_noticed_at
 
     def is_available_to(self, machine: str, job: Job) -> bool:
         """Return whether no other job claims the machine."""
--- a/appledock/core/scheduling/settlement_recorder.py
+++ b/appledock/core/scheduling/settlement_recorder.py
@@ -55,7 +55,7 @@
             unsettled is not None and unsettled.queued_task_count > job.queued_task_count
         )
         if not has_lost_tasks:
-            queue.capacity_freed_at.pop(job.id, None)
+            queue.loss_noticed_at.pop(job.id, None)
         if unsettled is None and not is_over:
             return
         queue.placement_due = True
@@ -100,5 +100,5 @@
         tasks have to wait: for up to six seconds after forty machines were lost at once.
         """
         now = self._runtime.now
-        freed_at = self._reconcile_queue.capacity_freed_at.setdefault(job_id, now)
-        return now - freed_at < constants.SETTLEMENT_BATCHING_WINDOW_S
+        noticed_at = self._reconcile_queue.loss_noticed_at.setdefault(job_id, now)
+        return now - noticed_at < constants.SETTLEMENT_BATCHING_WINDOW_S
--- a/appledock/core/scheduling/victim_selection.py
+++ b/appledock/core/scheduling/victim_selection.py
@@ -1,9 +1,9 @@
 """Victim selection: which running tasks to stop so that one task of another job fits.
 
-The functions are pure. The protocol ("Preemption") allows stopping tasks only for a job of higher
-priority, for another team's guarantee, and on machines that are being drained. This module
-applies only the first rule; draining a machine is done by the fleet. Among the allowed victims,
-those whose stop discards least work are selected.
+The functions are pure. The platform's protocol ("Preemption") allows stopping tasks only for a
+job of higher priority, for another team's guarantee, and on machines that are being drained. This
+module applies only the first rule; draining a machine is done by the fleet. Among the allowed
+victims, those whose stop loses least work are selected.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     job: Job
     task: int
     lost_cpu_s: float
-    """work that the stop discards, in CPU seconds"""
+    """work that the stop loses, in CPU seconds"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     """A machine with enough victims for one task of the preempting job."""
 
     cost_s: float
-    """s; image fetch time plus the weighted discarded work"""
+    """s; image fetch time plus the weighted lost work"""
     machine: MachineCapacity
     victims: list[Victim]
 
@@ -82,7 +82,7 @@
     victims: Iterable[Victim],
     quota_deficit: Resources = NO_RESOURCES,
 ) -> list[Victim] | None:
-    """Return enough victims for one task, in ascending order of discarded work.
+    """Return enough victims for one task, in ascending order of lost work.
 
     The victims are enough if the task fits on the machine without them and if they free
     `quota_deficit` of the team's limit. None if all victims together are not enough, or if no
@@ -91,7 +91,7 @@
     cpus, gpus, memory_gb = machine.cpus, machine.gpus, machine.memory_gb
     recovered = NO_RESOURCES
     selected: list[Victim] = []
-    for victim in sorted(victims, key=_discarded_work_key):
+    for victim in sorted(victims, key=_lost_work_key):
         if fits_in(spec, cpus, gpus, memory_gb) and quota_deficit.fits_in(recovered):
             break
         stopped = victim.job.spec
@@ -104,7 +104,7 @@
     return selected if is_sufficient and selected else None
 
 
-def _discarded_work_key(victim: Victim) -> tuple[float, str, int]:
+def _lost_work_key(victim: Victim) -> tuple[float, str, int]:
     return victim.lost_cpu_s, victim.job.id, victim.task
 
 
@@ -113,7 +113,7 @@
 ) -> float:
     """Return the cost of starting a task in place of the victims, in seconds of waiting time.
 
-    `lost_work_weight` is the operators' setting: the weight of one second of discarded work, of
+    `lost_work_weight` is the operators' setting: the weight of one second of lost work, of
     a task of this size, against one second of waiting.
     """
     lost_cpu_s = sum(victim.lost_cpu_s for victim in victims)
