--- a/appledock/core/fleet/demand.py
+++ b/appledock/core/fleet/demand.py
@@ -82,7 +82,7 @@
         )
 
     def freed_soon(self) -> Iterator[MachineCapacity]:
-        """Yield, by machine, the capacity that batch tasks are about to free.
+        """Yield, by machine, the capacity that tasks of arrays and gangs are about to free.
 
         Tasks count if they are expected to end while a new machine would boot and fetch the image
         of their job.
--- a/appledock/core/fleet/desired_capacity.py
+++ b/appledock/core/fleet/desired_capacity.py
@@ -83,8 +83,8 @@
     ) -> Counter[MachineKind]:
         """Pack the demand onto the supply, and count the machines that the rest needs, by kind.
 
-        No machines are counted for batch tasks that fit into capacity that is freed before a new
-        machine could be up. Services do not wait for such capacity.
+        No machines are counted for tasks of arrays and gangs that fit into capacity that is freed
+        before a new machine could be up. Services do not wait for such capacity.
         """
         freed_soon = CapacitySupply()
         for freed in self._demand_estimator.freed_soon():
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -151,9 +151,9 @@
     def _may_still_run(self, job: Job, attempt: Attempt) -> bool:
         """Return whether a task of the attempt may still run.
 
-        None does if verdicts show that all are over, or if a recent heartbeat of the machine
-        does not report them. In the latter case only a launch in flight could still start one,
-        and the machine's agent epoch or a new term voids that launch.
+        No task may still run if verdicts show that all of them are over, or if a recent heartbeat
+        of the machine reports none of them. In the latter case only a launch in flight could still
+        start one, and the machine's agent epoch or a new term voids that launch.
         """
         worker = self._workers.table.get(attempt.machine)
         if attempt.machine in self._workers.deleted_machines or worker is None:
--- a/appledock/core/machines/capacity_index.py
+++ b/appledock/core/machines/capacity_index.py
@@ -82,7 +82,7 @@
         self._changed.update(machines)
 
     def mark_all_changed(self) -> None:
-        """Mark all machines to be recomputed, as machine types or shard owners have changed."""
+        """Mark all machines to be recomputed, as machine types or machines' owners have changed."""
         self._changed.update(self._workers.table)
         self._changed.update(self.machines)
 
--- a/appledock/core/machines/machine_capacity.py
+++ b/appledock/core/machines/machine_capacity.py
@@ -50,7 +50,7 @@
     fetching: frozenset[str] | set[str] = frozenset()
     """images that tasks placed on the machine are fetching or will fetch"""
     owner: str = ""
-    """controller that owns the machine's shard"""
+    """controller that owns the machine"""
     failure_count: int = 0
     """number of jobs of which tasks failed on the machine"""
     admission: PartitionAdmission | None = None
--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -97,7 +97,7 @@
         self.clear_caches()
 
     def clear_caches(self) -> None:
-        """Clear all caches, as owners, or jobs or records of any team, may have changed."""
+        """Clear all caches: owners, or the jobs or the record of any team, may have changed."""
         self._usage.clear_cache()
         self._admissions.clear()
 
@@ -231,7 +231,7 @@
         return held.excess_over(self._usage.held_by_job(job))
 
     def _raise_own_allocation(self, team: str, needed: Resources) -> dict[str, Resources]:
-        """Return the allocations, this controller's raised to what its jobs need after a step."""
+        """Return the allocations, with this controller's raised to its jobs' need after a step."""
         allocated, node, members = self.allocated(team), self._runtime.node, self._view.members
         limit = limit_of(self._runtime.teams[team])
         if not self._is_record_of_current_view(team):
--- a/appledock/core/quota/usage.py
+++ b/appledock/core/quota/usage.py
@@ -69,7 +69,7 @@
         return (self.held_by_team(job.spec.team) + queued).fits_in(guarantee_of(limits))
 
     def is_limit_exhausted(self, team: str) -> bool:
-        """Return whether the team's limit prevents any controller's queued task from starting."""
+        """Return whether the limit keeps some queued job of the team from starting another task."""
         limits = self._runtime.teams.get(team)
         if limits is None:
             return False
@@ -94,7 +94,7 @@
 
     # --- caches -----------------------------------------------------------
     def clear_cache(self) -> None:
-        """Clear the cache, as owners, or jobs of any team, may have changed."""
+        """Clear the cache: owners, or the jobs of any team, may have changed."""
         self._by_node.clear()
         self._totals.clear()
 
--- a/appledock/core/workers/command_reconciler.py
+++ b/appledock/core/workers/command_reconciler.py
@@ -85,7 +85,7 @@
 
     @staticmethod
     def _is_outcome_certain(worker: Worker, key: TaskKey) -> bool:
-        """Return whether no launch of the task is in flight: after `forget`, it would start it."""
+        """Return whether no launch is in flight that would start the task again after `forget`."""
         return key not in worker.sent_commands.unconfirmed_launches
 
     def _recorded_tasks(self, worker: Worker) -> dict[TaskKey, RecordedTask]:
--- a/appledock/core/workers/dissemination.py
+++ b/appledock/core/workers/dissemination.py
@@ -1,9 +1,9 @@
 """Dissemination: the messages about workers that this controller sends to its peers.
 
 Every controller knows every worker, so that it can take over any of them at any time. Heartbeats
-with a change are sent in full; for the others, number and ages are sent. Expired agent epochs and
-deleted machines are sent repeatedly while recorded attempts depend on them, because a link may
-lose any message.
+with a change are sent in full; of the others, only the sequence number and the ages are sent.
+Expired agent epochs and deleted machines are sent repeatedly while recorded attempts depend on
+them, because a link may lose any message.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
         self.table = table
         self.triggers = triggers
         self._unchanged: set[str] = set()
-        """workers with a heartbeat without changes since the last summary"""
+        """workers that sent a heartbeat without changes after the last summary"""
         self._backlogs: dict[str, deque[str]] = {}
         """newly connected peer -> workers whose state has not been sent to it yet"""
         self._next_summary_at = 0.0
--- a/appledock/core/workers/redirects.py
+++ b/appledock/core/workers/redirects.py
@@ -66,7 +66,8 @@
         If the owner does not receive its workers' heartbeats, a worker redirected to it would
         time out again, possibly until its lease expires. A worker without a node to report to
         tries the next one after a second, and then returns here. Until then, a new view should
-        have assigned another owner to it.
+        have assigned another owner to it. A worker that has not timed out is redirected to the
+        peer to which most of the owner's workers reported after a timeout, if there is one.
         """
         if self.heartbeats.receives_worker_reports(owner):
             return owner
