--- a/appledock/constants.py
+++ b/appledock/constants.py
@@ -91,16 +91,16 @@
 FINAL_WRITE_DELAY_S = 0.4
 """s; additional time that final results wait for their write, compared with a service's step."""
 STEP_WRITE_DELAY_S = 1.5
-"""s; additional time that steps of arrays wait for their write."""
+"""s; additional time that steps of arrays and gangs wait for their write."""
 PROGRESS_WRITE_DELAY_S = 2.0
 """s; additional time that lists of finished tasks wait for their write."""
 QUEUE_TIMEOUT_S = 3.0
 """s; a call that has been queued for this long is dropped, and its cause is evaluated again."""
 STEP_QUEUE_TIMEOUT_S = 6.0
-"""s; the same for steps of arrays, lists of finished tasks and ends of jobs: with a shorter
-timeout they would never get their turn. An end is the same write when it is decided again, but
-at the end of the queue: with the shorter timeout, more than half of the ends of some classes
-were dropped."""
+"""s; the same for steps of arrays and gangs, lists of finished tasks and ends of jobs: with a
+shorter timeout they would never get their turn. An end is the same write when it is decided
+again, but at the end of the queue: with the shorter timeout, more than half of the ends of some
+classes were dropped."""
 CALL_DISPATCH_INTERVAL_S = 0.02
 """s; shortest interval between two sorts of the calls that wait for the rate limit, unless a new
 call arrives: at the usual rates, it takes three times as long until one more write is allowed."""
@@ -112,8 +112,8 @@
 WRITE_RATE_DECREASE_FACTOR = 0.6
 """ratio; the write rate is multiplied by it after a refusal, down to the equal share."""
 WAITING_CALLS_THRESHOLD = 2
-"""calls; with more steps than this waiting, the batching window of arrays and the interval of
-progress writes are longer."""
+"""calls; with more steps than this waiting, the batching window of arrays and gangs and the
+interval of progress writes are longer."""
 ARRAY_DEFERRAL_MAX_S = 3.0
 """s; longest time for which arrays and gangs are not placed because users and services wait for
 their writes. At the start of a day, steps of arrays that were reserved and not yet written held the
--- a/appledock/core/fleet/unresponsive.py
+++ b/appledock/core/fleet/unresponsive.py
@@ -79,7 +79,7 @@
     def _is_suspected(self, worker: Worker) -> bool:
         """Return whether a machine that runs a service has sent no healthy heartbeat for a while.
 
-        A heartbeat is healthy if it shows that the answers of the worker's owner reach the worker.
+        A heartbeat is healthy if it shows that the answers of the machine's owner reach the worker.
         """
         silent_s = self._runtime.now - worker.reachability.last_healthy_at
         return (
