--- a/appledock/core/capacity/admission.py
+++ b/appledock/core/capacity/admission.py
@@ -1,4 +1,4 @@
-"""Admission to a machine of a pool: only jobs of the partition that owns it."""
+"""Admission of jobs to a machine of a pool: only those of the partition that owns the machine."""
 
 from __future__ import annotations
 
@@ -10,17 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerAdmission:
-    """Admits the jobs of a machine's owner."""
+    """Admits the jobs of the partition that owns a machine."""
 
     partition_of: Callable[[wire.JobSpec], str | None]
-    """the partition of a job"""
+    """Returns the partition of a job, or None if the job is in no partition."""
     partition: str | None
-    """partition that owns the machine; None: no partition at present, so that no job is admitted"""
+    """Partition that owns the machine; None admits no job, as no partition may use the machine."""
     is_for_replicas_only: bool = False
-    """is its free capacity reserved for replicas on machines that are being handed over?"""
+    """Whether free capacity of the machine is reserved for replicas of services.
+
+    These are replicas that have to leave machines that are being handed over.
+    """
 
     def admits(self, spec: wire.JobSpec) -> bool:
-        """May a step of the job use the machine?"""
+        """Return whether a step of the job may use the machine."""
         return (
             self.partition is not None
             and self.partition_of(spec) == self.partition
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -1,6 +1,8 @@
-"""Drains machines that are being handed over: moves their replicas, stops tasks with checkpoints.
+"""Drains machines that are being handed over to another partition.
 
-Tasks that complete by themselves are waited for, and nothing is killed.
+Replicas of services are moved to other machines of their partition. Tasks with checkpoints are
+stopped, but only after a deadline: that of the change of fractions, or the time for which a lender
+waits for its machine. All other tasks run to completion; no task is killed.
 """
 
 from __future__ import annotations
@@ -28,17 +30,24 @@
         """Moves that this controller has requested and that have not ended."""
 
     def request(self, proposal: Proposal, /) -> None:
-        """Ask the destination's owner for a move."""
+        """Request a move from the controller that owns the destination machine's worker."""
 
     def is_cooling_down(self, job_id: str, /) -> bool:
-        """Is the job moving, or in the cool-down after a move?"""
+        """Return whether the job has a move under way or is in the cooldown after a move."""
 
     def is_reachable(self, node: str, /) -> bool:
-        """Would this job owner receive a move, and this controller its outcome?"""
+        """Return whether messages can be exchanged with this job owner.
+
+        Otherwise the job owner would not receive a move, or this controller not its outcome.
+        """
 
 
 class MachineDrainer:
-    """Drains machines, for the jobs of this controller and, as the leader, for all."""
+    """Moves and stops tasks on machines that are being handed over.
+
+    Each controller stops tasks of its own jobs, and reserves machines for replicas. The leader also
+    requests moves and stops of tasks whose jobs other controllers own.
+    """
 
     def __init__(
         self,
@@ -58,21 +67,23 @@
         self._stop_requests = stop_requests
         self._moves = moves
         self._partitions = partitions
-        self._returned_since: dict[str, float] = {}
-        """machine that is being returned to its lender -> since when"""
+        self._return_started_at: dict[str, float] = {}
+        """Machine that is being returned to its lender -> when this controller first saw that."""
 
     def drain_own_jobs(self) -> None:
-        """What each controller does for its own jobs and reservations."""
+        """Stop tasks of own jobs if that is due, and reserve machines for replicas of services."""
         self._stop_checkpointing_after_deadline()
         self._reserve_for_replicas()
 
     def drain_as_leader(self, give_back_s: float, max_moves: int) -> None:
-        """What the leader requests: the return of lent machines, and moves of replicas.
+        """Request, as the leader, the return of lent machines and moves of replicas.
 
-        `give_back_s`: how long a lender waits for its machine before tasks with checkpoints are
-        stopped; `max_moves`: most moves under way at a time.
+        Args:
+            give_back_s: How long (s) a lender waits for its machine before tasks with checkpoints
+                are stopped there.
+            max_moves: Maximum number of requested moves that have not ended.
         """
-        self._stop_borrowers(give_back_s)
+        self._stop_tasks_on_returned_machines(give_back_s)
         self._move_replicas(max_moves)
 
     def _machines_being_handed_over(self) -> Iterator[tuple[str, Ownership]]:
@@ -81,25 +92,25 @@
                 yield machine, ownership
 
     # --- stops --------------------------------------------------------------
-    def _stop_borrowers(self, give_back_s: float) -> None:
-        """Stop tasks with checkpoints whose machine's lender has waited for long enough."""
+    def _stop_tasks_on_returned_machines(self, give_back_s: float) -> None:
+        """Stop tasks with checkpoints on machines whose lender has waited for `give_back_s`."""
         now = self._runtime.now
         returned = {
             machine
             for machine, ownership in self._machines_being_handed_over()
             if ownership.is_lent
         }
-        self._returned_since = {
-            machine: self._returned_since.get(machine, now) for machine in returned
+        self._return_started_at = {
+            machine: self._return_started_at.get(machine, now) for machine in returned
         }
-        for machine, since in self._returned_since.items():
-            if now - since >= give_back_s:
+        for machine, started_at in self._return_started_at.items():
+            if now - started_at >= give_back_s:
                 for job_id, tasks in self._checkpointing_tasks(machine).items():
                     job = self._replica.jobs[job_id]
                     self._stop_requests.send_to_owner(job, machine, tasks)
 
     def _stop_checkpointing_after_deadline(self) -> None:
-        """Stop own tasks with checkpoints once the deadline of the last change has passed."""
+        """Stop tasks with checkpoints of own jobs after the deadline of the last change."""
         agreed = self._replica.capacity.agreed_fractions
         if agreed is None or agreed.stop_at is None or self._runtime.wall_time < agreed.stop_at:
             return
@@ -109,7 +120,10 @@
                     self._stop_requests.add(job_id, machine, tasks)
 
     def _checkpointing_tasks(self, machine: str) -> dict[str, set[int]]:
-        """Job -> its tasks on the machine that have checkpoints and are not being stopped."""
+        """Return, by job, the tasks on the machine that have checkpoints and are not being stopped.
+
+        Tasks of gangs are left out.
+        """
         result = {}
         for job_id, attempts in self._replica.attempts_by_machine.get(machine, {}).items():
             spec = self._replica.jobs[job_id].spec
@@ -120,10 +134,11 @@
 
     # --- reservations ---------------------------------------------------------
     def _reserve_for_replicas(self) -> None:
-        """Reserve one machine of each partition for replicas that have to move.
+        """Reserve one machine of each partition that has replicas to move, for these replicas.
 
-        Otherwise batch tasks of the partition would take all capacity that becomes free on its
-        other machines, and the replicas would never leave the machines to be handed over.
+        Without the reservation, batch tasks of the partition would take all capacity that becomes
+        free on its other machines, and the replicas would never leave the machines that are being
+        handed over.
         """
         reserved = self._partitions.reserved_for_replicas
         before = set(reserved.values())
@@ -150,7 +165,7 @@
         )
 
     def _machine_to_reserve(self, partition: str, owned: dict[str, Ownership]) -> str | None:
-        """The machine reserved before while it may gain free capacity, else the least used one."""
+        """Return the machine reserved so far if it is still suitable, else the least used one."""
         candidates = [
             machine
             for machine, ownership in owned.items()
@@ -169,7 +184,7 @@
         )
 
     def _may_have_free_capacity(self, machine: str) -> bool:
-        """Has it free capacity, or will it when tasks that are no replicas complete?"""
+        """Return whether the machine has free capacity, or batch tasks that will free some."""
         return machine in self._capacity_index.with_free_capacity or any(
             not self._replica.jobs[job_id].spec.service
             for job_id in self._replica.attempts_by_machine.get(machine, {})
@@ -177,7 +192,7 @@
 
     # --- moves ----------------------------------------------------------------
     def _move_replicas(self, max_moves: int) -> None:
-        """Move replicas to other machines of their partition."""
+        """Request moves of replicas off machines that are being handed over."""
         self._capacity_index.recompute()
         for machine, _ in self._machines_being_handed_over():
             for proposal in self._proposals(machine):
@@ -186,7 +201,7 @@
                 self._moves.request(proposal)
 
     def _proposals(self, machine: str) -> list[Proposal]:
-        """At most one move for each job with a replica on the machine."""
+        """Propose at most one move for each job with a replica on the machine."""
         if machine not in self._workers.table:
             return []
         result: list[Proposal] = []
@@ -194,8 +209,10 @@
             if not self._can_move(job_id, machine):
                 continue
             spec = self._replica.jobs[job_id].spec
-            attempt = next((row for row in attempts if not row.stopping and row.tasks), None)
-            destination = self._destination(spec)
+            attempt = next(
+                (attempt for attempt in attempts if not attempt.stopping and attempt.tasks), None
+            )
+            destination = self._find_destination(spec)
             if attempt is None or destination is None or destination.load is None:
                 continue
             result.append(
@@ -221,8 +238,11 @@
             and self._moves.is_reachable(self._replica.job_owner(job))
         )
 
-    def _destination(self, spec: wire.JobSpec) -> MachineCapacity | None:
-        """The machine of the job's partition with most free CPUs."""
+    def _find_destination(self, spec: wire.JobSpec) -> MachineCapacity | None:
+        """Return the machine with the most free CPUs that the job may use, or None.
+
+        Machines in no pool are not considered.
+        """
         return max(
             (
                 machine
--- a/appledock/core/capacity/machine_usage.py
+++ b/appledock/core/capacity/machine_usage.py
@@ -1,4 +1,4 @@
-"""Use of a pool's machines: owner, unsettled tasks and the time that draining would take."""
+"""Use of the machines of a pool: owner, unsettled tasks and estimated time to drain them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MachineUsage:
-    """Reads the use of machines from records and heartbeats."""
+    """Determines the use of machines from stored records and worker heartbeats."""
 
     def __init__(
         self, runtime: Runtime, replica: Replica, workers: Workers, partitions: PartitionMap
@@ -25,7 +25,10 @@
         self._partitions = partitions
 
     def of_pool(self, pool: str) -> list[MachineUse]:
-        """The machines of a pool whose heartbeats were received, by name."""
+        """Return the use of the pool's machines, sorted by name.
+
+        Machines from which no heartbeat was received, and deleted machines, are left out.
+        """
         return [
             self._use_of(name, worker)
             for name, worker in sorted(self._workers.table.items())
@@ -34,19 +37,21 @@
         ]
 
     def _use_of(self, name: str, worker: Worker) -> MachineUse:
-        tasks: Counter[str] = Counter()
+        task_counts: Counter[str] = Counter()
         drain_s = 0.0
         for job_id, attempts in self._replica.attempts_by_machine.get(name, {}).items():
             spec = self._replica.jobs[job_id].spec
             partition = self._partitions.partition_of(spec) or ""
-            tasks[partition] += sum(len(attempt.tasks) for attempt in attempts)
+            task_counts[partition] += sum(len(attempt.tasks) for attempt in attempts)
             drain_s = max(drain_s, self._estimate_drain_s(spec, worker, attempts))
-        return MachineUse(name, self._replica.capacity.ownership_of(name), dict(tasks), drain_s)
+        return MachineUse(
+            name, self._replica.capacity.ownership_of(name), dict(task_counts), drain_s
+        )
 
     def _estimate_drain_s(
         self, spec: wire.JobSpec, worker: Worker, attempts: list[Attempt]
     ) -> float:
-        """How long the attempts may still take to leave the machine, by the estimates."""
+        """Return how long (s) the attempts are estimated to stay on the machine."""
         if spec.service:
             return constants.REPLICA_MOVE_ESTIMATE_S
         longest = 0.0
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -1,4 +1,7 @@
-"""Writes owners of machines, as the leader: from the recorded ones to those agreed and lent."""
+"""Assigns machines to partitions: writes ownership records, as the leader.
+
+Each pass brings the recorded owners closer to the agreed fractions, adjusted for loans.
+"""
 
 from __future__ import annotations
 
@@ -40,21 +43,24 @@
 
 @dataclass(frozen=True, slots=True)
 class AssignmentInputs:
-    """Counts and versions that change whenever a pass may come to another result."""
+    """Counts and versions that change when the result of a pass may change.
+
+    `OwnershipAssigner._depends_on_other_state` covers what they do not show.
+    """
 
     workers: int
     deleted_machines: int
     bucket_versions: int
-    """sum over the ownership records; each only grows"""
+    """Sum of the versions of all ownership records; no version ever decreases."""
     agreed_version: int
     view_version: int
     machine_types: int
 
 
 class OwnershipAssigner:
-    """Writes the next owners of machines; only the leader calls it."""
+    """Writes the next owners of machines; used only by the leader."""
 
-    def __init__(  # noqa: PLR0913 -- a pass reads all that decides an owner
+    def __init__(  # noqa: PLR0913 -- a pass reads everything that an owner depends on
         self,
         *,
         runtime: Runtime,
@@ -80,25 +86,33 @@
         self._queued_demand = queued_demand
         self._is_writing = False
         self._max_records = runtime.settings.cluster.state.txn_ops
-        """records that one transaction writes; fewer where it was not executed"""
-        self._settled_inputs: AssignmentInputs | None = None
-        """the inputs of the last pass, if it found nothing to change"""
+        """Maximum number of records in one transaction.
+
+        After a transaction that was not executed, it is half of that transaction's number of
+        writes; each committed transaction raises it by one.
+        """
+        self._inputs_without_changes: AssignmentInputs | None = None
+        """Inputs of the last pass if it changed no owner, else None."""
         self._surplus_trackers: dict[str, SurplusTracker] = {}
-        """pool -> partitions with surplus machines there"""
+        """Pool -> how long each partition has had surplus machines there."""
 
     def tick(self) -> None:
-        """One pass, unless the write of the last one is under way."""
+        """Run one pass, unless the write of the last pass is still under way."""
         settings = self._partitions.settings
         if settings is not None and not self._is_writing:
             self._assign(settings)
 
     def _assign(self, settings: Capacity) -> None:
-        """Write the next owners, from a replica that shows all tasks that were started."""
+        """Compute and write the next owners.
+
+        The pass waits until the replica has reached the revision of each ownership record. The
+        replica then includes every task that was started before the owner of its machine changed.
+        """
         records = self._replica.capacity
         if any(bucket.version > self._replica.revision for bucket in records.buckets.values()):
             return
         inputs = self._inputs()
-        if inputs == self._settled_inputs and not self._may_change_otherwise(settings):
+        if inputs == self._inputs_without_changes and not self._depends_on_other_state(settings):
             return
         changes: dict[str, Ownership | None] = {}
         for pool in settings.pools:
@@ -106,8 +120,8 @@
             agreed = self._partitions.target_machines(pool.name, len(uses))
             target = self._with_loans(settings, pool, uses, agreed)
             changes.update(next_owners(uses, target, agreed))
-        changes.update(dict.fromkeys(self._vanished_machines()))
-        self._settled_inputs = None if changes else inputs
+        changes.update(dict.fromkeys(self._removed_machines()))
+        self._inputs_without_changes = None if changes else inputs
         if changes:
             self._write(changes)
 
@@ -123,8 +137,12 @@
             machine_types=len(self._machine_types),
         )
 
-    def _may_change_otherwise(self, settings: Capacity) -> bool:
-        """Is there anything that the inputs don't show: heartbeats, loans, drains?"""
+    def _depends_on_other_state(self, settings: Capacity) -> bool:
+        """Return whether a pass may change owners though its `AssignmentInputs` are the same.
+
+        This is so if machines may be lent, if some worker has sent no heartbeat yet, or if a
+        machine is being handed over.
+        """
         return (
             settings.lend
             or any(worker.report is None for worker in self._workers.table.values())
@@ -134,10 +152,10 @@
             )
         )
 
-    def _vanished_machines(self) -> list[str]:
-        """Machines in the records that no longer exist."""
+    def _removed_machines(self) -> list[str]:
+        """Return the machines in the ownership records that no longer exist."""
         workers = self._workers
-        # A controller that has just begun to act has not received every heartbeat yet.
+        # A controller that has only just become able to act has not received all heartbeats yet.
         acting_s = self._runtime.now - self._membership.can_act_since
         are_workers_known = acting_s > constants.FIRST_HEARTBEAT_TIMEOUT_S
         return [
@@ -155,24 +173,29 @@
     def _with_loans(
         self, settings: Capacity, pool: Pool, uses: list[MachineUse], agreed: dict[str, int]
     ) -> dict[str, int]:
-        """The agreed numbers of machines, with surplus ones lent if the file allows it."""
+        """Return the agreed numbers of machines, adjusted for loans if the file allows them."""
         if not settings.lend:
             return agreed
         needed = self._needed_machines(pool, uses)
-        lenders = self._surplus_trackers.setdefault(
+        tracker = self._surplus_trackers.setdefault(
             pool.name, SurplusTracker(settings.lend_after_s)
         )
-        return lend_surplus(agreed, needed, lenders.update(self._runtime.now, agreed, needed))
+        return lend_surplus(agreed, needed, tracker.update(self._runtime.now, agreed, needed))
 
     def _needed_machines(self, pool: Pool, uses: list[MachineUse]) -> dict[str, int]:
-        """Partition -> machines that it could use: those in use, and some for its queue."""
+        """Return, by partition, how many machines it could use now.
+
+        These are the machines with its tasks, and as many empty machines as its queued tasks fill.
+        """
         machine_types = self._machine_types_of(uses)
         queued: dict[str, float] = {}
         for demand in self._queued_demand():
             spec = demand.job.spec
             name = self._partitions.partition_of(spec)
             if demand.is_ready and name is not None and _may_use(spec, pool):
-                slots = max((_count_slots(spec, kind) for kind in machine_types), default=0)
+                slots = max(
+                    (_count_slots(spec, machine_type) for machine_type in machine_types), default=0
+                )
                 if slots:
                     queued[name] = queued.get(name, 0.0) + demand.tasks / slots
         in_use = Counter(name for use in uses for name in use.task_counts)
@@ -188,7 +211,7 @@
 
     # --- writing ----------------------------------------------------------
     def _write(self, changes: dict[str, Ownership | None]) -> None:
-        """Write as many records as one transaction takes; the others with the next pass."""
+        """Write as many records as fit in one transaction; the next pass writes the others."""
         transaction = Transaction(self._membership.fencing_conditions())
         max_records = min(self._runtime.settings.cluster.state.txn_ops, self._max_records)
         for number in sorted({bucket_of(machine) for machine in changes}):
@@ -217,8 +240,8 @@
     def _on_outcome(self, transaction: Transaction, outcome: StoreOutcome) -> None:
         match outcome:
             case NotExecuted():
-                # A transaction with more writes than the store admits in a second, if that is
-                # fewer than announced, would never be executed.
+                # If the store admits fewer writes a second than its settings say, a transaction
+                # with more writes than that would never be executed.
                 self._max_records = max(1, len(transaction.writes) // 2)
             case Committed():
                 self._max_records += 1
@@ -226,7 +249,8 @@
                     assert isinstance(write, Put)
                     self._replica.put(write.key, write.value, outcome.revision)
             case Conflict() | UnknownOutcome():
-                # It may be executed now or later; the next write is conditional on what is read.
+                # A write with an unknown outcome may be executed now or later. The next write is
+                # conditional on the versions that are read here.
                 self._reader.read_keys([write.key for write in transaction.writes])
             case _:
                 pass
@@ -235,7 +259,7 @@
 def _changed_bucket(
     bucket: OwnershipBucket, number: int, changes: dict[str, Ownership | None]
 ) -> OwnershipBucket:
-    """A copy of a bucket with the changes to its machines; None: the machine is removed."""
+    """Return a copy of the bucket with the changes to its machines; None removes a machine."""
     owners = dict(bucket.owners)
     for machine, ownership in changes.items():
         if bucket_of(machine) != number:
@@ -248,13 +272,13 @@
 
 
 def _count_slots(spec: wire.JobSpec, machine_type: wire.MachineType) -> int:
-    """How many tasks of the job an empty machine takes."""
+    """Return how many tasks of the job an empty machine of this type can run."""
     fraction = task_share(spec, machine_type)
     return int((1 + constants.EPSILON) / fraction) if fraction > 0 else 1
 
 
 def _may_use(spec: wire.JobSpec, pool: Pool) -> bool:
-    """Could a task of the job run in the pool?"""
+    """Return whether the job's constraints allow machines of the pool."""
     return (
         (spec.zone is None or not pool.zones or spec.zone in pool.zones)
         and (spec.types is None or not pool.types or bool(set(spec.types) & set(pool.types)))
--- a/appledock/core/capacity/partition_map.py
+++ b/appledock/core/capacity/partition_map.py
@@ -1,15 +1,18 @@
-"""Which partition a job belongs to, and which partition owns a machine, by the records.
-
-Why a machine never runs tasks of two partitions at once:
-
-* A step that uses a machine of a pool is conditional on the record that names the machine's owner,
-  as it was when the step was placed, and is placed only for the owner's jobs.
-* The machine is first recorded as being handed over. Steps that were placed before then fail. Once
-  the watch has passed that write, all tasks ever started there are in the replica, and the machine
-  gets another owner only when none of them is unsettled.
-* Before partitions are in force, steps have no such condition. They are in force under views that
-  are newer than the record format, which every member must read; steps of controllers that do not
-  know that yet are conditional on an earlier view, and fail.
+"""Maps jobs to their partitions and machines to the partitions that own them.
+
+A machine never runs tasks of two partitions at the same time, for these reasons:
+
+* A machine of a pool is given only to jobs of the partition that owns it. The step that starts
+  their tasks is written on the condition that the ownership record of the machine still has the
+  version that it had when the step was placed.
+* Before a machine changes its owner, it is recorded as being handed over. This write changes the
+  version of the record, so steps that were placed earlier fail. Once the watch has passed this
+  write, the replica holds every task that was ever started on the machine. The machine gets another
+  owner only when none of these tasks is unsettled.
+* Before partitions are in force, steps have no such condition. Partitions come into force with the
+  first membership view that is written after the record format was raised; every member of that
+  view must be able to read the raised format. Steps of a controller that does not know this view
+  yet are conditional on an earlier view, so they fail.
 """
 
 from __future__ import annotations
@@ -30,7 +33,8 @@
 class PartitionMap:
     """Partitions of jobs, owners of machines and agreed fractions, as this controller knows them.
 
-    Without settings it is disabled: every machine admits every job, and steps have no conditions.
+    Without settings, partitions are disabled: every machine admits every job, and steps do not
+    depend on ownership records.
     """
 
     def __init__(
@@ -41,13 +45,15 @@
         self.settings = settings
         self.enabled = settings is not None
         self.reserved_for_replicas: dict[str, str] = {}
-        """partition with replicas on machines that are being handed over -> its machine whose free
-        capacity is reserved for those"""
+        """Partition -> its machine whose free capacity is reserved for replicas of services.
+
+        Only partitions with replicas on machines that are being handed over have an entry.
+        """
         self._partitions: dict[tuple[str, str], str | None] = {}
         self._admissions: dict[tuple[str | None, bool], OwnerAdmission] = {}
 
     def partition_of(self, spec: wire.JobSpec) -> str | None:
-        """The partition of a job; None without one."""
+        """Return the partition of a job, or None if the job is in no partition."""
         if self.settings is None:
             return None
         key = (spec.job_class, spec.team)
@@ -56,18 +62,24 @@
         return self._partitions[key]
 
     def pool_of(self, worker: Worker) -> str | None:
-        """The pool of a worker's machine; None: in no pool, or no heartbeat received yet."""
+        """Return the pool of a worker's machine.
+
+        The result is None if the machine is in no pool or has sent no heartbeat yet.
+        """
         report = worker.report
         if self.settings is None or report is None:
             return None
         return self.settings.pool_of(report.type, report.zone, report.spot)
 
     def is_format_raised(self) -> bool:
-        """Is the record format one whose readers all keep to partitions?"""
+        """Return whether all controllers that can read the record format respect partitions."""
         return self._replica.record_format.value >= constants.CAPACITY_FORMAT
 
     def is_in_force(self) -> bool:
-        """Do all controllers keep to partitions, and are all other steps void?"""
+        """Return whether partitions are in force.
+
+        All controllers then respect partitions, and steps placed without doing so fail.
+        """
         view = self._replica.view
         return (
             self.enabled
@@ -78,20 +90,23 @@
 
     # --- machines ---------------------------------------------------------
     def admission_of(self, worker: Worker) -> OwnerAdmission | None:
-        """Which jobs the worker's machine admits; None: any."""
+        """Return which jobs the worker's machine admits, or None if it admits any job."""
         if not self.is_in_force() or self.pool_of(worker) is None:
             return None
         ownership = self._replica.capacity.ownership_of(worker.id)
         is_owned = ownership is not None and not ownership.is_being_handed_over
-        owner = ownership.partition if ownership is not None and is_owned else None
-        key = (owner, worker.id in self.reserved_for_replicas.values())
+        partition = ownership.partition if ownership is not None and is_owned else None
+        key = (partition, worker.id in self.reserved_for_replicas.values())
         admission = self._admissions.get(key)
         if admission is None:
             admission = self._admissions[key] = OwnerAdmission(self.partition_of, *key)
         return admission
 
     def conditions(self, reservations: Iterable[StepReservation]) -> dict[str, int]:
-        """Versions of the ownership records on which a step with these reservations depends."""
+        """Return the key and version of each ownership record that the step depends on.
+
+        These are the records of the machines in pools for which the step has reservations.
+        """
         if not self.is_in_force():
             return {}
         records = self._replica.capacity
@@ -104,25 +119,25 @@
         return result
 
     def is_being_handed_over(self, machine: str) -> bool:
-        """Is the machine being drained for another owner?"""
+        """Return whether the machine is being drained for another owner."""
         ownership = self._replica.capacity.ownership_of(machine)
         return self.is_in_force() and ownership is not None and ownership.is_being_handed_over
 
     def must_move_off(self, spec: wire.JobSpec, machine: str) -> bool:
-        """Are tasks of the job to be moved off the machine?
+        """Return whether tasks of the job have to be moved off the machine.
 
-        Only replicas of services: other tasks complete by themselves.
+        Only replicas of services are moved; other tasks complete by themselves.
         """
         return spec.service and not spec.gang and self.is_being_handed_over(machine)
 
     # --- agreed fractions ---------------------------------------------------
     def agreed_fractions(self) -> MachineFractions:
-        """The fractions agreed last; those of the file if they were never changed."""
+        """Return the fractions that were agreed last, or those of the file if none were."""
         assert self.settings is not None
         agreed = self._replica.capacity.agreed_fractions
         return agreed.fractions if agreed is not None else self.settings.configured_fractions()
 
     def target_machines(self, pool: str, machines: int) -> dict[str, int]:
-        """Partition -> how many of the pool's machines it shall own by the agreed fractions."""
+        """Return, by partition, how many of the pool's machines the agreed fractions give it."""
         fractions = self.agreed_fractions()
         return apportion(machines, {name: fractions[name].get(pool, 0.0) for name in fractions})
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -1,4 +1,4 @@
-"""Passes over the partitions of the machines: ownership, drains and preferred owners."""
+"""Periodic passes over capacity partitions: ownership, drains and preferred owners."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class PartitionManager:
-    """Brings the owners of machines to the agreed fractions, step by step.
+    """Starts the periodic passes that bring the owners of machines to the agreed fractions.
 
-    Without settings it does nothing.
+    Without capacity settings, no pass is started.
     """
 
-    def __init__(  # noqa: PLR0913 -- it starts every kind of pass
+    def __init__(  # noqa: PLR0913 -- each kind of pass has its own collaborator
         self,
         *,
         runtime: Runtime,
@@ -40,7 +40,7 @@
         self._next_pass_at = 0.0
 
     def tick(self) -> None:
-        """Hand jobs off, and start a pass over the machines when it is due."""
+        """Hand off jobs, and start a pass over the machines when one is due."""
         settings = self._partitions.settings
         if settings is None or not self._membership.can_act():
             return
@@ -58,6 +58,9 @@
             self._drainer.drain_as_leader(settings.give_back_s, settings.moves_in_flight)
 
     def _request_newer_view(self) -> None:
-        """As the leader, once the record format is raised: a newer view voids earlier steps."""
+        """Request a newer view, as the leader, once the record format is raised.
+
+        Steps that were placed under earlier views, without regard to partitions, then fail.
+        """
         if self._partitions.is_format_raised() and self._membership.is_leader():
             self._view_requests.new_term = True
--- a/appledock/core/capacity/preferred_owners.py
+++ b/appledock/core/capacity/preferred_owners.py
@@ -1,4 +1,8 @@
-"""Preferred owners of jobs: the controller that the file names for a partition owns its jobs."""
+"""Preferred owners of jobs.
+
+The capacity file can name a controller for a partition; this controller should own the partition's
+jobs.
+"""
 
 from __future__ import annotations
 
@@ -17,16 +21,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberSince:
-    """A member of the view."""
+class ObservedMember:
+    """A member of the view, as this controller has observed it."""
 
     incarnation: str
     joined_at: float
-    """since when this incarnation is in the view, as this controller has seen it"""
+    """When this controller first saw this incarnation in the view."""
 
 
 class PreferredOwners:
-    """Knows which controller should own a job."""
+    """Determines which controller should own a job."""
 
     def __init__(
         self, runtime: Runtime, replica: Replica, heartbeats: Heartbeats, partitions: PartitionMap
@@ -35,10 +39,14 @@
         self._replica = replica
         self._heartbeats = heartbeats
         self._partitions = partitions
-        self._members: dict[str, MemberSince] = {}
+        self._members: dict[str, ObservedMember] = {}
 
     def preferred_owner(self, job: Job) -> str | None:
-        """The controller that should own the job; None: none is named, or it is not stable."""
+        """Return the controller that should own the job, or None.
+
+        The result is None if the file names no controller for the job's partition, or if the
+        controller is detached, unreachable or has not been a member for long enough.
+        """
         settings = self._partitions.settings
         if settings is None or not self._partitions.is_in_force():
             return None
@@ -58,33 +66,34 @@
         return node if is_stable and self._heartbeats.is_reachable(node) else None
 
     def is_preferred_owner(self, job: Job) -> bool:
-        """Is this controller the job's preferred owner?
+        """Return whether this controller is the job's preferred owner.
 
-        Then it alone fills the machines of the job's partition, whoever owns their workers.
+        If so, it alone places tasks on the machines of the job's partition, no matter which
+        controllers own their workers.
         """
         return self.preferred_owner(job) == self._runtime.node
 
     def update_members(self) -> None:
-        """Follow the members of the view."""
+        """Record members that have joined the view, and forget those that have left."""
         view = self._replica.view
         assert view is not None
         for node, incarnation in view.members.items():
             member = self._members.get(node)
             if member is None or member.incarnation != incarnation:
-                self._members[node] = MemberSince(incarnation, self._runtime.now)
+                self._members[node] = ObservedMember(incarnation, self._runtime.now)
         for node in self._members.keys() - view.members.keys():
             del self._members[node]
 
 
-class MoveHistory(Protocol):
-    """Moves of tasks that are under way or were made lately."""
+class MoveCooldowns(Protocol):
+    """Moves of tasks that are under way, and cooldowns after moves."""
 
     def is_cooling_down(self, job_id: str, /) -> bool:
-        """Is the job moving, or in the cool-down after a move?"""
+        """Return whether the job has a move under way or is in the cooldown after a move."""
 
 
 class PreferredOwnerHandOff:
-    """Hands jobs of this controller off to their preferred owners."""
+    """Hands off jobs of this controller to their preferred owners."""
 
     def __init__(
         self,
@@ -93,7 +102,7 @@
         replica: Replica,
         preferred_owners: PreferredOwners,
         pacing: Pacing,
-        moves: MoveHistory,
+        moves: MoveCooldowns,
         writer: JobWriter,
         step_writer: StepWriter,
     ) -> None:
@@ -107,9 +116,9 @@
         self._checked_at = 0.0
 
     def tick(self) -> None:
-        """Hand off one job from time to time.
+        """Hand off at most one job per interval.
 
-        All at once would be a burst of writes when a preferred owner is back.
+        Handing off all jobs at once would cause a burst of writes when a preferred owner returns.
         """
         now = self._runtime.now
         if (
--- a/appledock/core/capacity/summary.py
+++ b/appledock/core/capacity/summary.py
@@ -1,4 +1,4 @@
-"""Fractions, owned machines, their use and drains, as the administration API shows them."""
+"""Summary of capacity partitions for the administration API."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PartitionSummary:
-    """Builds the body of `GET capacity`; its keys are part of the administration API."""
+    """Builds the body of `GET capacity`, whose keys are part of the administration API."""
 
     def __init__(self, replica: Replica, partitions: PartitionMap, usage: MachineUsage) -> None:
         self._replica = replica
@@ -19,7 +19,7 @@
         self._usage = usage
 
     def as_json(self) -> dict[str, Any]:
-        """The body, from this controller's replica."""
+        """Return fractions, owners, use and drains of machines, from this controller's replica."""
         settings = self._partitions.settings
         if settings is None:
             return {"enabled": False}
