--- a/appledock/capacity/__init__.py
+++ b/appledock/capacity/__init__.py
@@ -1,6 +1,9 @@
-"""Policy of machine partitions: which partition owns which machine of a pool, by agreed fractions.
+"""Policy of capacity partitions: which partition owns which machine of a pool.
 
-Without I/O. Each machine of a pool has one owner at a time; the core writes the owners
-(`appledock/core/capacity`), and steps are conditional on them. docs/capacity-shares.md has the
-options that were considered and the safety argument.
+The agreed fractions determine how many machines of each pool a partition owns. Each machine of a
+pool has at most one owner at a time.
+
+The policy does no I/O, except that `settings` and `history` read and write their files.
+`appledock.core.capacity` writes the owners to the store and makes steps conditional on them.
+docs/capacity-shares.md describes the alternatives that were considered and why the scheme is safe.
 """
--- a/appledock/capacity/apportion.py
+++ b/appledock/capacity/apportion.py
@@ -1,4 +1,7 @@
-"""Apportionment of whole machines by fractions: largest remainder, at least one machine each."""
+"""Apportionment of whole machines to partitions by fractions.
+
+This is the largest remainder method, with at least one machine for each partition.
+"""
 
 from __future__ import annotations
 
@@ -6,10 +9,11 @@
 
 
 def apportion(machines: int, fractions: dict[str, float]) -> dict[str, int]:
-    """Partition -> number of machines; all machines are given out.
+    """Return the number of machines for each partition.
 
-    A partition with a fraction above zero gets at least one machine if there are enough; with
-    fewer machines than partitions, the largest fractions come first.
+    All machines are distributed, unless no fraction is above zero. A partition with a fraction
+    above zero gets at least one machine if there are enough. With fewer machines than such
+    partitions, those with the largest fractions get one machine each.
     """
     counts = dict.fromkeys(fractions, 0)
     entitled = sorted(
@@ -26,9 +30,10 @@
     exact = {name: machines * fractions[name] / total for name in entitled}
     for name in entitled:
         counts[name] = max(1, math.floor(exact[name] + 1e-9))
-    while (left := machines - sum(counts.values())) != 0:
-        step = 1 if left > 0 else -1
-        # The partition furthest below (or above) its exact number; never down to none.
+    while (remaining := machines - sum(counts.values())) != 0:
+        step = 1 if remaining > 0 else -1
+        # Adjust the partition furthest below (or above) its exact number, but leave it at least
+        # one machine.
         name = max(
             (name for name in entitled if step > 0 or counts[name] > 1),
             key=lambda name: (step * (exact[name] - counts[name]), -entitled.index(name)),
--- a/appledock/capacity/assignment.py
+++ b/appledock/capacity/assignment.py
@@ -1,8 +1,8 @@
-"""Next owners of machines: the small steps from the recorded owners to the agreed numbers.
+"""Next owners of machines: incremental changes from the recorded owners to the target numbers.
 
-A machine changes owner in two writes, never in one. First it is recorded as being handed over,
-which makes every step on it that is still being written fail. Then, once the records show no
-unsettled task on it, it goes to the partition that is furthest below its number.
+A machine changes its owner in two writes, never in one. The first write records it as being handed
+over, so that every step on it that is still being written fails. Once the records show no unsettled
+task on it, the second write gives it to the partition that is furthest below its target.
 """
 
 from __future__ import annotations
@@ -15,35 +15,38 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineUse:
-    """A machine of a pool: its owner, and the unsettled tasks on it."""
+    """A machine of a pool, with its owner and the unsettled tasks on it."""
 
     name: str
     ownership: Ownership | None
-    """None: never assigned"""
+    """Owner of the machine, or None if the machine was never assigned."""
     task_counts: dict[str, int] = field(default_factory=dict)
-    """partition -> its unsettled tasks"""
+    """Partition -> number of its unsettled tasks on the machine."""
     drain_s: float = 0.0
-    """estimated time until it is drained"""
+    """Estimated time until the machine is drained, in seconds."""
 
     @property
     def is_empty(self) -> bool:
-        """Is no unsettled task on it, by the records?"""
+        """Whether the records show no unsettled task on the machine."""
         return not self.task_counts
 
 
 def next_owners(
     machines: list[MachineUse], target: dict[str, int], agreed: dict[str, int] | None = None
 ) -> dict[str, Ownership]:
-    """Machine -> its next ownership, for those that change now; all machines are of one pool.
+    """Return the next ownership of each machine whose ownership changes in this pass.
 
-    `target`: how many of them each partition shall own; `agreed`: how many by the agreed fractions,
-    those beyond being lent to it (None: as many as `target`).
+    Args:
+        machines: All machines of one pool.
+        target: How many of the machines each partition should own, loans included.
+        agreed: How many of the machines the agreed fractions give each partition. Machines that it
+            owns beyond this number are lent to it. None: the same numbers as `target`.
     """
     return _AssignmentPass(machines, target, target if agreed is None else agreed).run()
 
 
 class _AssignmentPass:
-    """One pass over the machines of a pool."""
+    """One pass over the machines of a pool, which collects the changes of ownership."""
 
     def __init__(
         self, machines: list[MachineUse], target: dict[str, int], agreed: dict[str, int]
@@ -59,15 +62,15 @@
         )
 
     def run(self) -> dict[str, Ownership]:
-        self._hand_over_of_removed_partitions()
-        self._keep_withdrawn()
+        self._hand_over_from_removed_partitions()
+        self._cancel_unneeded_handovers()
         self._assign_empty_and_new()
         self._hand_over_surplus()
         return self._changes
 
     # --- single machines ------------------------------------------------------
     def _partitions_below_target(self) -> list[str]:
-        """The one furthest below its number first."""
+        """Return the partitions below their target, the one furthest below it first."""
         missing = {name: self._target[name] - self._owned[name] for name in self._target}
         return sorted(
             (name for name in missing if missing[name] > 0),
@@ -83,9 +86,9 @@
         self._changes[machine.name] = ownership.with_handover_started()
         self._owned[ownership.partition] -= 1
 
-    # --- steps ----------------------------------------------------------------
-    def _hand_over_of_removed_partitions(self) -> None:
-        """Hand over the machines of partitions that the file no longer has."""
+    # --- parts of a pass ------------------------------------------------------
+    def _hand_over_from_removed_partitions(self) -> None:
+        """Start the handover of machines whose partition is no longer in the file."""
         for machine in self._machines:
             ownership = machine.ownership
             if (
@@ -95,8 +98,8 @@
             ):
                 self._hand_over(machine, ownership)
 
-    def _keep_withdrawn(self) -> None:
-        """Leave machines with their owner that needs them again, as after a withdrawn change."""
+    def _cancel_unneeded_handovers(self) -> None:
+        """Cancel handovers if the owner needs the machine again, as after a withdrawn change."""
         for machine in self._machines:
             ownership = machine.ownership
             if (
@@ -108,20 +111,24 @@
                 self._assign(machine, ownership.partition)
 
     def _assign_empty_and_new(self) -> None:
-        """Assign empty machines to partitions below target, and new ones in use to their users."""
+        """Assign empty machines to partitions below target, and new ones in use by their tasks."""
         for machine in self._machines:
             if machine.name in self._changes or not self._target:
                 continue
             ownership = machine.ownership
             if ownership is None and machine.task_counts:
-                self._adopt(machine)
+                self._assign_by_use(machine)
             elif machine.is_empty and (ownership is None or ownership.is_being_handed_over):
                 below_target = self._partitions_below_target()
                 if below_target:
                     self._assign(machine, below_target[0])
 
-    def _adopt(self, machine: MachineUse) -> None:
-        """Assign a machine that was in use before partitions were in force."""
+    def _assign_by_use(self, machine: MachineUse) -> None:
+        """Assign a machine that was in use before partitions were in force.
+
+        Its owner is the partition with the most tasks on it. The machine is handed over if other
+        partitions also have tasks on it, or if that partition is not below its target.
+        """
         partition = max(sorted(machine.task_counts), key=machine.task_counts.__getitem__)
         if len(machine.task_counts) == 1 and self._owned[partition] < self._target.get(
             partition, 0
@@ -131,12 +138,12 @@
             self._changes[machine.name] = Ownership(partition, is_being_handed_over=True)
 
     def _hand_over_surplus(self) -> None:
-        """Hand over as many machines as partitions lack beyond those being handed over already."""
+        """Start as many handovers as partitions lack machines, less those already under way."""
         missing = sum(
             self._target[name] - self._owned[name] for name in self._partitions_below_target()
         )
         missing -= self._count_being_handed_over()
-        for machine, ownership in self._by_cost_of_handing_over():
+        for machine, ownership in self._machines_by_handover_cost():
             if missing <= 0:
                 return
             if self._owned[ownership.partition] > self._target[ownership.partition]:
@@ -151,8 +158,12 @@
             ownership.is_being_handed_over for ownership in next_ownerships if ownership is not None
         )
 
-    def _by_cost_of_handing_over(self) -> list[tuple[MachineUse, Ownership]]:
-        """Lent machines first, then by the time and the tasks that draining them costs."""
+    def _machines_by_handover_cost(self) -> list[tuple[MachineUse, Ownership]]:
+        """Return the machines that may be handed over, the least costly first.
+
+        Lent machines come first. Otherwise the cost is the estimated time to drain the machine,
+        then the number of tasks on it.
+        """
         return sorted(
             (
                 (machine, machine.ownership)
--- a/appledock/capacity/history.py
+++ b/appledock/capacity/history.py
@@ -1,6 +1,8 @@
-"""Histories of machine partitions in a compressed file: one JSON line a pool, partition and moment.
+"""History of capacity partitions in a compressed file.
 
-Controllers keep none; the operators' side collects them. Needs requirements-console.txt.
+The file has one JSON line for each pool and partition at each sampling time, in zstd frames of
+several lines. Controllers keep no history; the command-line tool of operators collects it. The
+module needs the packages of requirements-console.txt.
 """
 
 from __future__ import annotations
@@ -15,20 +17,24 @@
 from msgspec import Struct
 
 BLOCK_ROWS = 256
-"""rows; after so many a block is closed, so that a file that ends early can be read up to there"""
+"""Number of rows after which a block is written; a truncated file can be read up to its last whole
+block."""
 
 
 class HistoryError(Exception):
-    """A file cannot be read as a history; the text says why in one line."""
+    """A file cannot be read as a history; the message gives the reason in one line."""
 
 
 class HistoryRow(Struct, frozen=True):
-    """What a partition owned of a pool at one moment; the fields' names are those of the file."""
+    """Machines and tasks of one partition in one pool at one time.
+
+    The field names are those of the file.
+    """
 
     at: float
-    """time of day, s"""
+    """Time of day, in seconds since the epoch."""
     version: int
-    """of the agreed fractions"""
+    """Version of the agreed fractions."""
     pool: str
     partition: str
     target: int
@@ -39,7 +45,7 @@
 
 
 def summary_rows(summary: dict[str, Any], at: float) -> list[HistoryRow]:
-    """The rows of one answer of the administration API."""
+    """Return the rows for one answer of the administration API (`GET capacity`)."""
     return [
         HistoryRow(
             at,
@@ -58,7 +64,7 @@
 
 
 class HistoryWriter:
-    """Appends rows to a file; what it had before is kept."""
+    """Appends rows to a file, whose present content is kept."""
 
     def __init__(self, path: Path) -> None:
         self.file: BinaryIO = path.open("ab")
@@ -69,21 +75,21 @@
 
     def __exit__(
         self,
-        kind: type[BaseException] | None,
-        error: BaseException | None,
-        trace: TracebackType | None,
+        exc_type: type[BaseException] | None,
+        exc: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
         self.flush()
         self.file.close()
 
-    def add(self, new: list[HistoryRow]) -> None:
-        """Add the rows of one moment."""
-        self.pending += [msgspec.json.encode(row) + b"\n" for row in new]
+    def add(self, rows: list[HistoryRow]) -> None:
+        """Add the rows of one sampling time."""
+        self.pending += [msgspec.json.encode(row) + b"\n" for row in rows]
         if len(self.pending) >= BLOCK_ROWS:
             self.flush()
 
     def flush(self) -> None:
-        """Close the present block."""
+        """Compress the pending rows as one block, and write the block to the file."""
         if self.pending:
             self.file.write(zstandard.compress(b"".join(self.pending)))
             self.file.flush()
@@ -91,16 +97,20 @@
 
 
 def read_rows(path: Path) -> Iterator[HistoryRow]:
-    """The rows of a file in their order; raises HistoryError where it cannot be read on."""
+    """Yield the rows of a file in their order.
+
+    Raises:
+        HistoryError: The rest of the file cannot be read.
+    """
     decoder = msgspec.json.Decoder(HistoryRow)
     try:
-        left = path.read_bytes()
-        while left:
-            block = zstandard.ZstdDecompressor().decompressobj()
-            text = block.decompress(left)
-            if not block.eof:
+        remaining = path.read_bytes()
+        while remaining:
+            decompressor = zstandard.ZstdDecompressor().decompressobj()
+            text = decompressor.decompress(remaining)
+            if not decompressor.eof:
                 raise HistoryError(f"{path}: its last block ends early")
-            left = block.unused_data
+            remaining = decompressor.unused_data
             for line in text.splitlines():
                 yield decoder.decode(line)
     except (OSError, zstandard.ZstdError, msgspec.DecodeError) as error:
--- a/appledock/capacity/lending.py
+++ b/appledock/capacity/lending.py
@@ -1,4 +1,4 @@
-"""Loans: surplus machines of one partition are used by others that need more, for a while."""
+"""Loans: partitions that need more machines temporarily own surplus machines of others."""
 
 from __future__ import annotations
 
@@ -8,11 +8,16 @@
 def lend_surplus(
     agreed: dict[str, int], needed: dict[str, int], lenders: set[str]
 ) -> dict[str, int]:
-    """Partition -> machines that it shall own, loans included.
+    """Return how many machines each partition should own, loans included.
 
-    `agreed`: machines by the agreed fractions; `needed`: machines that it could use now. Loans are
-    made anew each time from what is surplus, so a lender in need comes before any loan. A lender
-    keeps at least one machine, so that its next job starts at once.
+    All loans are recomputed at each call from the current surplus, so a lender's own need takes
+    precedence over any loan. A lender keeps at least one machine, so that its next job starts at
+    once.
+
+    Args:
+        agreed: By partition, the number of machines that the agreed fractions give it.
+        needed: By partition, the number of machines that it could use now.
+        lenders: Partitions that may lend machines.
     """
     result = dict(agreed)
     surplus = {
@@ -33,18 +38,19 @@
 
 @dataclass
 class SurplusTracker:
-    """Which partitions may lend: those with surplus machines for long enough.
+    """Tracks since when partitions have surplus machines, and which of them may lend some.
 
-    Otherwise machines would change owner with every short pause of a busy partition.
+    A partition may lend only after it has had a surplus for `lend_after_s`. Otherwise machines
+    would change their owner at every short pause of a busy partition.
     """
 
     lend_after_s: float
-    """how long machines must have been surplus"""
+    """Time for which a partition must have had surplus machines, in seconds."""
     surplus_started_at: dict[str, float] = field(default_factory=dict)
-    """partition -> since when it has surplus machines"""
+    """Partition -> when its present surplus began."""
 
     def update(self, now: float, agreed: dict[str, int], needed: dict[str, int]) -> set[str]:
-        """Take in the present numbers, and return the partitions that may lend."""
+        """Update the surplus from the current numbers, and return the partitions that may lend."""
         for name, machines in agreed.items():
             if needed.get(name, 0) >= machines:
                 self.surplus_started_at.pop(name, None)
@@ -52,6 +58,6 @@
                 self.surplus_started_at.setdefault(name, now)
         return {
             name
-            for name, since in self.surplus_started_at.items()
-            if name in agreed and now - since >= self.lend_after_s
+            for name, started_at in self.surplus_started_at.items()
+            if name in agreed and now - started_at >= self.lend_after_s
         }
--- a/appledock/capacity/ownership.py
+++ b/appledock/capacity/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership records: the owners of machines, in hash buckets so that each record stays bounded."""
+"""Ownership records: the owners of machines, in hash buckets that bound the size of a record."""
 
 from __future__ import annotations
 
@@ -11,21 +11,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Ownership:
-    """The partition that owns a machine, and whether it keeps it."""
+    """The partition that owns a machine, and whether it keeps the machine."""
 
     partition: str
     is_being_handed_over: bool = False
-    """no step of the owner uses it any more; once it is empty, it gets another owner"""
+    """Whether the machine is being drained: it gets no new tasks, and another owner once empty."""
     is_lent: bool = False
-    """it is beyond the owner's agreed number: its lender gets it back when in need"""
+    """Whether the machine is beyond the owner's agreed number.
+
+    It is returned to its lender when the lender needs it.
+    """
 
     def with_handover_started(self) -> Ownership:
-        """The same machine, being handed over."""
+        """Return this ownership with the machine being handed over."""
         return Ownership(self.partition, True, self.is_lent)
 
 
 class Section(NamedTuple):
-    """What the machines of one section of a record have in common."""
+    """State that all machines in one section of an ownership record share."""
 
     is_being_handed_over: bool
     is_lent: bool
@@ -37,20 +40,23 @@
     "lent": Section(is_being_handed_over=False, is_lent=True),
     "returning": Section(is_being_handed_over=True, is_lent=True),
 }
-"""name of a section in the stored record -> its machines"""
+"""Name of a section in the stored record -> state of the machines in it."""
 
 
 @dataclass(slots=True)
 class OwnershipBucket:
-    """The machines of one record."""
+    """The machines of one ownership record, with their owners."""
 
     version: int = 0
-    """of its key; 0: it was never written"""
+    """Version of the record's key; 0 if the record was never written."""
     owners: dict[str, Ownership] = field(default_factory=dict)
-    """machine -> its owner"""
+    """Machine -> its owner."""
 
     def encode(self) -> dict[str, Any]:
-        """The stored record: machine names by section and partition; empty sections left out."""
+        """Encode the bucket for the store: machine names by section and partition.
+
+        Empty sections are left out.
+        """
         sections = {name: self._names(section) for name, section in SECTIONS.items()}
         return {name: names for name, names in sections.items() if names}
 
@@ -63,7 +69,11 @@
 
 
 def decode_bucket(record: dict[str, Any], version: int) -> OwnershipBucket:
-    """The bucket of a stored record; raises TypeError or AttributeError if malformed."""
+    """Decode a stored record.
+
+    Raises:
+        TypeError or AttributeError: The record is malformed.
+    """
     bucket = OwnershipBucket(version)
     for name, section in SECTIONS.items():
         for partition, machines in record.get(name, {}).items():
@@ -73,6 +83,6 @@
 
 
 def bucket_of(machine: str) -> int:
-    """Number of the record that a machine belongs to."""
+    """Return the number of the ownership record that holds a machine."""
     digest = hashlib.blake2b(machine.encode(), digest_size=2).digest()
     return int.from_bytes(digest, "big") % constants.CAPACITY_BUCKETS
--- a/appledock/capacity/settings.py
+++ b/appledock/capacity/settings.py
@@ -1,4 +1,4 @@
-"""The file that enables partitions of machines: read, checked, published as a JSON schema."""
+"""The capacity file, which enables capacity partitions: its types, checks and JSON schema."""
 
 from __future__ import annotations
 
@@ -18,21 +18,22 @@
 Seconds = Annotated[float, Meta(gt=0, le=86_400)]
 Name = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9_.-]+$")]
 MachineFractions = dict[str, dict[str, float]]
-"""partition -> pool -> fraction of the pool's machines"""
+"""Partition -> pool -> fraction of the pool's machines."""
 
 REST = "rest"
-"""name of the partition of all that is in no other one"""
+"""Name of the partition for all jobs that belong to no other partition."""
 
 
 class CapacityError(Exception):
-    """The file or a change cannot be used; the text says why in one line."""
+    """The file or a change of fractions is invalid; the message gives the reason in one line."""
 
 
-# The class docstrings below are descriptions in the published JSON schema: part of the file format.
+# The docstrings of the classes below are descriptions in the published JSON schema, which is part
+# of the file format.
 
 
 class Pool(Struct, frozen=True, forbid_unknown_fields=True):
-    """Machines that are divided; a machine is in the first pool that it fits."""
+    """Machines that partitions share; a machine belongs to the first pool that it matches."""
 
     name: Name
     zones: list[str] = []
@@ -40,7 +41,7 @@
     spot: bool | None = None
 
     def matches(self, machine_type: str, zone: str, spot: bool) -> bool:
-        """Does the pool take machines of this type, zone and price model?"""
+        """Return whether a machine of this type and zone, spot or on-demand, matches the pool."""
         return (
             (not self.zones or zone in self.zones)
             and (not self.types or machine_type in self.types)
@@ -49,37 +50,40 @@
 
 
 class Partition(Struct, frozen=True, forbid_unknown_fields=True):
-    """Teams or classes that have shares of pools together."""
+    """Teams or job classes that together have a share of each pool."""
 
     name: Name
     teams: list[str] = []
     classes: list[str] = []
     controller: str | None = None
-    """preferred owner of the partition's jobs"""
+    """Preferred owner of the partition's jobs."""
     floor: Fraction = 0.0
-    """least fraction of any pool that a change may leave it"""
+    """Minimum fraction of each pool; a change that leaves the partition less is refused."""
     fractions: dict[str, Fraction] = msgspec.field(name="shares", default_factory=dict)
-    """pool -> fraction of its machines"""
+    """Pool -> fraction of its machines."""
 
 
 class Capacity(Struct, frozen=True, forbid_unknown_fields=True):
-    """All that the file says."""
+    """Settings of capacity partitions."""
 
     pools: Annotated[list[Pool], Meta(min_length=1, max_length=16)]
     partitions: Annotated[list[Partition], Meta(min_length=1, max_length=16)]
     assign_every_s: Seconds = 1.0
-    """interval between two passes over the owners of machines"""
+    """Interval between two passes over the owners of machines."""
     lend: bool = False
-    """may surplus machines be lent to other partitions?"""
+    """Whether surplus machines may be lent to other partitions."""
     lend_after_s: Seconds = 15.0
-    """time for which machines must have been surplus before they are lent"""
+    """Time for which a partition must have had surplus machines before they are lent."""
     give_back_s: Seconds = 30.0
-    """time after which tasks with checkpoints are stopped on machines that their lender needs"""
+    """Time after which tasks with checkpoints are stopped on machines that their lender needs."""
     moves_in_flight: Annotated[int, Meta(ge=0, le=1000)] = 2
-    """most moves of replicas off machines being handed over, at a time"""
+    """Maximum number of moves under way of replicas from machines that are being handed over."""
 
     def partition_of(self, spec: wire.JobSpec) -> str | None:
-        """The partition of a job: by its class, by its team, or `rest`; None without one."""
+        """Return the partition of a job by its class, else by its team, else `rest`.
+
+        The result is None if the file has no partition `rest`.
+        """
         for partition in self.partitions:
             if spec.job_class in partition.classes:
                 return partition.name
@@ -89,28 +93,32 @@
         return REST if any(partition.name == REST for partition in self.partitions) else None
 
     def pool_of(self, machine_type: str, zone: str, spot: bool) -> str | None:
-        """The pool of a machine of this kind."""
+        """Return the first pool that a machine of this kind matches, or None."""
         for pool in self.pools:
             if pool.matches(machine_type, zone, spot):
                 return pool.name
         return None
 
     def partition(self, name: str) -> Partition:
-        """The partition of this name."""
-        return next(row for row in self.partitions if row.name == name)
+        """Return the partition with this name."""
+        return next(partition for partition in self.partitions if partition.name == name)
 
     def configured_fractions(self) -> MachineFractions:
-        """The fractions that are agreed until operators change them."""
-        return {row.name: dict(row.fractions) for row in self.partitions}
+        """Return the fractions of the file, which apply until operators change them."""
+        return {partition.name: dict(partition.fractions) for partition in self.partitions}
 
 
 def schema() -> dict[str, Any]:
-    """The JSON schema of the file, made from the types."""
+    """Return the JSON schema of the file, generated from the types."""
     return msgspec.json.schema(Capacity)
 
 
 def parse(raw: bytes, settings: Settings) -> Capacity:
-    """Check the bytes of a file against its types and the platform's settings."""
+    """Parse the content of a file, and check it against the types and the platform's settings.
+
+    Raises:
+        CapacityError: The content is invalid.
+    """
     try:
         capacity = msgspec.convert(tomllib.loads(raw.decode()), Capacity)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError, UnicodeDecodeError) as error:
@@ -121,7 +129,11 @@
 
 
 def load(path: str | Path, settings: Settings) -> Capacity:
-    """Read and check a file."""
+    """Read and check a file.
+
+    Raises:
+        CapacityError: The file cannot be read, or its content is invalid.
+    """
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
@@ -132,58 +144,70 @@
 def _check_names(capacity: Capacity, settings: Settings) -> None:
     cluster = settings.cluster
     nodes = {settings.name, *(peer.name for peer in settings.peers)}
-    _unique("pool", [pool.name for pool in capacity.pools])
-    _unique("partition", [partition.name for partition in capacity.partitions])
-    _unique("class", [name for row in capacity.partitions for name in row.classes])
-    _unique("team", [name for row in capacity.partitions for name in row.teams])
-    for place, pool in enumerate(capacity.pools):
-        _known(f"$.pools[{place}].zones", "zone", pool.zones, cluster.zones)
-    classes = {row.job_class for row in cluster.objectives if row.job_class}
-    for place, partition in enumerate(capacity.partitions):
-        where = f"$.partitions[{place}]"
-        _known(f"{where}.teams", "team", partition.teams, {team.name for team in cluster.teams})
+    _check_unique("pool", [pool.name for pool in capacity.pools])
+    _check_unique("partition", [partition.name for partition in capacity.partitions])
+    _check_unique(
+        "class", [name for partition in capacity.partitions for name in partition.classes]
+    )
+    _check_unique("team", [name for partition in capacity.partitions for name in partition.teams])
+    for index, pool in enumerate(capacity.pools):
+        _check_known(f"$.pools[{index}].zones", "zone", pool.zones, cluster.zones)
+    classes = {objective.job_class for objective in cluster.objectives if objective.job_class}
+    for index, partition in enumerate(capacity.partitions):
+        field_path = f"$.partitions[{index}]"
+        _check_known(
+            f"{field_path}.teams", "team", partition.teams, {team.name for team in cluster.teams}
+        )
         if classes:
-            _known(f"{where}.classes", "class", partition.classes, classes)
+            _check_known(f"{field_path}.classes", "class", partition.classes, classes)
         if partition.controller is not None:
-            _known(f"{where}.controller", "controller", [partition.controller], nodes)
+            _check_known(f"{field_path}.controller", "controller", [partition.controller], nodes)
         if partition.name != REST and not (partition.teams or partition.classes):
-            raise CapacityError(f"teams or classes are needed - at `{where}`")
+            raise CapacityError(f"teams or classes are needed - at `{field_path}`")
     if math.fsum(partition.floor for partition in capacity.partitions) > 1 + 1e-9:
         raise CapacityError("the floors together are above the whole - at `$.partitions`")
 
 
-def _known(where: str, kind: str, names: Iterable[str], known: Iterable[str]) -> None:
+def _check_known(field_path: str, kind: str, names: Iterable[str], known: Iterable[str]) -> None:
+    """Check that all names are known; `field_path` is the path of the field in the file."""
     listed = sorted(known)
     for name in names:
         if name not in listed:
             text = f"unknown {kind} {name!r}; known are {', '.join(listed) or 'none'}"
-            raise CapacityError(f"{text} - at `{where}`")
+            raise CapacityError(f"{text} - at `{field_path}`")
 
 
-def _unique(kind: str, names: list[str]) -> None:
+def _check_unique(kind: str, names: list[str]) -> None:
+    """Check that no name is repeated."""
     for name in names:
         if names.count(name) > 1:
             raise CapacityError(f"{kind} {name!r} is named {names.count(name)} times")
 
 
 def check_fractions(capacity: Capacity, fractions: MachineFractions) -> None:
-    """Check fractions, of the file or of a change; raises CapacityError, naming the field."""
+    """Check the fractions of the file or of a change.
+
+    Raises:
+        CapacityError: A fraction is invalid; the message names its field.
+    """
     pools = {pool.name for pool in capacity.pools}
     partitions = {partition.name: partition for partition in capacity.partitions}
     for name, by_pool in fractions.items():
-        _known("$.shares", "partition", [name], partitions)
-        _known(f"$.shares.{name}", "pool", by_pool, pools)
+        _check_known("$.shares", "partition", [name], partitions)
+        _check_known(f"$.shares.{name}", "pool", by_pool, pools)
         for pool, fraction in by_pool.items():
-            where = f"$.shares.{name}.{pool}"
+            field_path = f"$.shares.{name}.{pool}"
             if isinstance(fraction, bool) or not isinstance(fraction, int | float):
-                raise CapacityError(f"a number is needed - at `{where}`")
+                raise CapacityError(f"a number is needed - at `{field_path}`")
             if not 0 <= fraction <= 1:
-                raise CapacityError(f"allowed are 0 to 1 - at `{where}`")
+                raise CapacityError(f"allowed are 0 to 1 - at `{field_path}`")
     for pool in sorted(pools):
-        _check_pool(pool, partitions, fractions)
+        _check_pool_fractions(pool, partitions, fractions)
 
 
-def _check_pool(pool: str, partitions: dict[str, Partition], fractions: MachineFractions) -> None:
+def _check_pool_fractions(
+    pool: str, partitions: dict[str, Partition], fractions: MachineFractions
+) -> None:
     total = math.fsum(fractions.get(name, {}).get(pool, 0.0) for name in partitions)
     if abs(total - 1) > 1e-6:
         raise CapacityError(f"the shares of pool {pool!r} add up to {total:g}, not to 1")
