--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -141,6 +141,13 @@
     "test_capacity_is_counted_anew_where_a_step_cannot_be_written_now": (
         "test_the_capacity_of_machines_is_recomputed_if_a_step_cannot_be_written"
     ),
+    # capacity
+    "test_tasks_with_checkpoints_are_stopped_from_the_deadline_of_the_change_on": (
+        "test_tasks_with_checkpoints_are_stopped_once_the_deadline_of_the_change_has_passed"
+    ),
+    "test_a_lender_gets_its_machine_back_after_the_time_that_the_file_names": (
+        "test_tasks_on_a_returned_machine_are_stopped_after_the_configured_time"
+    ),
 }
 """name of a test -> its later name"""
 
--- a/tests/unit/capacity/test_drains.py
+++ b/tests/unit/capacity/test_drains.py
@@ -1,4 +1,4 @@
-"""Machines being handed over: tasks with checkpoints are stopped only when that is due."""
+"""Drains: tasks with checkpoints are stopped only after a deadline, and other tasks never."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 GIVE_BACK_S = 30.0
 
 
-class Parts:
-    """A machine that is being handed over, with one task of this controller's job on it."""
+class DrainerFixture:
+    """A drainer, and a machine being handed over with one task of an own job on it."""
 
     def __init__(self, checkpoint_s: float = 5.0, stop_at: float | None = None) -> None:
         self.runtime = Runtime(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1))
@@ -55,27 +55,27 @@
         )
 
 
-def test_tasks_with_checkpoints_are_stopped_from_the_deadline_of_the_change_on() -> None:
-    parts = Parts(stop_at=1010.0)
-    parts.drainer.drain_own_jobs()
-    assert parts.stopped == []
-    parts.runtime.wall_time = 1010.0
-    parts.drainer.drain_own_jobs()
-    assert parts.stopped == [(parts.job.id, MACHINE, {0})]
+def test_tasks_with_checkpoints_are_stopped_once_the_deadline_of_the_change_has_passed() -> None:
+    fixture = DrainerFixture(stop_at=1010.0)
+    fixture.drainer.drain_own_jobs()
+    assert fixture.stopped == []
+    fixture.runtime.wall_time = 1010.0
+    fixture.drainer.drain_own_jobs()
+    assert fixture.stopped == [(fixture.job.id, MACHINE, {0})]
 
 
 def test_without_deadline_or_checkpoints_no_task_is_stopped() -> None:
-    for parts in (Parts(), Parts(checkpoint_s=0.0, stop_at=10.0)):
-        parts.drainer.drain_own_jobs()
-        assert parts.stopped == []
+    for fixture in (DrainerFixture(), DrainerFixture(checkpoint_s=0.0, stop_at=10.0)):
+        fixture.drainer.drain_own_jobs()
+        assert fixture.stopped == []
 
 
-def test_a_lender_gets_its_machine_back_after_the_time_that_the_file_names() -> None:
-    parts = Parts()
-    parts.drainer.drain_as_leader(GIVE_BACK_S, max_moves=0)
-    parts.runtime.now += GIVE_BACK_S - 1.0
-    parts.drainer.drain_as_leader(GIVE_BACK_S, max_moves=0)
-    assert parts.stopped == []
-    parts.runtime.now += 1.0
-    parts.drainer.drain_as_leader(GIVE_BACK_S, max_moves=0)
-    assert parts.stopped == [(parts.job.id, MACHINE, {0})]
+def test_tasks_on_a_returned_machine_are_stopped_after_the_configured_time() -> None:
+    fixture = DrainerFixture()
+    fixture.drainer.drain_as_leader(GIVE_BACK_S, max_moves=0)
+    fixture.runtime.now += GIVE_BACK_S - 1.0
+    fixture.drainer.drain_as_leader(GIVE_BACK_S, max_moves=0)
+    assert fixture.stopped == []
+    fixture.runtime.now += 1.0
+    fixture.drainer.drain_as_leader(GIVE_BACK_S, max_moves=0)
+    assert fixture.stopped == [(fixture.job.id, MACHINE, {0})]
--- a/tests/unit/capacity/test_partition_map.py
+++ b/tests/unit/capacity/test_partition_map.py
@@ -1,4 +1,4 @@
-"""Owners of machines decide which jobs they admit, and steps depend on the ownership records."""
+"""Machines admit only jobs of the owning partition, and steps depend on ownership records."""
 
 from __future__ import annotations
 
@@ -28,10 +28,13 @@
 WORKER: Any = SimpleNamespace(id=MACHINE, report=SimpleNamespace(type="h4", zone="a", spot=False))
 
 
-def partitions(
+def partition_map(
     ownership: Ownership | None, settings: Capacity | None = SETTINGS, view_version: int = 9
 ) -> PartitionMap:
-    """The format was raised with version 8; `ownership` is that of the one machine."""
+    """Build a partition map whose replica has one machine, `MACHINE`, with this ownership.
+
+    The record format was raised by the write with version 8.
+    """
     replica = Replica()
     replica.record_format = Versioned(constants.CAPACITY_FORMAT, 8)
     replica.view = View(3, {"n0": "x"}, "n0", version=view_version)
@@ -47,39 +50,40 @@
     return PartitionMap(replica, index, settings)
 
 
-def admits(found: PartitionMap) -> bool:
-    admission = found.admission_of(WORKER)
+def admits(partitions: PartitionMap) -> bool:
+    """Return whether `MACHINE` admits a job of the partition `first`."""
+    admission = partitions.admission_of(WORKER)
     assert admission is not None
     return admission.admits(spec())
 
 
 def test_a_machine_admits_only_jobs_of_its_owner() -> None:
-    assert admits(partitions(Ownership("first")))
-    assert not admits(partitions(Ownership("rest")))
+    assert admits(partition_map(Ownership("first")))
+    assert not admits(partition_map(Ownership("rest")))
 
 
 def test_a_machine_without_owner_or_being_handed_over_admits_no_job() -> None:
-    assert not admits(partitions(None))
-    handed_over = partitions(Ownership("first", is_being_handed_over=True))
+    assert not admits(partition_map(None))
+    handed_over = partition_map(Ownership("first", is_being_handed_over=True))
     assert not admits(handed_over)
     assert handed_over.is_being_handed_over(MACHINE)
 
 
 def test_a_machine_reserved_for_replicas_admits_no_batch_job() -> None:
-    found = partitions(Ownership("first"))
-    found.reserved_for_replicas["first"] = MACHINE
-    assert not spec().service and not admits(found)
+    partitions = partition_map(Ownership("first"))
+    partitions.reserved_for_replicas["first"] = MACHINE
+    assert not spec().service and not admits(partitions)
 
 
 def test_without_settings_or_before_a_newer_view_every_job_is_admitted() -> None:
     reservations = [StepReservation(MACHINE, spec(), 1)]
-    for found in (
-        partitions(Ownership("rest"), settings=None),
-        partitions(Ownership("rest"), view_version=8),
+    for partitions in (
+        partition_map(Ownership("rest"), settings=None),
+        partition_map(Ownership("rest"), view_version=8),
     ):
-        assert not found.is_in_force()
-        assert found.admission_of(WORKER) is None
-        assert found.conditions(reservations) == {}
+        assert not partitions.is_in_force()
+        assert partitions.admission_of(WORKER) is None
+        assert partitions.conditions(reservations) == {}
 
 
 def test_a_step_depends_on_the_ownership_records_of_its_machines_in_pools() -> None:
@@ -88,9 +92,9 @@
         StepReservation("other", spec(), 1),
     ]
     key = f"{OWNERSHIP_PREFIX}{bucket_of(MACHINE)}"
-    assert partitions(Ownership("first")).conditions(reservations) == {key: 7}
+    assert partition_map(Ownership("first")).conditions(reservations) == {key: 7}
 
 
 def test_target_machines_follow_the_fractions_of_the_file_until_others_are_agreed() -> None:
-    found = partitions(None)
-    assert found.target_machines("all", 8) == {"first": 2, "rest": 6}
+    partitions = partition_map(None)
+    assert partitions.target_machines("all", 8) == {"first": 2, "rest": 6}
