--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -190,13 +190,13 @@
 
 
 def test_only_what_was_spare_for_a_while_is_lent() -> None:
-    lenders = SurplusTracker(15.0)
+    tracker = SurplusTracker(15.0)
     target = {"a": 4, "b": 4}
-    assert lenders.update(0.0, target, {"a": 1, "b": 9}) == set()
-    assert lenders.update(10.0, target, {"a": 4, "b": 9}) == set()
-    assert lenders.update(14.0, target, {"a": 1, "b": 9}) == set(), "busy again meanwhile"
-    assert lenders.update(28.0, target, {"a": 1, "b": 9}) == set()
-    assert lenders.update(30.0, target, {"a": 1, "b": 9}) == {"a"}
+    assert tracker.update(0.0, target, {"a": 1, "b": 9}) == set()
+    assert tracker.update(10.0, target, {"a": 4, "b": 9}) == set()
+    assert tracker.update(14.0, target, {"a": 1, "b": 9}) == set(), "busy again meanwhile"
+    assert tracker.update(28.0, target, {"a": 1, "b": 9}) == set()
+    assert tracker.update(30.0, target, {"a": 1, "b": 9}) == {"a"}
 
 
 # --- drawn histories ---------------------------------------------------------
