--- a/appledock/core/rebalancing/summary.py
+++ b/appledock/core/rebalancing/summary.py
@@ -21,7 +21,11 @@
             for move in moves.requested.values()
         ],
         "ended": [
-            {**_order_row(move.order), "at": round(move.ended_at, 1), "outcome": move.outcome}
+            {
+                **_order_row(move.order),
+                "at": round(move.ended_wall_time, 1),
+                "outcome": move.outcome,
+            }
             for move in moves.ended
         ],
         "outcomes": dict(moves.outcomes),
@@ -64,7 +68,7 @@
     rows = []
     for team, mean in sorted(mean_loads.teams.items()):
         most, machine, tasks = max(
-            (machine.load.of(team), name, machine.load.counts.get(team, 0))
+            (machine.load.of_team(team), name, machine.load.task_counts.get(team, 0))
             for name, machine in capacity_index.machines.items()
             if machine.load is not None
         )
