--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -136,8 +136,8 @@
     def _reserve_for_replicas(self) -> None:
         """Reserve one machine of each partition that has replicas to move, for these replicas.
 
-        Without the reservation, batch tasks of the partition would take all capacity that becomes
-        free on its other machines, and the replicas would never leave the machines that are being
+        Without the reservation, arrays of the partition would take all capacity that becomes free
+        on its other machines, and the replicas would never leave the machines that are being
         handed over.
         """
         reserved = self._partitions.reserved_for_replicas
@@ -184,7 +184,7 @@
         )
 
     def _may_have_free_capacity(self, machine: str) -> bool:
-        """Return whether the machine has free capacity, or batch tasks that will free some."""
+        """Return whether the machine has free capacity, or tasks of arrays that will free some."""
         return machine in self._capacity_index.with_free_capacity or any(
             not self._replica.jobs[job_id].spec.service
             for job_id in self._replica.attempts_by_machine.get(machine, {})
