--- a/appledock/core/api/__init__.py
+++ b/appledock/core/api/__init__.py
@@ -1,1 +1,1 @@
-"""Requests of users, operators and the console, answered from the cached state."""
+"""Answers requests of users, operators and consoles from this controller's replica."""
--- a/appledock/core/api/admin.py
+++ b/appledock/core/api/admin.py
@@ -1,6 +1,7 @@
-"""The administration API: what operators and consoles see and change.
+"""Administration API, with which operators and consoles read and change the cluster's state.
 
-Every controller answers from its replica. Paths and JSON keys are a contract with operators.
+Every controller answers from its own replica of the key-value store. Operators' tools rely on the
+paths and JSON keys, so these must not change.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
 LOG_LEVELS = ("error", "info", "debug")
 
 BodyReader = Callable[[], object]
-"""reads the JSON body that a `GET` answers"""
+"""Returns the JSON body of the answer to a `GET` request."""
 
 
 class AdminApi:
-    """Hands each request to its handler."""
+    """Dispatches each request to the handler of its route."""
 
     def __init__(
         self,
@@ -52,8 +53,8 @@
         self._capacity = capacity
         self._routes = RouteTable(
             [
-                *(route("GET", path, self._reading(read)) for path, read in readers.items()),
-                route("GET", "settings", self._reading(settings.read)),
+                *(route("GET", path, self._read_handler(read)) for path, read in readers.items()),
+                route("GET", "settings", self._read_handler(settings.read)),
                 route("PATCH", "settings", lambda request, _: settings.change(request)),
                 route("GET", "changes/{incarnation}/{version}/{limit}", self._read_changes),
                 *(self._capacity_route(action) for action in CapacityAction),
@@ -63,7 +64,11 @@
         )
 
     def handle(self, request: AdminRequest) -> None:
-        """Answer a request; 404 without a route, 405 if its path has only other methods."""
+        """Answer a request.
+
+        The status is 404 if the request has no route, and 405 if its path consists of one segment
+        and exists with other methods only.
+        """
         try:
             handler, parameters = self._routes.find(request.method, request.path)
         except MethodNotAllowedError:
@@ -74,7 +79,7 @@
             handler(request, parameters)
 
     # --- handlers ---------------------------------------------------------
-    def _reading(self, read: BodyReader) -> Handler:
+    def _read_handler(self, read: BodyReader) -> Handler:
         return lambda request, _: self._responder.answer(request, read())
 
     def _capacity_route(self, action: CapacityAction) -> Route:
@@ -85,7 +90,11 @@
         )
 
     def _read_changes(self, request: AdminRequest, parameters: Parameters) -> None:
-        """Answer what has changed on a console's screen since a version of an incarnation."""
+        """Answer with the console rows that changed after the version that a console has.
+
+        Each controller process counts versions of its own, so a console sends the incarnation
+        along with the version.
+        """
         incarnation, version, limit = parameters
         rows_max = constants.CONSOLE_ROWS_MAX
         if not version.isdecimal() or not limit.isdecimal() or not 1 <= int(limit) <= rows_max:
--- a/appledock/core/api/admin_readers.py
+++ b/appledock/core/api/admin_readers.py
@@ -1,6 +1,7 @@
-"""What operators read: the cluster, jobs, machines and teams as this controller's replica has them.
+"""Readers of the cluster, its jobs, machines and teams for `GET` requests of operators.
 
-The bodies' keys are part of the administration API.
+The values come from this controller's replica. The keys of the returned objects are part of the
+administration API.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 class StatusReader:
     """Reads the state of the cluster and of this controller."""
 
-    def __init__(  # noqa: PLR0913 -- the status shows something of every part
+    def __init__(  # noqa: PLR0913 -- the status covers every component
         self,
         *,
         runtime: Runtime,
@@ -51,7 +52,7 @@
         self._booting_machines = booting_machines
 
     def read(self) -> JsonObject:
-        """The cluster as this controller sees it."""
+        """Return the status of the cluster as this controller sees it."""
         replica = self._replica
         is_leader = self._membership.is_leader()
         return {
@@ -85,7 +86,7 @@
 
 
 class JobReader:
-    """Reads the open jobs, and what they wait for."""
+    """Reads the open jobs and the reasons for which they wait."""
 
     def __init__(self, replica: Replica, workers: Workers, reconcile_queue: ReconcileQueue) -> None:
         self._replica = replica
@@ -93,7 +94,7 @@
         self._reconcile_queue = reconcile_queue
 
     def read_all(self) -> list[JsonObject]:
-        """One row for each open job, in the order of their ids."""
+        """Return one row for each open job, in the order of job ids."""
         return [self._read_job(job) for _, job in sorted(self._replica.jobs.items())]
 
     def _read_job(self, job: Job) -> JsonObject:
@@ -118,20 +119,20 @@
         }
 
     def _pending_reason(self, job: Job) -> str | None:
-        """Why the job does not start; None: it does not wait."""
+        """Return why the job waits; None if it does not wait."""
         dependencies = self._replica.dependencies
         if job.id in dependencies.cancelled_by_dependency:
             return "its end: a job that it needs is cancelled"
         if job.id in dependencies.waiting_jobs:
-            is_any_unread = any(
+            has_unknown_outcome = any(
                 prerequisite in dependencies.unknown_outcomes
                 for prerequisite in dependencies.unfinished_prerequisites(job.id)
             )
-            return "jobs that it needs" + (", some not read yet" if is_any_unread else "")
+            return "jobs that it needs" + (", some not read yet" if has_unknown_outcome else "")
         return self._reconcile_queue.pending_reasons.get(job.id)
 
     def _read_attempt(self, job: Job, attempt: Attempt) -> JsonObject:
-        """An attempt that is not settled, and what its settlement waits for."""
+        """Return a row for an unsettled attempt, with its state as known from heartbeats."""
         return {
             "machine": attempt.machine,
             "session": attempt.agent_epoch,
@@ -167,7 +168,7 @@
         self._capacity_index = capacity_index
 
     def read_all(self) -> list[JsonObject]:
-        """One row for each machine, in the order of their names."""
+        """Return one row for each machine, in the order of machine names."""
         if self._replica.view:
             self._capacity_index.recompute()
         return [
@@ -196,7 +197,7 @@
 
 
 class TeamReader:
-    """Reads what the teams hold of their guarantees and limits."""
+    """Reads the resources that teams hold, with their guarantees and limits."""
 
     def __init__(self, runtime: Runtime, replica: Replica, quota_usage: QuotaUsage) -> None:
         self._runtime = runtime
@@ -204,7 +205,7 @@
         self._quota_usage = quota_usage
 
     def read_all(self) -> list[JsonObject]:
-        """One row for each team, in the order of their names."""
+        """Return one row for each team, in the order of team names."""
         return [self._read_team(name) for name in sorted(self._runtime.teams)]
 
     def _read_team(self, name: str) -> JsonObject:
--- a/appledock/core/api/admin_responses.py
+++ b/appledock/core/api/admin_responses.py
@@ -18,10 +18,10 @@
         self._emit = emit
 
     def answer(self, request: AdminRequest, body: object, status: int = 200) -> None:
-        """Answer with a JSON body; with 503 the client is told when to try again."""
+        """Answer with a JSON body; with status 503, `Retry-After` says when to try again."""
         headers = {"Retry-After": str(constants.RETRY_AFTER_S)} if status == 503 else None
         self._emit(Response(request.request_id, status, body, headers))
 
     def refuse(self, request: AdminRequest, status: int, error: str) -> None:
-        """Answer with an error; its text says what was wrong and what is allowed."""
+        """Answer with an error, whose text says what is wrong and what is allowed."""
         self.answer(request, {"error": error}, status)
--- a/appledock/core/api/admin_routes.py
+++ b/appledock/core/api/admin_routes.py
@@ -1,4 +1,4 @@
-"""Routes of the administration API: method and path pattern, each with its handler."""
+"""Routes of the administration API, each a method and a path pattern with a handler."""
 
 from __future__ import annotations
 
@@ -8,43 +8,48 @@
 from appledock.core.commands import AdminRequest
 
 Parameters = Sequence[str]
-"""segments of the path that stand at the pattern's parameters, in their order"""
+"""Segments of the path that match the pattern's parameters, in the order of the path."""
 Handler = Callable[[AdminRequest, Parameters], None]
+"""Answers a request, given the parameters in its path."""
 
 
 class Route(NamedTuple):
-    """A method and a path, and what handles them."""
+    """A method and a path pattern, with the handler of their requests."""
 
     method: str
     pattern: tuple[str, ...]
-    """the path's segments; one in braces is a parameter"""
+    """Segments of the path; a segment in braces is a parameter."""
     handler: Handler
 
 
 class RouteNotFoundError(LookupError):
-    """No route has the path."""
+    """No route matches the request."""
 
 
 class MethodNotAllowedError(LookupError):
-    """The path exists, but not with this method."""
+    """The path exists, but only with other methods."""
 
 
 def route(method: str, path: str, handler: Handler) -> Route:
-    """A route from a path such as `machines/{name}/drain`."""
+    """Return the route for a path pattern such as `machines/{name}/drain`."""
     return Route(method, tuple(path.split("/")), handler)
 
 
 class RouteTable:
-    """Finds the route of a request."""
+    """Finds the handler of a request by its method and path."""
 
     def __init__(self, routes: Sequence[Route]) -> None:
         self._routes = tuple(routes)
 
     def find(self, method: str, path: tuple[str, ...]) -> tuple[Handler, Parameters]:
-        """The handler of the request, and the parameters in its path.
+        """Return the handler of the request and the parameters in its path.
 
-        Raises RouteNotFoundError, or MethodNotAllowedError, which is told apart for paths of one
-        segment only: that is how the API has always answered.
+        Only paths of one segment distinguish a wrong method from a path that does not exist. This
+        keeps the API's answers as they have always been.
+
+        Raises:
+            MethodNotAllowedError: the path has one segment and exists with other methods only.
+            RouteNotFoundError: the request has no route for any other reason.
         """
         for candidate in self._routes:
             parameters = _match(candidate.pattern, path)
@@ -56,7 +61,7 @@
 
 
 def _match(pattern: tuple[str, ...], path: tuple[str, ...]) -> list[str] | None:
-    """The path's parameters; None: the path is not of this pattern."""
+    """Return the path's parameters; None if the path does not match the pattern."""
     if len(pattern) != len(path):
         return None
     parameters: list[str] = []
--- a/appledock/core/api/capacity_api.py
+++ b/appledock/core/api/capacity_api.py
@@ -1,4 +1,4 @@
-"""Operators' changes of the agreed fractions of machines: proposed, applied, withdrawn."""
+"""Operators' changes of the agreed fractions of machines: propose, apply and withdraw."""
 
 from __future__ import annotations
 
@@ -37,35 +37,36 @@
 
 
 class CapacityAction(enum.StrEnum):
-    """What is asked for; the values are the last segments of the paths."""
+    """A requested action; its value is the last segment of the request's path."""
 
     PROPOSE = "propose"
-    """a dry run"""
+    """Dry run: forecasts the effects of a change."""
     APPLY = "apply"
     WITHDRAW = "withdraw"
 
 
 @dataclass(frozen=True, slots=True)
 class FractionChange:
-    """A checked request for new fractions."""
+    """A validated request for new fractions."""
 
     request_id: str
     expected_version: int | None
-    """version that the agreed fractions must have; None: any"""
+    """Version that the agreed fractions must have before the change; None: any version."""
     fractions: MachineFractions
     deadline_s: float | None
-    """after so long, tasks with checkpoints are stopped for the change; None: never"""
+    """Seconds after which tasks with checkpoints may be stopped for the change; None: never."""
 
 
 class InvalidChangeError(ValueError):
-    """A request that cannot be carried out; the text names the field."""
+    """A request that cannot be carried out; the message says what is wrong."""
 
 
 class PartitionSharesApi:
-    """Changes the one record of the agreed fractions, by conditional transactions only.
+    """Changes the single record of the agreed fractions with conditional transactions.
 
-    Each request gets one response: 200, 400 (invalid), 404 (disabled), 409 (another version) or
-    503 (no answer of the store). A request id that is in the record already has no further effect.
+    Each request gets one response: 200, 400 (invalid), 404 (capacity shares are disabled), 409
+    (another version is stored) or 503 (no answer from the store). A request whose id is already in
+    the record is answered with 200 and has no further effect.
     """
 
     def __init__(
@@ -88,7 +89,7 @@
         self._summary = summary
 
     def handle(self, request: AdminRequest, action: str) -> None:
-        """Carry out a request; `action` is a value of `CapacityAction`."""
+        """Carry out and answer a request; `action` is a value of `CapacityAction`."""
         settings = self._partitions.settings
         if settings is None:
             self._respond(request, {"error": "capacity shares are off"}, 404)
@@ -120,33 +121,43 @@
 
     # --- parsing ------------------------------------------------------------
     def _parse_change(self, body: Any, settings: Capacity) -> FractionChange:
-        """The agreed fractions with those of the request in their place."""
+        """Return the agreed fractions updated with those of the request.
+
+        Raises:
+            InvalidChangeError or CapacityError: the request is invalid.
+        """
         if not isinstance(body, dict):
             raise InvalidChangeError("an object is needed")
-        given = body.get("shares")
-        if not isinstance(given, dict) or not all(isinstance(x, dict) for x in given.values()):
+        requested = body.get("shares")
+        if not isinstance(requested, dict) or not all(
+            isinstance(by_pool, dict) for by_pool in requested.values()
+        ):
             raise InvalidChangeError(
                 "shares: an object of objects is needed, partition to pool to share"
             )
         agreed = self._partitions.agreed_fractions()
         fractions = {name: dict(by_pool) for name, by_pool in agreed.items()}
-        for name, by_pool in given.items():
+        for name, by_pool in requested.items():
             fractions.setdefault(name, {}).update(by_pool)
         check_fractions(settings, fractions)
-        return FractionChange(*_parse_identity(body), fractions, _parse_deadline(body))
+        return FractionChange(*_parse_id_and_version(body), fractions, _parse_deadline(body))
 
     def _parse_withdrawal(self, body: Any) -> FractionChange:
-        """The fractions of before the last change, as a change of its own."""
+        """Return a change back to the fractions before the last change.
+
+        Raises:
+            InvalidChangeError: the request is invalid, or there was no change.
+        """
         if not isinstance(body, dict):
             raise InvalidChangeError("an object is needed")
         agreed = self._replica.capacity.agreed_fractions
         if agreed is None:
             raise InvalidChangeError("nothing was changed that could be withdrawn")
-        return FractionChange(*_parse_identity(body), agreed.previous_fractions, None)
+        return FractionChange(*_parse_id_and_version(body), agreed.previous_fractions, None)
 
     # --- dry run ------------------------------------------------------------
     def _forecast(self, fractions: MachineFractions, settings: Capacity) -> dict[str, Any]:
-        """What a change would drain, and for how long by the estimates."""
+        """Return which machines a change would drain, and the estimated time for this."""
         return {
             "shares": fractions,
             "pools": {
@@ -204,7 +215,7 @@
         return self._replica.capacity.version(AGREED_FRACTIONS_KEY)
 
     def _read_and_respond(self, request: AdminRequest, change: FractionChange) -> None:
-        """Another change came first, or the outcome of this one is unknown: read the record."""
+        """Read the record and respond, after a conflict or a write whose outcome is unknown."""
 
         def on_read() -> None:
             if self._is_applied(change):
@@ -217,7 +228,7 @@
         )
 
     def _respond_conflict(self, request: AdminRequest, change: FractionChange) -> None:
-        """Give the present version, and where it differs from what was asked for."""
+        """Respond with the present version and the fractions that differ from the request."""
         present = self._partitions.agreed_fractions()
         differences = {
             f"{name}.{pool}": {"present": present.get(name, {}).get(pool, 0.0), "asked": fraction}
@@ -233,12 +244,12 @@
         self._respond(request, body, 409)
 
 
-def _parse_identity(body: dict[str, Any]) -> tuple[str, int | None]:
-    """Request id and expected version."""
+def _parse_id_and_version(body: dict[str, Any]) -> tuple[str, int | None]:
+    """Return the request id and the expected version."""
     request_id, version = body.get("request"), body.get("version")
-    longest = constants.REQUEST_ID_LENGTH_MAX
-    if not isinstance(request_id, str) or not 1 <= len(request_id) <= longest:
-        raise InvalidChangeError(f"request: a text of 1 to {longest} characters is needed")
+    max_length = constants.REQUEST_ID_LENGTH_MAX
+    if not isinstance(request_id, str) or not 1 <= len(request_id) <= max_length:
+        raise InvalidChangeError(f"request: a text of 1 to {max_length} characters is needed")
     if version is not None and (isinstance(version, bool) or not isinstance(version, int)):
         raise InvalidChangeError("version: an integer is needed")
     return request_id, version
@@ -256,7 +267,7 @@
 
 
 def _forecast_partition(name: str, target: int, uses: list[MachineUse]) -> dict[str, Any]:
-    """What one partition would give up; the machines that drain fastest go first."""
+    """Return what one partition would give up; the machines that drain fastest go first."""
     owned = sorted(
         (use for use in uses if use.ownership is not None and use.ownership.partition == name),
         key=lambda use: (use.drain_s, use.name),
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -1,4 +1,4 @@
-"""Console feed: the rows that consoles show, and what has changed in them."""
+"""Feed of the consoles: rows of the cluster's state, and the changes in them."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 
 
 class ConsoleFeed:
-    """Rows of the cluster's state, read when a console asks and not otherwise."""
+    """Builds the rows that consoles show, only when a console requests them."""
 
-    def __init__(  # noqa: PLR0913 -- a console shows something of every part
+    def __init__(  # noqa: PLR0913 -- consoles show the state of every component
         self,
         *,
         runtime: Runtime,
@@ -59,12 +59,12 @@
         self._changes = RowChanges(runtime.incarnation)
 
     def changes_since(self, incarnation: str, version: int, limit: int) -> Changes:
-        """What has changed since a version that a console knows, at most `limit` rows of it."""
+        """Return the changes after the version that a console has, at most `limit` rows."""
         self._changes.update(self._read_rows())
         return self._changes.since(incarnation, version, limit)
 
     def _read_rows(self) -> dict[str, Row]:
-        """All rows by name; those that a console shows first come first."""
+        """Return all rows by key; the rows that a console shows first come first."""
         view = self._replica.view
         if view is None:
             return {"cluster/": self._read_cluster()}
@@ -103,28 +103,28 @@
 
     def _read_controllers(self, view: View) -> dict[str, Row]:
         settings = self._runtime.settings
-        owned = Counter(self._replica.owner_of(name) for name in self._workers.table)
+        worker_counts = Counter(self._replica.owner_of(name) for name in self._workers.table)
         names = [settings.name, *(peer.name for peer in settings.peers)]
         return {
             f"controller/{name}": ControllerRow(
-                role=_role(name, view),
+                role=_controller_role(name, view),
                 reached=self._heartbeats.is_reachable(name),
-                workers=owned[name],
+                workers=worker_counts[name],
             )
             for name in sorted(names)
         }
 
     def _read_teams(self) -> dict[str, Row]:
-        bounds = {row["name"]: row for row in self._rebalancer.teams()}
+        summaries = {row["name"]: row for row in self._rebalancer.teams()}
         rows: dict[str, Row] = {}
         for name, team in sorted(self._runtime.teams.items()):
-            bound = bounds.get(name)
+            summary = summaries.get(name)
             rows[f"team/{name}"] = TeamRow(
                 cpus=round(self._quota_usage.held_by_team(name).cpus, 2),
                 cpus_max=team.cpus_max,
-                most=round(bound["most"], 2) if bound else 0.0,
-                machine=bound["machine"] if bound else "",
-                within=bound["within"] if bound else True,
+                most=round(summary["most"], 2) if summary else 0.0,
+                machine=summary["machine"] if summary else "",
+                within=summary["within"] if summary else True,
             )
         return rows
 
@@ -150,7 +150,7 @@
         }
 
     def _read_placeable_workers(self) -> dict[str, Row]:
-        """Workers that take steps, the fullest first."""
+        """Return the workers on which steps may be placed, the most loaded first."""
         machines = self._capacity_index.machines.values()
         by_load = sorted(machines, key=lambda capacity: (-_load(capacity), capacity.name))
         return {f"worker/{capacity.name}": self._read_placeable(capacity) for capacity in by_load}
@@ -166,19 +166,22 @@
         )
 
     def _read_other_workers(self) -> dict[str, Row]:
-        """Workers that have reported and take no steps."""
+        """Return the workers that have reported but on which no steps may be placed."""
         names = self._workers.table.keys() - self._capacity_index.machines.keys()
         workers = [self._workers.table[name] for name in sorted(names)]
         return {
             f"worker/{worker.id}": WorkerRow(
-                owner=self._replica.owner_of(worker.id), load=0.0, teams="", note=_note(worker)
+                owner=self._replica.owner_of(worker.id),
+                load=0.0,
+                teams="",
+                note=_worker_note(worker),
             )
             for worker in workers
             if worker.report is not None
         }
 
 
-def _role(controller: str, view: View) -> str:
+def _controller_role(controller: str, view: View) -> str:
     if controller == view.leader:
         return "leader"
     if controller in view.detached:
@@ -186,13 +189,13 @@
     return "member" if controller in view.members else "not in the view"
 
 
-def _note(worker: Worker) -> str:
+def _worker_note(worker: Worker) -> str:
     reason = worker.placement.cordon_reason
     return f"cordoned: {reason}" if reason else "takes no steps"
 
 
 def _load(capacity: MachineCapacity) -> float:
-    """Committed part of the machine; where load is not balanced, that of its CPUs."""
+    """Return the committed share of the machine; that of its CPUs if load is not tracked."""
     if capacity.load is not None:
         return capacity.load.total
     cpus = capacity.type.cpus
--- a/appledock/core/api/machine_actions.py
+++ b/appledock/core/api/machine_actions.py
@@ -1,4 +1,4 @@
-"""What operators do with single machines: cordon, uncordon, drain."""
+"""Operators' actions on single machines: cordon, uncordon and drain."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MachineAction(enum.StrEnum):
-    """The last segment of the request's path."""
+    """An action on a machine; its value is the last segment of the request's path."""
 
     CORDON = "cordon"
     UNCORDON = "uncordon"
@@ -20,7 +20,7 @@
 
 
 class MachineActions:
-    """Carries out the actions of operators on machines."""
+    """Carries out operators' actions on machines."""
 
     def __init__(
         self,
@@ -35,7 +35,11 @@
         self._apply_operator_action = apply_operator_action
 
     def carry_out(self, request: AdminRequest, machine: str, action: MachineAction) -> None:
-        """Act and answer with the machine's cordon; 404 unless its worker has reported."""
+        """Carry out the action and answer with the reason for which the machine is now cordoned.
+
+        The status is 404 if no worker of this name has reported, and 503 if this controller has no
+        authority.
+        """
         worker = self._workers.table.get(machine)
         if worker is None or worker.report is None:
             self._responder.refuse(request, 404, f"no such machine: {machine}")
--- a/appledock/core/api/settings_api.py
+++ b/appledock/core/api/settings_api.py
@@ -1,6 +1,6 @@
-"""Operators' settings: read, and changed by conditional transactions.
+"""Operators' settings: reads, and changes with conditional transactions.
 
-A change takes effect on the other controllers as soon as their watch shows it.
+Other controllers apply a change as soon as their watch of the store delivers it.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 
 class MalformedChangeError(ValueError):
-    """The request is no change of settings; the text names the field and what it needs."""
+    """A malformed request for a change; the message names the field and what it must contain."""
 
 
 class SettingsApi:
-    """Answers what the settings are, and changes them."""
+    """Reads and changes the operators' settings."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._responder = responder
 
     def read(self) -> dict[str, object]:
-        """Values, defaults, ranges and reasons of the settings."""
+        """Return the values, defaults, ranges, units and descriptions of all settings."""
         return {
             "version": self._replica.stored_settings.version,
             "settings": {
@@ -66,12 +66,13 @@
         }
 
     def change(self, request: AdminRequest) -> None:
-        """Take `{"settings": {name: value or null}, "version": n}`; null: the default again.
+        """Apply `{"settings": {name: value or null}, "version": n}`, and answer with all settings.
 
-        With a version, a change that somebody else made meanwhile gives 409.
+        Null resets a setting to its default. The version is optional, and by default the one in
+        this controller's replica. If the store has another version by then, the status is 409.
         """
         try:
-            changed, version = self._check(request.body)
+            changed, version = self._parse_change(request.body)
         except (MalformedChangeError, InvalidSettingError) as error:
             self._responder.refuse(request, 400, str(error))
             return
@@ -94,10 +95,12 @@
             constants.REQUEST_TIMEOUT_S,
         )
 
-    def _check(self, body: Any) -> tuple[dict[str, Any], int]:
-        """All settings as they will be stored, and the version that they replace.
+    def _parse_change(self, body: Any) -> tuple[dict[str, Any], int]:
+        """Return all settings as they are to be stored, and the version that they replace.
 
-        Raises MalformedChangeError or InvalidSettingError.
+        Raises:
+            MalformedChangeError: the request does not have the form of a change.
+            InvalidSettingError: a setting is unknown or its value is not allowed.
         """
         if not isinstance(body, dict) or not isinstance(body.get("settings"), dict):
             raise MalformedChangeError("settings: an object is needed")
@@ -114,7 +117,7 @@
         return changed, version
 
     def _on_committed(self, changed: dict[str, Any], revision: int) -> None:
-        """The change takes effect here at once; the watch brings it a second time."""
+        """Apply a committed change at once; the watch delivers it a second time."""
         self._replica.put(SETTINGS_KEY, changed, revision)
         self._operator_settings.apply(self._replica.stored_settings.value)
         self._reconcile_queue.placement_due = True
