--- a/appledock/core/api/health.py
+++ b/appledock/core/api/health.py
@@ -1,4 +1,4 @@
-"""Whether this controller can take requests, as the platform asks."""
+"""Health check with which the platform finds out whether this controller can take requests."""
 
 from __future__ import annotations
 
@@ -24,12 +24,16 @@
         self._machine_types = machine_types
 
     def is_healthy(self) -> bool:
-        """Can requests be taken?
+        """Return whether this controller can take requests.
 
-        Not before the replica is loaded and the cluster joined, nor without machine types (on the
-        first start ever): no submission could be decided. A controller that alone is not served
-        by the key-value store is unhealthy, so that the platform sends requests to the others; in
-        an outage, which all of them meet, none is: readmission would take longer than the outage.
+        Its replica must be loaded, it must have joined the cluster, and machine types must be
+        known. These are missing only at the first start of a cluster; no submission can be checked
+        without them.
+
+        A controller is also unhealthy if the key-value store serves its peers but not this
+        controller, so that the platform sends requests to the peers. In an outage of the store,
+        which affects all controllers, all stay healthy: readmission by the platform would take
+        longer than the outage.
         """
         return (
             self._reader.loaded
--- a/appledock/core/api/initial_owner.py
+++ b/appledock/core/api/initial_owner.py
@@ -1,4 +1,4 @@
-"""The first owner of a new job, where it is not the one that the view derives."""
+"""Choice of the first owner of a new job, where it is not the owner that the view derives."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class InitialOwnerPolicy:
-    """Chooses who owns a job from its creation on: recorded with the job, it costs no write."""
+    """Chooses the first owner of a new job.
+
+    The choice is part of the job's record from its creation on, so it needs no write of its own.
+    """
 
     def __init__(
         self,
@@ -26,7 +29,7 @@
         self._preferred_owner = preferred_owner
 
     def choose(self, job: Job) -> HandoffTarget | None:
-        """Node and incarnation; None: the owner that the view derives."""
+        """Return the owner to record with the job; None to leave it to the view."""
         membership, view = self._membership, self._replica.view
         if not membership.can_act() or view is None:
             return None
@@ -34,6 +37,7 @@
         if preferred is not None:
             return HandoffTarget(preferred, view.members[preferred])
         if not self._heartbeats.is_served_by_store(view.owner_of(job.id)):
-            # The derived owner would not see the job before its lease has expired.
+            # The store does not serve the derived owner, so the job would be noticed only after the
+            # lease of that owner has expired.
             return HandoffTarget(membership.node, membership.incarnation)
         return None
--- a/appledock/core/api/job_cancellation.py
+++ b/appledock/core/api/job_cancellation.py
@@ -1,6 +1,7 @@
 """Cancellation of jobs by their users: committed first, then answered, then carried out.
 
-The commit changes the version of the job's record, so every later start of its tasks fails.
+The commit changes the version of the job's record, so every later write that starts tasks of the
+job fails.
 """
 
 from __future__ import annotations
@@ -29,16 +30,19 @@
 
 
 class BroadcastCancellation(Protocol):
-    """Announces a committed cancellation to the peers."""
+    """Sends a committed cancellation to the peers."""
 
     def __call__(self, job: Job | None, job_id: str, revision: int) -> None:
-        """`job`: its record; None: the job was over with its cancellation."""
+        """Send the cancellation that the store committed at `revision`.
+
+        `job` is the committed record; None if the cancellation ended the job at once.
+        """
 
 
 class JobCancellations:
-    """Cancels open jobs and answers with the state that they have then."""
+    """Cancels open jobs and answers each request with the job's resulting state."""
 
-    def __init__(  # noqa: PLR0913 -- what a cancellation reads, writes and tells
+    def __init__(  # noqa: PLR0913 -- what a cancellation reads, writes and sends
         self,
         *,
         runtime: Runtime,
@@ -60,7 +64,7 @@
         self._broadcast = broadcast
 
     def cancel(self, request_id: int, job_id: str) -> None:
-        """Cancel the job, after a read if the replica does not know it."""
+        """Cancel the job, after reading its records if the replica has none of them."""
         if self._record_reader.is_known(job_id):
             self._cancel_known(request_id, job_id)
         else:
@@ -74,20 +78,21 @@
         )
 
     def _cancel_known(self, request_id: int, job_id: str) -> None:
-        """Decide by the replica, which has the newest records known."""
+        """Cancel the job according to the replica, which has the newest known records."""
         if request_id not in self._requests:
             return
         state = self._states.state_of(job_id)
         if state is None:
             self._requests.refuse(request_id, NO_SUCH_JOB)
         elif job_id in self._replica.final_states or self._replica.is_cancelled(job_id):
-            # Over, or cancelled by an earlier request or together with a dependency: for ever.
+            # The job has ended, or was cancelled earlier by a request or with a prerequisite.
+            # Neither can change any more.
             self._requests.answer(request_id, 200, state)
         else:
             self._commit(request_id, self._replica.jobs[job_id])
 
     def _commit(self, request_id: int, job: Job) -> None:
-        """Write the cancellation: the job is over with it if none of its tasks is unsettled."""
+        """Write the cancellation, which also ends the job if none of its attempts is unsettled."""
         cancelled = job.copy()
         cancelled.cancelled, cancelled.cancelled_at = True, self._runtime.wall_time
         is_over = not job.attempts
@@ -114,7 +119,7 @@
         self._client.submit(cancellation, Priority.USER, on_outcome, constants.REQUEST_TIMEOUT_S)
 
     def _apply(self, job: Job, revision: int, *, is_over: bool) -> None:
-        """Take the committed cancellation into the replica, and tell the peers."""
+        """Apply the committed cancellation to the replica and send it to the peers."""
         if is_over:
             self._replica.put(FINAL_PREFIX + job.id, {"state": wire.CANCELLED}, revision)
             self._replica.drop(JOBS_PREFIX + job.id, revision)
--- a/appledock/core/api/job_records.py
+++ b/appledock/core/api/job_records.py
@@ -1,4 +1,4 @@
-"""Linearizable reads of a job's two records, the open and the final one, into the replica."""
+"""Linearizable reads of a job's open record and final record into the replica."""
 
 from __future__ import annotations
 
@@ -12,23 +12,25 @@
 
 
 class JobRecordReader:
-    """Reads jobs that the replica lacks, or may have in an old version."""
+    """Reads jobs that are missing from the replica, or may be out of date there."""
 
     def __init__(self, replica: Replica, reader: StoreReader) -> None:
         self._replica = replica
         self._reader = reader
 
     def is_known(self, job_id: str) -> bool:
-        """Does the replica have a record of the job, so that it was accepted?"""
+        """Return whether the replica has a record of the job, which means that it was accepted."""
         return job_id in self._replica.jobs or job_id in self._replica.final_states
 
     def read(self, job_id: str, on_read: Callable[[], None], on_failed: Callable[[], None]) -> None:
-        """Read both records of a job, then go on; `on_failed` if one cannot be read.
+        """Read both records of a job, then call `on_read`; `on_failed` if one cannot be read.
 
-        The open record first: read the other way round, a job that ends in between is in
-        neither. A job that was open when its final record was requested, and is in neither table
-        when the answer comes, has ended meanwhile: another request's read, later than this one,
-        dropped the open record. It is read again.
+        The open record is read first. In the other order, a job that ends between the two reads
+        would be found in neither record.
+
+        A job may be open in the replica when its final record is requested, and have neither
+        record there when the answer arrives. It has ended in between, and a later read for
+        another request has dropped its open record. Both records are then read again.
         """
 
         def read_final() -> None:
@@ -46,9 +48,9 @@
 
 
 class DependencyOutcomeReader:
-    """Reads how the dependencies of open jobs ended where the replica does not say.
+    """Reads how prerequisites of open jobs ended if the replica does not have their outcomes.
 
-    That is so after a start, and for jobs that ended long ago.
+    Outcomes are missing after a start, and those of jobs that ended long ago may be missing.
     """
 
     def __init__(
@@ -64,10 +66,10 @@
         self._record_reader = record_reader
         self._being_read: set[str] = set()
         self._retry_at: dict[str, float] = {}
-        """dependency that could not be read -> when it is read again"""
+        """Prerequisite whose read gave no outcome -> time on the steady clock of the next read."""
 
     def tick(self) -> None:
-        """Read the unknown ones, a few at a time."""
+        """Start reads of unknown outcomes, at most `CONCURRENT_OUTCOME_READS_MAX` at a time."""
         unknown = self._replica.dependencies.unknown_outcomes
         if not unknown or not self._reader.loaded:
             return
--- a/appledock/core/api/job_states.py
+++ b/appledock/core/api/job_states.py
@@ -1,4 +1,4 @@
-"""States of jobs as users see them, from the replica and the workers' heartbeats."""
+"""States of jobs as users see them, derived from the replica and the workers' heartbeats."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class JobStates:
-    """What this controller would answer about a job; whether that is current is not checked."""
+    """Derives the states of jobs without checking that the replica is current."""
 
     def __init__(self, replica: Replica, workers: Workers) -> None:
         self._replica = replica
         self._workers = workers
 
     def state_of(self, job_id: str) -> wire.JobState | None:
-        """The job's state; None: neither open nor, as far as is kept, over."""
+        """Return the job's state; None if the replica has no record of the job."""
         final_state = self._replica.final_states.get(job_id)
         if final_state is not None:
             return wire.JobState(job_id, final_state)
@@ -30,7 +30,11 @@
         return wire.JobState(job_id, wire.RUNNING if running else wire.PENDING, completed, running)
 
     def count_running(self, job: Job) -> int:
-        """Tasks that the workers' heartbeats show as running: for display only."""
+        """Return the number of tasks that the workers' heartbeats show as running.
+
+        The heartbeats may be out of date. The number is shown to users and limits moves of the
+        replicas of services; nothing that must be exact depends on it.
+        """
         count = 0
         for attempt in job.attempts:
             worker = self._workers.table.get(attempt.machine)
--- a/appledock/core/api/pending_requests.py
+++ b/appledock/core/api/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests of users that are being answered: a bound, a deadline and one final answer for each."""
+"""Pending requests of users: limited in number, each with a deadline and a single answer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """An answer that says why there is no other; the texts are part of the protocol."""
+    """An error answer; its status and text are part of the protocol."""
 
     status: int
     text: str
@@ -25,12 +25,13 @@
 
 
 class PendingRequests:
-    """The requests of users that have no final answer yet, by request id."""
+    """The requests of users that have not been answered yet, by request id."""
 
     def __init__(self, runtime: Runtime, reader: StoreReader) -> None:
         self._runtime = runtime
         self._reader = reader
         self._deadlines: dict[int, float] = {}
+        """Request id -> time on the steady clock at which the request is refused."""
 
     def __len__(self) -> int:
         return len(self._deadlines)
@@ -39,7 +40,11 @@
         return request_id in self._deadlines
 
     def admit(self, request_id: int) -> bool:
-        """Take a request in, or refuse it: before the first load, and beyond the bound."""
+        """Add a request and return true, or refuse it and return false.
+
+        Requests are refused until the replica is loaded, and while `PENDING_REQUESTS_MAX` others
+        are pending.
+        """
         self._deadlines[request_id] = self._runtime.now + constants.REQUEST_TIMEOUT_S
         if not self._reader.loaded:
             self.refuse(request_id, STARTING)
@@ -50,19 +55,19 @@
         return True
 
     def answer(self, request_id: int, status: int, state: wire.JobState) -> None:
-        """Answer with a job's state; without effect if the request has its answer."""
+        """Answer with a job's state; no effect if the request has already been answered."""
         self._reply(request_id, status, state)
 
     def refuse(self, request_id: int, refusal: Refusal) -> None:
-        """Answer with an error; without effect if the request has its answer."""
+        """Answer with an error; no effect if the request has already been answered."""
         self._reply(request_id, refusal.status, {"error": refusal.text})
 
     def discard(self, request_id: int) -> None:
-        """Somebody else answers the request."""
+        """Remove a request that the caller answers itself."""
         self._deadlines.pop(request_id, None)
 
     def refuse_expired(self) -> None:
-        """Answer those whose deadline has passed."""
+        """Refuse the requests whose deadline has passed."""
         now = self._runtime.now
         for request_id in [key for key, at in self._deadlines.items() if at <= now]:
             self.refuse(request_id, STORE_UNAVAILABLE)
--- a/appledock/core/api/status_polls.py
+++ b/appledock/core/api/status_polls.py
@@ -1,8 +1,8 @@
-"""Status polls, answered from the replica once a linearizable read shows that it is current.
+"""Status polls, answered from the replica once a linearizable read confirms that it is current.
 
-Another controller may already have told the user something newer, so a state that is not final
-is answered only after a read. The read is one compare-only transaction on the cached versions of
-all jobs that are polled.
+Another controller may already have sent the user a newer state, so a state that is not final is
+sent only after such a read. The read is a compare-only transaction on the cached versions of the
+records of all polled jobs.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusPoll:
-    """A user's request that is answered with a job's state."""
+    """A user's poll or submission that is to be answered with a job's state."""
 
     request_id: int
     job_id: str
     on_absent: Callable[[], None]
-    """what to do once it is confirmed that the job does not exist"""
+    """Called once it is confirmed that the job does not exist."""
 
 
 class StatusPolls:
-    """Polls that wait for a linearizable read, and those for which the replica lags behind it."""
+    """Polls that wait for a linearizable read, or for the replica to reach the read's revision."""
 
     def __init__(
         self,
@@ -51,64 +51,66 @@
         self._record_reader = record_reader
         self._states = states
         self._polls: list[StatusPoll] = []
-        self._lagging: list[tuple[StatusPoll, int]] = []
-        """polls of jobs with dependencies, and the revision that the replica must reach"""
+        self._awaiting_revision: list[tuple[StatusPoll, int]] = []
+        """Polls of jobs with prerequisites, each with the revision that the replica must reach."""
         self._is_confirming = False
         self._next_confirm_at = 0.0
 
     def tick(self) -> None:
-        """Confirm the polls that wait; answer those that the replica has caught up with."""
+        """Start a read for the waiting polls; answer polls whose revision has been reached."""
         if self._polls and not self._is_confirming and self._runtime.now >= self._next_confirm_at:
             self.confirm()
-        lagging, self._lagging = self._lagging, []
-        for request, revision in lagging:
-            if request.request_id in self._requests:
-                self.answer_at_revision(request, revision)
+        awaiting_revision, self._awaiting_revision = self._awaiting_revision, []
+        for poll, revision in awaiting_revision:
+            if poll.request_id in self._requests:
+                self.answer_at_revision(poll, revision)
 
-    def add(self, request: StatusPoll) -> None:
-        """Answer with the job's state, at once if it is final.
+    def add(self, poll: StatusPoll) -> None:
+        """Answer with the job's state: at once if it is final or cancelled, else after a read.
 
-        That holds in an outage too: a committed cancellation is never taken back, nor does its
-        job end in another way.
+        The immediate answer is also right during an outage of the store: a committed cancellation
+        is never withdrawn, and a cancelled job cannot end in another state.
         """
-        job_id = request.job_id
+        job_id = poll.job_id
         if job_id in self._replica.final_states or self._replica.is_cancelled(job_id):
-            self.answer(request, is_absence_confirmed=False)
+            self.answer(poll, is_absence_confirmed=False)
         else:
-            self._polls.append(request)
+            self._polls.append(poll)
 
-    def answer(self, request: StatusPoll, *, is_absence_confirmed: bool) -> None:
-        """Answer from the replica, whose state of the job has just been confirmed.
+    def answer(self, poll: StatusPoll, *, is_absence_confirmed: bool) -> None:
+        """Answer from the replica, whose record of the job has just been confirmed.
 
-        Without a record of the job, `no such job` is right only if its absence was confirmed
-        too. Otherwise it ended meanwhile and its final state is not in the replica yet.
+        If the replica has no record of the job, the job is known not to exist only if the absence
+        of its final record was confirmed too. Otherwise the job has ended in the meantime and its
+        final record is not in the replica yet, so both records are read.
         """
-        state = self._states.state_of(request.job_id)
+        state = self._states.state_of(poll.job_id)
         if state is not None:
-            self._requests.answer(request.request_id, 200, state)
+            self._requests.answer(poll.request_id, 200, state)
         elif is_absence_confirmed:
-            request.on_absent()
+            poll.on_absent()
         else:
-            self.read_and_answer(request)
+            self.read_and_answer(poll)
 
-    def read_and_answer(self, request: StatusPoll) -> None:
-        """The cached version is not the newest: read both records, then answer."""
+    def read_and_answer(self, poll: StatusPoll) -> None:
+        """Read both records of a job that may be out of date in the replica, then answer."""
 
         def on_read() -> None:
-            if request.job_id in self._replica.dependencies.waiting_jobs:
-                self.add(request)  # confirmed, its revision says how far the replica must reach
+            if poll.job_id in self._replica.dependencies.waiting_jobs:
+                # A confirmation gives the revision that the replica must reach for this answer.
+                self.add(poll)
             else:
-                self.answer(request, is_absence_confirmed=True)
+                self.answer(poll, is_absence_confirmed=True)
 
         self._record_reader.read(
-            request.job_id,
+            poll.job_id,
             on_read,
-            lambda: self._requests.refuse(request.request_id, STORE_UNAVAILABLE),
+            lambda: self._requests.refuse(poll.request_id, STORE_UNAVAILABLE),
         )
 
     # --- linearizable read ------------------------------------------------
     def confirm(self) -> None:
-        """Compare the cached versions of the jobs of all waiting polls in one transaction."""
+        """Compare the cached versions of the jobs of waiting polls in one transaction."""
         self._next_confirm_at = self._runtime.now + constants.POLL_CONFIRMATION_WINDOW_S
         batch, conditions = self._take_batch()
         if not batch:
@@ -123,36 +125,40 @@
                 case Conflict():
                     self._on_compared(batch, conditions, set(outcome.failed), outcome.revision)
                 case _:
-                    for request in batch:
-                        self._requests.refuse(request.request_id, STORE_UNAVAILABLE)
+                    for poll in batch:
+                        self._requests.refuse(poll.request_id, STORE_UNAVAILABLE)
 
         self._client.submit(
             Transaction(conditions), Priority.USER, on_outcome, constants.REQUEST_TIMEOUT_S
         )
 
     def _take_batch(self) -> tuple[list[StatusPoll], dict[str, int]]:
-        """Take as many waiting polls as one transaction holds, with its conditions."""
+        """Remove and return as many waiting polls as one transaction holds, with its conditions.
+
+        Polls of jobs that have ended are answered at once, and polls that have been answered or
+        refused are dropped.
+        """
         conditions: dict[str, int] = {}
         batch: list[StatusPoll] = []
-        rest: list[StatusPoll] = []
+        remaining: list[StatusPoll] = []
         state_settings = self._runtime.settings.cluster.state
         max_conditions = min(constants.POLL_CONFIRMATION_CONDITIONS_MAX, 4 * state_settings.txn_ops)
-        for request in self._polls:
-            job_id = request.job_id
-            if request.request_id not in self._requests:
+        for poll in self._polls:
+            job_id = poll.job_id
+            if poll.request_id not in self._requests:
                 continue
             if job_id in self._replica.final_states:
-                self.answer(request, is_absence_confirmed=False)
+                self.answer(poll, is_absence_confirmed=False)
                 continue
             if len(conditions) + 2 > max_conditions:
-                rest.append(request)
+                remaining.append(poll)
                 continue
             job = self._replica.jobs.get(job_id)
             conditions[JOBS_PREFIX + job_id] = job.version if job else 0
             if job is None:
                 conditions[FINAL_PREFIX + job_id] = 0
-            batch.append(request)
-        self._polls = rest
+            batch.append(poll)
+        self._polls = remaining
         return batch, conditions
 
     def _on_compared(
@@ -162,27 +168,30 @@
         failed: set[str],
         revision: int,
     ) -> None:
-        """The versions were compared at the revision; those of the failed keys are old."""
-        for request in batch:
-            job_id = request.job_id
+        """Answer a batch after its cached versions were compared with those at the revision.
+
+        The cached versions of the `failed` keys are out of date.
+        """
+        for poll in batch:
+            job_id = poll.job_id
             if JOBS_PREFIX + job_id in failed or FINAL_PREFIX + job_id in failed:
-                self.read_and_answer(request)
+                self.read_and_answer(poll)
             elif job_id in self._replica.dependencies.waiting_jobs:
-                self.answer_at_revision(request, revision)
+                self.answer_at_revision(poll, revision)
             else:
-                self.answer(request, is_absence_confirmed=FINAL_PREFIX + job_id in conditions)
+                self.answer(poll, is_absence_confirmed=FINAL_PREFIX + job_id in conditions)
 
-    def answer_at_revision(self, request: StatusPoll, revision: int) -> None:
+    def answer_at_revision(self, poll: StatusPoll, revision: int) -> None:
         """Answer once the watch has brought the replica up to the revision.
 
-        That the record of a job has not changed does not show that none of its dependencies was
-        cancelled: a cancellation that another controller has answered would be taken back here.
-        The revision of the linearizable read is later than any such cancellation.
+        An unchanged record of a job does not show that none of its prerequisites was cancelled. An
+        earlier answer could contradict a cancellation that another controller has already
+        answered. The revision of the linearizable read is later than any such cancellation.
         """
-        replica, job_id = self._replica, request.job_id
+        replica, job_id = self._replica, poll.job_id
         if replica.is_cancelled(job_id) or job_id not in replica.dependencies.waiting_jobs:
-            self.answer(request, is_absence_confirmed=False)
+            self.answer(poll, is_absence_confirmed=False)
         elif replica.revision < revision or replica.dependencies.has_unknown_outcome(job_id):
-            self._lagging.append((request, revision))
+            self._awaiting_revision.append((poll, revision))
         else:
-            self.answer(request, is_absence_confirmed=False)
+            self.answer(poll, is_absence_confirmed=False)
--- a/appledock/core/api/submission.py
+++ b/appledock/core/api/submission.py
@@ -1,4 +1,4 @@
-"""Submission of jobs: an idempotent creation by compare-and-swap."""
+"""Submission of jobs: idempotent creation of their records with compare-and-swap."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 log = logging.getLogger(__name__)
 
 DEPENDENCIES_MIN_FORMAT = 2
-"""the first format of records that can hold dependencies"""
+"""First format of records that can hold dependencies."""
 DEPENDENCIES_NOT_SUPPORTED = Refusal(503, "not every controller knows jobs that need others yet")
 REJECTED_BY_STORE = Refusal(400, "refused by the state service")
 
 
-def never_accepted(job_id: str) -> Refusal:
-    """A dependency is no job that was ever accepted."""
+def prerequisite_never_accepted(job_id: str) -> Refusal:
+    """Return the refusal for a prerequisite that was never accepted as a job."""
     return Refusal(422, f"{job_id} was never accepted")
 
 
 class Submissions:
-    """Checks submitted jobs and creates them; a repeated submission gets the job's state."""
+    """Checks and creates submitted jobs; a repeated submission is answered with the job's state."""
 
     def __init__(  # noqa: PLR0913 -- what a submission reads, checks and writes
         self,
@@ -71,57 +71,61 @@
     def submit(self, request_id: int, spec: wire.JobSpec) -> None:
         """Create the job, or answer with its state if it was accepted before."""
         if self._record_reader.is_known(spec.id):
-            self._polls.add(self._request(request_id, spec))
+            self._polls.add(self._make_poll(request_id, spec))
             return
         refusal = self._check.refusal(spec)
         if refusal is None:
-            self._create_after_dependencies(request_id, spec, list(spec.needs or ()))
+            self._create_after_prerequisites(request_id, spec, list(spec.needs or ()))
         elif refusal == MACHINE_TYPES_UNKNOWN:
             self._requests.refuse(request_id, refusal)
         else:
             self._refuse_unless_accepted(request_id, spec.id, refusal)
 
-    def _request(self, request_id: int, spec: wire.JobSpec) -> StatusPoll:
-        """A poll that creates the job if it turns out that it does not exist."""
+    def _make_poll(self, request_id: int, spec: wire.JobSpec) -> StatusPoll:
+        """Return a poll that creates the job if it is confirmed that the job does not exist."""
         return StatusPoll(
             request_id,
             spec.id,
-            lambda: self._create_after_dependencies(request_id, spec, list(spec.needs or ())),
+            lambda: self._create_after_prerequisites(request_id, spec, list(spec.needs or ())),
         )
 
     def _refuse_unless_accepted(self, request_id: int, job_id: str, refusal: Refusal) -> None:
-        """Refuse once it is confirmed that the job does not exist.
+        """Refuse a submission once it is confirmed that the job does not exist.
 
-        It may have been accepted when the machine types, or the limits, were others.
+        The job may have been accepted earlier, under other machine types or limits; it is then
+        answered with its state.
         """
         self._polls.add(
             StatusPoll(request_id, job_id, lambda: self._requests.refuse(request_id, refusal))
         )
 
-    def _create_after_dependencies(
-        self, request_id: int, spec: wire.JobSpec, unread: list[str]
+    def _create_after_prerequisites(
+        self, request_id: int, spec: wire.JobSpec, unchecked: list[str]
     ) -> None:
-        """Create the job once it is known that all its dependencies were accepted.
+        """Create the job once all its prerequisites are known to have been accepted.
 
-        That never changes, so the creation itself need not be conditional on it.
+        `unchecked` are the prerequisites for which this is not known yet. An accepted job stays
+        accepted, so the creation itself need not be conditional on the prerequisites.
         """
         if spec.needs and self._replica.record_format.value < DEPENDENCIES_MIN_FORMAT:
             self._requests.refuse(request_id, DEPENDENCIES_NOT_SUPPORTED)
             return
-        while unread and self._record_reader.is_known(unread[0]):
-            unread.pop(0)
-        if not unread:
+        while unchecked and self._record_reader.is_known(unchecked[0]):
+            unchecked.pop(0)
+        if not unchecked:
             self._create(request_id, spec)
             return
 
         def on_read() -> None:
-            if self._record_reader.is_known(unread[0]):
-                self._create_after_dependencies(request_id, spec, unread[1:])
+            if self._record_reader.is_known(unchecked[0]):
+                self._create_after_prerequisites(request_id, spec, unchecked[1:])
             else:
-                self._refuse_unless_accepted(request_id, spec.id, never_accepted(unread[0]))
+                self._refuse_unless_accepted(
+                    request_id, spec.id, prerequisite_never_accepted(unchecked[0])
+                )
 
         self._record_reader.read(
-            unread[0], on_read, lambda: self._requests.refuse(request_id, STORE_UNAVAILABLE)
+            unchecked[0], on_read, lambda: self._requests.refuse(request_id, STORE_UNAVAILABLE)
         )
 
     def _create(self, request_id: int, spec: wire.JobSpec) -> None:
@@ -139,7 +143,7 @@
                     job.version = outcome.revision
                     self._on_created(request_id, job)
                 case Conflict():
-                    self._polls.read_and_answer(self._request(request_id, spec))
+                    self._polls.read_and_answer(self._make_poll(request_id, spec))
                 case Rejected():
                     self._requests.refuse(request_id, REJECTED_BY_STORE)
                 case _:
@@ -160,8 +164,8 @@
             spec.image,
         )
         if spec.id not in self._replica.jobs:
-            # Over before this answer came: cancelled together with one of its dependencies.
-            self._polls.read_and_answer(self._request(request_id, spec))
+            # The job was cancelled with a prerequisite, and ended, before this answer arrived.
+            self._polls.read_and_answer(self._make_poll(request_id, spec))
             return
         state = wire.CANCELLED if self._replica.is_cancelled(spec.id) else wire.PENDING
         self._requests.answer(request_id, 201, wire.JobState(spec.id, state))
--- a/appledock/core/api/submission_check.py
+++ b/appledock/core/api/submission_check.py
@@ -1,4 +1,4 @@
-"""Check of submitted jobs: can the job ever run?"""
+"""Check of submitted jobs, which refuses jobs that can never run."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def unknown_team(team: str) -> Refusal:
-    """The settings have no such team."""
+    """Return the refusal for a team that the settings do not have."""
     return Refusal(422, f"unknown team {team}")
 
 
@@ -41,7 +41,11 @@
         self._machine_types = machine_types
 
     def refusal(self, spec: wire.JobSpec) -> Refusal | None:
-        """Why the job can never run, or that it cannot be said yet; None: it can run."""
+        """Return why the job can never run, or that this is not known yet; None if it can run.
+
+        `TOO_MANY_DEPENDENCIES` is returned if the job would be refused for another reason, or not
+        at all, without its dependencies.
+        """
         refusal = self._refusal(spec)
         if refusal is None or refusal == MACHINE_TYPES_UNKNOWN or not spec.needs:
             return refusal
@@ -59,7 +63,7 @@
             return ABOVE_TEAM_LIMIT
         record = wire.encode(self._codec.encode(Job(spec, self._runtime.wall_time)))
         if len(record) > constants.DESCRIPTION_SHARE * self._client.max_value_bytes:
-            # Guards against a job that waits for ever: its record has no room for an attempt.
+            # Such a job would wait for ever, since its record would have no room for an attempt.
             return DESCRIPTION_TOO_LONG
         if not self._machine_types:
             return MACHINE_TYPES_UNKNOWN
--- a/appledock/core/api/user_requests.py
+++ b/appledock/core/api/user_requests.py
@@ -1,4 +1,4 @@
-"""Requests of users: submit, poll and cancel, answered by any controller."""
+"""Requests of users to submit, poll and cancel jobs, which any controller answers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UserRequests:
-    """Admits each request and hands it to the part for its kind."""
+    """Admits each request and passes it to the component for its kind."""
 
     def __init__(
         self,
@@ -28,12 +28,12 @@
         self._dependency_outcome_reader = dependency_outcome_reader
 
     def submit(self, command: SubmitJob) -> None:
-        """A user submits a job."""
+        """Handle the submission of a job by a user."""
         if self.pending_requests.admit(command.request_id):
             self._submissions.submit(command.request_id, command.spec)
 
     def poll(self, command: GetJobState) -> None:
-        """A user asks for the state of a job."""
+        """Handle a user's poll of the state of a job."""
         request_id = command.request_id
         if self.pending_requests.admit(request_id):
             self._polls.add(
@@ -45,12 +45,12 @@
             )
 
     def cancel(self, command: CancelJob) -> None:
-        """A user cancels a job."""
+        """Handle the cancellation of a job by a user."""
         if self.pending_requests.admit(command.request_id):
             self._cancellations.cancel(command.request_id, command.job_id)
 
     def tick(self) -> None:
-        """Keep to the deadlines, and go on with what waits."""
+        """Refuse expired requests, and continue waiting polls and reads of prerequisites."""
         self.pending_requests.refuse_expired()
         self._polls.tick()
         self._dependency_outcome_reader.tick()
