--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -47,6 +47,23 @@
     "test_an_override_ends_with_its_owner_and_with_its_machine": (
         "test_an_override_is_removed_with_its_owner_and_with_its_machine"
     ),
+    # api
+    "test_a_request_gets_one_final_answer": "test_a_request_gets_a_single_answer",
+    "test_requests_before_the_first_load_are_refused_to_be_repeated": (
+        "test_requests_before_the_first_load_are_refused_with_a_time_to_retry"
+    ),
+    "test_requests_beyond_the_bound_are_refused_to_be_repeated": (
+        "test_requests_beyond_the_limit_are_refused_with_a_time_to_retry"
+    ),
+    "test_a_committed_change_takes_effect_here_at_once": (
+        "test_a_committed_change_takes_effect_on_this_controller_at_once"
+    ),
+    "test_a_change_made_meanwhile_is_a_conflict_and_the_settings_are_read_again": (
+        "test_a_concurrent_change_is_a_conflict_after_which_the_settings_are_read_again"
+    ),
+    "test_an_unknown_outcome_is_answered_with_when_to_try_again": (
+        "test_an_unknown_outcome_is_answered_with_a_time_to_retry"
+    ),
     # workers
     "test_a_recorded_task_that_is_not_there_is_launched_and_again_only_after_a_while": (
         "test_a_recorded_task_missing_on_the_worker_is_launched_and_retried_after_a_delay"
--- a/tests/unit/api/test_admin_routes.py
+++ b/tests/unit/api/test_admin_routes.py
@@ -15,7 +15,7 @@
 
 
 def handle(request: AdminRequest, parameters: Parameters) -> None:
-    """Stands for any handler."""
+    """Handle no request; the table only returns this function."""
 
 
 TABLE = RouteTable(
@@ -39,7 +39,8 @@
         ("GET", ("",)),
         ("GET", ("settings", "")),
         ("POST", ("machines", "vm-1", "delete")),
-        ("GET", ("machines", "vm-1", "drain")),  # exists for POST, yet has always been a 404
+        # In a path of several segments, a wrong method is not told apart from a wrong path.
+        ("GET", ("machines", "vm-1", "drain")),
     ],
 )
 def test_a_path_without_a_route_is_not_found(method: str, path: tuple[str, ...]) -> None:
--- a/tests/unit/api/test_pending_requests.py
+++ b/tests/unit/api/test_pending_requests.py
@@ -1,4 +1,4 @@
-"""The table of open requests, built from a runtime and a reader that has loaded or not."""
+"""Pending requests of users, built without a whole controller."""
 
 from __future__ import annotations
 
@@ -23,10 +23,14 @@
 def replies(runtime: Runtime) -> list[tuple[int, Any, Any]]:
     effects = runtime.take_effects()
     assert all(isinstance(effect, Response) for effect in effects)
-    return [(x.status, x.body, x.headers) for x in effects if isinstance(x, Response)]
+    return [
+        (effect.status, effect.body, effect.headers)
+        for effect in effects
+        if isinstance(effect, Response)
+    ]
 
 
-def test_a_request_gets_one_final_answer() -> None:
+def test_a_request_gets_a_single_answer() -> None:
     runtime, requests = build()
     assert requests.admit(1)
     state = wire.JobState("job-1", wire.PENDING)
@@ -48,13 +52,13 @@
     assert replies(runtime) == [(503, error, {"Retry-After": "1"})]
 
 
-def test_requests_before_the_first_load_are_refused_to_be_repeated() -> None:
+def test_requests_before_the_first_load_are_refused_with_a_time_to_retry() -> None:
     runtime, requests = build(loaded=False)
     assert not requests.admit(1)
     assert replies(runtime) == [(503, {"error": "starting"}, {"Retry-After": "1"})]
 
 
-def test_requests_beyond_the_bound_are_refused_to_be_repeated() -> None:
+def test_requests_beyond_the_limit_are_refused_with_a_time_to_retry() -> None:
     runtime, requests = build()
     assert all(requests.admit(number) for number in range(constants.PENDING_REQUESTS_MAX))
     assert not requests.admit(constants.PENDING_REQUESTS_MAX)
--- a/tests/unit/api/test_settings_api.py
+++ b/tests/unit/api/test_settings_api.py
@@ -1,4 +1,4 @@
-"""Operators' settings, built from collaborators."""
+"""Operators' settings, built without a whole controller."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from tests.standins.deployment import settings
 
 
-class Parts:
-    """A settings API without a controller."""
+class SettingsFixture:
+    """A settings API and the components that it uses."""
 
     def __init__(self) -> None:
         self.runtime = Runtime(settings("n0", ["n0"]), "x", random.Random(1))
@@ -44,7 +44,7 @@
         )
 
     def change(self, body: Any) -> list[Any]:
-        """The effects of a request."""
+        """Request a change and return the effects."""
         self.api.change(AdminRequest(1, "PATCH", ("settings",), body))
         self.client.flush()
         return self.runtime.take_effects()
@@ -59,37 +59,37 @@
     ],
 )
 def test_a_malformed_change_is_refused_without_a_write(body: Any, error: str) -> None:
-    assert Parts().change(body) == [Response(1, 400, {"error": error}, None)]
+    assert SettingsFixture().change(body) == [Response(1, 400, {"error": error}, None)]
 
 
-def test_a_committed_change_takes_effect_here_at_once() -> None:
-    parts = Parts()
-    (call,) = parts.change({"settings": {"sample": 7}})
+def test_a_committed_change_takes_effect_on_this_controller_at_once() -> None:
+    fixture = SettingsFixture()
+    (call,) = fixture.change({"settings": {"sample": 7}})
     assert isinstance(call, StoreCall)
     assert call.request == Transaction({SETTINGS_KEY: 0}, [Put(SETTINGS_KEY, {"sample": 7})])
-    parts.runtime.resolve(StoreReply(call.call_id, Committed(3)))
-    (response,) = parts.runtime.take_effects()
-    assert response == Response(1, 200, parts.api.read(), None)
-    assert parts.api.read()["version"] == 3 and parts.operator_settings["sample"] == 7
-    assert parts.reconcile_queue.placement_due
-
-
-def test_a_change_made_meanwhile_is_a_conflict_and_the_settings_are_read_again() -> None:
-    parts = Parts()
-    (call,) = parts.change({"settings": {"sample": 7}, "version": 2})
-    parts.runtime.resolve(StoreReply(call.call_id, Conflict([SETTINGS_KEY], 5)))
-    parts.client.flush()
+    fixture.runtime.resolve(StoreReply(call.call_id, Committed(3)))
+    (response,) = fixture.runtime.take_effects()
+    assert response == Response(1, 200, fixture.api.read(), None)
+    assert fixture.api.read()["version"] == 3 and fixture.operator_settings["sample"] == 7
+    assert fixture.reconcile_queue.placement_due
+
+
+def test_a_concurrent_change_is_a_conflict_after_which_the_settings_are_read_again() -> None:
+    fixture = SettingsFixture()
+    (call,) = fixture.change({"settings": {"sample": 7}, "version": 2})
+    fixture.runtime.resolve(StoreReply(call.call_id, Conflict([SETTINGS_KEY], 5)))
+    fixture.client.flush()
     response, read = sorted(
-        parts.runtime.take_effects(), key=lambda effect: isinstance(effect, StoreCall)
+        fixture.runtime.take_effects(), key=lambda effect: isinstance(effect, StoreCall)
     )
     assert response == Response(1, 409, {"error": "the settings were changed meanwhile"}, None)
-    assert read.request == GetKey(SETTINGS_KEY) and not parts.reconcile_queue.placement_due
+    assert read.request == GetKey(SETTINGS_KEY) and not fixture.reconcile_queue.placement_due
 
 
-def test_an_unknown_outcome_is_answered_with_when_to_try_again() -> None:
-    parts = Parts()
-    (call,) = parts.change({"settings": {"sample": 7}})
-    parts.runtime.resolve(StoreReply(call.call_id, UnknownOutcome()))
-    (response,) = parts.runtime.take_effects()
+def test_an_unknown_outcome_is_answered_with_a_time_to_retry() -> None:
+    fixture = SettingsFixture()
+    (call,) = fixture.change({"settings": {"sample": 7}})
+    fixture.runtime.resolve(StoreReply(call.call_id, UnknownOutcome()))
+    (response,) = fixture.runtime.take_effects()
     assert response.status == 503
     assert response.headers == {"Retry-After": str(constants.RETRY_AFTER_S)}
--- a/tests/unit/api/test_status_polls.py
+++ b/tests/unit/api/test_status_polls.py
@@ -1,4 +1,4 @@
-"""Status polls, built from a runtime, a store client and a replica."""
+"""Status polls, built without a whole controller."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from tests.test_requests import spec
 
 
-class Polls:
-    """Status polls without a controller around them."""
+class StatusPollsFixture:
+    """Status polls and the components that they use."""
 
     def __init__(self) -> None:
         self.runtime = Runtime(settings("n0", ["n0"]), "a", random.Random(1))
@@ -53,29 +53,29 @@
     def calls(self) -> list[StoreCall]:
         self.polls.tick()
         self.client.flush()
-        return [x for x in self.runtime.take_effects() if isinstance(x, StoreCall)]
+        return [effect for effect in self.runtime.take_effects() if isinstance(effect, StoreCall)]
 
     def replies(self, call: StoreCall, outcome: StoreOutcome) -> dict[int, int]:
-        """Request -> status that it is answered after the call's outcome."""
+        """Deliver the call's outcome; return the status of each answered request by its id."""
         self.runtime.resolve(StoreReply(call.call_id, outcome))
-        replies = [x for x in self.runtime.take_effects() if isinstance(x, Response)]
+        replies = [effect for effect in self.runtime.take_effects() if isinstance(effect, Response)]
         return {reply.request_id: reply.status for reply in replies}
 
 
 def test_all_waiting_polls_are_confirmed_by_one_transaction_without_writes() -> None:
-    polls = Polls()
-    polls.replica.set_job(Job(spec(id="job-1"), 0.0, 7))
-    polls.poll(1, "job-1")
-    polls.poll(2, "job-2")
-    (call,) = polls.calls()
+    fixture = StatusPollsFixture()
+    fixture.replica.set_job(Job(spec(id="job-1"), 0.0, 7))
+    fixture.poll(1, "job-1")
+    fixture.poll(2, "job-2")
+    (call,) = fixture.calls()
     conditions = {JOBS_PREFIX + "job-1": 7, JOBS_PREFIX + "job-2": 0, FINAL_PREFIX + "job-2": 0}
     assert call.request == Transaction(conditions, [])
-    assert polls.replies(call, Committed(9)) == {1: 200, 2: 404}
+    assert fixture.replies(call, Committed(9)) == {1: 200, 2: 404}
 
 
 def test_a_final_state_is_answered_without_a_read() -> None:
-    polls = Polls()
-    polls.replica.put(FINAL_PREFIX + "job-1", {"state": "done"}, 3)
-    polls.poll(1, "job-1")
-    assert [type(effect) for effect in polls.runtime.take_effects()] == [Response]
-    assert polls.calls() == []
+    fixture = StatusPollsFixture()
+    fixture.replica.put(FINAL_PREFIX + "job-1", {"state": "done"}, 3)
+    fixture.poll(1, "job-1")
+    assert [type(effect) for effect in fixture.runtime.take_effects()] == [Response]
+    assert fixture.calls() == []
