--- a/appledock/core/api/admin_readers.py
+++ b/appledock/core/api/admin_readers.py
@@ -47,7 +47,7 @@
         self._membership = membership
         self._workers = workers
         self._health = health
-        self._open_requests = pending_requests
+        self._pending_requests = pending_requests
         self._machine_types = machine_types
         self._booting_machines = booting_machines
 
@@ -70,7 +70,7 @@
             "machines": sum(worker.report is not None for worker in self._workers.table.values()),
             "booting": len(self._booting_machines()) if is_leader else None,
             "calls_waiting": self._client.limiter.count_queued(),
-            "users_waiting": len(self._open_requests),
+            "users_waiting": len(self._pending_requests),
             "machine_types": sorted(self._machine_types),
         }
 
@@ -132,7 +132,7 @@
         return self._reconcile_queue.pending_reasons.get(job.id)
 
     def _read_attempt(self, job: Job, attempt: Attempt) -> JsonObject:
-        """Return a row for an unsettled attempt, with its state as known from heartbeats."""
+        """Return a row for an unsettled attempt; its `state` is what the settlement waits for."""
         return {
             "machine": attempt.machine,
             "session": attempt.agent_epoch,
--- a/appledock/core/api/admin_routes.py
+++ b/appledock/core/api/admin_routes.py
@@ -44,8 +44,8 @@
     def find(self, method: str, path: tuple[str, ...]) -> tuple[Handler, Parameters]:
         """Return the handler of the request and the parameters in its path.
 
-        Only paths of one segment distinguish a wrong method from a path that does not exist. This
-        keeps the API's answers as they have always been.
+        For compatibility with earlier versions of the API, a wrong method is told apart from an
+        unknown path only if the path has one segment.
 
         Raises:
             MethodNotAllowedError: the path has one segment and exists with other methods only.
--- a/appledock/core/api/health.py
+++ b/appledock/core/api/health.py
@@ -26,9 +26,9 @@
     def is_healthy(self) -> bool:
         """Return whether this controller can take requests.
 
-        Its replica must be loaded, it must have joined the cluster, and machine types must be
-        known. These are missing only at the first start of a cluster; no submission can be checked
-        without them.
+        Its replica must be loaded and it must have joined the cluster. It must also know machine
+        types, without which no submission can be checked. They are missing only at the very first
+        start of the cluster.
 
         A controller is also unhealthy if the key-value store serves its peers but not this
         controller, so that the platform sends requests to the peers. In an outage of the store,
--- a/appledock/core/api/initial_owner.py
+++ b/appledock/core/api/initial_owner.py
@@ -29,7 +29,7 @@
         self._preferred_owner = preferred_owner
 
     def choose(self, job: Job) -> HandoffTarget | None:
-        """Return the owner to record with the job; None to leave it to the view."""
+        """Return the owner to record with the job; None for the owner that the view derives."""
         membership, view = self._membership, self._replica.view
         if not membership.can_act() or view is None:
             return None
--- a/appledock/core/api/job_cancellation.py
+++ b/appledock/core/api/job_cancellation.py
@@ -95,9 +95,9 @@
         """Write the cancellation, which also ends the job if none of its attempts is unsettled."""
         cancelled = job.copy()
         cancelled.cancelled, cancelled.cancelled_at = True, self._runtime.wall_time
-        is_over = not job.attempts
+        ends_job = not job.attempts
         cancellation = Transaction({JOBS_PREFIX + job.id: job.version})
-        if is_over:
+        if ends_job:
             cancellation.writes = [
                 Delete(JOBS_PREFIX + job.id),
                 Put(FINAL_PREFIX + job.id, {"state": wire.CANCELLED}),
@@ -109,7 +109,7 @@
         def on_outcome(outcome: StoreOutcome) -> None:
             match outcome:
                 case Committed():
-                    self._apply(cancelled, outcome.revision, is_over=is_over)
+                    self._apply(cancelled, outcome.revision, ends_job=ends_job)
                     self._requests.answer(request_id, 200, wire.JobState(job.id, wire.CANCELLED))
                 case Conflict():
                     self._read_and_cancel(request_id, job.id)
@@ -118,12 +118,12 @@
 
         self._client.submit(cancellation, Priority.USER, on_outcome, constants.REQUEST_TIMEOUT_S)
 
-    def _apply(self, job: Job, revision: int, *, is_over: bool) -> None:
+    def _apply(self, job: Job, revision: int, *, ends_job: bool) -> None:
         """Apply the committed cancellation to the replica and send it to the peers."""
-        if is_over:
+        if ends_job:
             self._replica.put(FINAL_PREFIX + job.id, {"state": wire.CANCELLED}, revision)
             self._replica.drop(JOBS_PREFIX + job.id, revision)
         else:
             job.version = revision
             self._replica.set_job(job)
-        self._broadcast(None if is_over else job, job.id, revision)
+        self._broadcast(None if ends_job else job, job.id, revision)
--- a/appledock/core/api/job_states.py
+++ b/appledock/core/api/job_states.py
@@ -32,8 +32,8 @@
     def count_running(self, job: Job) -> int:
         """Return the number of tasks that the workers' heartbeats show as running.
 
-        The heartbeats may be out of date. The number is shown to users and limits moves of the
-        replicas of services; nothing that must be exact depends on it.
+        The heartbeats may be out of date. The number is shown to users, and limits moves of a
+        service's replicas.
         """
         count = 0
         for attempt in job.attempts:
