--- a/appledock/capacity/ownership.py
+++ b/appledock/capacity/ownership.py
@@ -57,10 +57,10 @@
 
         Empty sections are left out.
         """
-        sections = {name: self._names(section) for name, section in SECTIONS.items()}
+        sections = {name: self._machine_names(section) for name, section in SECTIONS.items()}
         return {name: names for name, names in sections.items() if names}
 
-    def _names(self, section: Section) -> dict[str, str]:
+    def _machine_names(self, section: Section) -> dict[str, str]:
         names: dict[str, list[str]] = {}
         for machine, ownership in sorted(self.owners.items()):
             if (ownership.is_being_handed_over, ownership.is_lent) == section:
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -151,7 +151,7 @@
         after = {
             partition: machine
             for partition in sorted(to_move)
-            if (machine := self._machine_to_reserve(partition, owned)) is not None
+            if (machine := self._choose_machine_to_reserve(partition, owned)) is not None
         }
         reserved.clear()
         reserved.update(after)
@@ -164,7 +164,7 @@
             for job_id in self._replica.attempts_by_machine.get(machine, {})
         )
 
-    def _machine_to_reserve(self, partition: str, owned: dict[str, Ownership]) -> str | None:
+    def _choose_machine_to_reserve(self, partition: str, owned: dict[str, Ownership]) -> str | None:
         """Return the machine reserved so far if it is still suitable, else the least used one."""
         candidates = [
             machine
@@ -195,12 +195,12 @@
         """Request moves of replicas off machines that are being handed over."""
         self._capacity_index.recompute()
         for machine, _ in self._machines_being_handed_over():
-            for proposal in self._proposals(machine):
+            for proposal in self._propose_moves(machine):
                 if len(self._moves.requested) >= max_moves:
                     return
                 self._moves.request(proposal)
 
-    def _proposals(self, machine: str) -> list[Proposal]:
+    def _propose_moves(self, machine: str) -> list[Proposal]:
         """Propose at most one move for each job with a replica on the machine."""
         if machine not in self._workers.table:
             return []
--- a/appledock/core/capacity/partition_map.py
+++ b/appledock/core/capacity/partition_map.py
@@ -50,7 +50,9 @@
         Only partitions with replicas on machines that are being handed over have an entry.
         """
         self._partitions: dict[tuple[str, str], str | None] = {}
+        """(job class, team) -> partition of such jobs, as a cache."""
         self._admissions: dict[tuple[str | None, bool], OwnerAdmission] = {}
+        """(owning partition, whether reserved for replicas) -> admission of such machines."""
 
     def partition_of(self, spec: wire.JobSpec) -> str | None:
         """Return the partition of a job, or None if the job is in no partition."""
--- a/appledock/core/capacity/summary.py
+++ b/appledock/core/capacity/summary.py
@@ -30,19 +30,23 @@
             "version": agreed.version if agreed is not None else 0,
             "request": agreed.request_id if agreed is not None else None,
             "shares": self._partitions.agreed_fractions(),
-            "pools": {pool.name: self._pool(pool.name) for pool in settings.pools},
+            "pools": {pool.name: self._summarize_pool(pool.name) for pool in settings.pools},
         }
 
-    def _pool(self, pool: str) -> dict[str, Any]:
+    def _summarize_pool(self, pool: str) -> dict[str, Any]:
         uses = self._usage.of_pool(pool)
         target = self._partitions.target_machines(pool, len(uses))
         return {
             "machines": len(uses),
             "unassigned": sum(use.ownership is None for use in uses),
-            "partitions": {name: self._partition(name, target[name], uses) for name in target},
+            "partitions": {
+                name: self._summarize_partition(name, target[name], uses) for name in target
+            },
         }
 
-    def _partition(self, name: str, target: int, uses: list[MachineUse]) -> dict[str, Any]:
+    def _summarize_partition(
+        self, name: str, target: int, uses: list[MachineUse]
+    ) -> dict[str, Any]:
         settings = self._partitions.settings
         assert settings is not None
         owned = [
