--- a/appledock/core/api/submission_check.py
+++ b/appledock/core/api/submission_check.py
@@ -46,15 +46,15 @@
         `TOO_MANY_DEPENDENCIES` is returned if the job would be refused for another reason, or not
         at all, without its dependencies.
         """
-        refusal = self._refusal(spec)
+        refusal = self._check_spec(spec)
         if refusal is None or refusal == MACHINE_TYPES_UNKNOWN or not spec.needs:
             return refusal
         without_dependencies = msgspec.structs.replace(spec, needs=None)
-        if self._refusal(without_dependencies) != refusal:
+        if self._check_spec(without_dependencies) != refusal:
             return TOO_MANY_DEPENDENCIES
         return refusal
 
-    def _refusal(self, spec: wire.JobSpec) -> Refusal | None:
+    def _check_spec(self, spec: wire.JobSpec) -> Refusal | None:
         team = self._runtime.teams.get(spec.team)
         if team is None:
             return unknown_team(spec.team)
