--- a/appledock/core/api/job_cancellation.py
+++ b/appledock/core/api/job_cancellation.py
@@ -94,7 +94,7 @@
     def _commit(self, request_id: int, job: Job) -> None:
         """Write the cancellation, which also ends the job if none of its attempts is unsettled."""
         cancelled = job.copy()
-        cancelled.cancelled, cancelled.cancelled_at = True, self._runtime.wall_time
+        cancelled.cancelled, cancelled.cancelled_wall_time = True, self._runtime.wall_time
         ends_job = not job.attempts
         cancellation = Transaction({JOBS_PREFIX + job.id: job.version})
         if ends_job:
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -112,7 +112,11 @@
     def _stop_checkpointing_after_deadline(self) -> None:
         """Stop tasks with checkpoints of own jobs after the deadline of the last change."""
         agreed = self._replica.capacity.agreed_fractions
-        if agreed is None or agreed.stop_at is None or self._runtime.wall_time < agreed.stop_at:
+        if (
+            agreed is None
+            or agreed.stop_wall_time is None
+            or self._runtime.wall_time < agreed.stop_wall_time
+        ):
             return
         for machine, _ in self._machines_being_handed_over():
             for job_id, tasks in self._checkpointing_tasks(machine).items():
--- a/appledock/core/fleet/forecast.py
+++ b/appledock/core/fleet/forecast.py
@@ -71,10 +71,10 @@
 
         A machine that waits for a job costs money, so it is rented early only in these cases.
         """
-        _, deadline_at = self._replica.dependencies.inherited_priority(job)
-        has_deadline = deadline_at < job.submitted_at + constants.NO_DEADLINE_S
+        _, deadline_wall_time = self._replica.dependencies.inherited_priority(job)
+        has_deadline = deadline_wall_time < job.submitted_wall_time + constants.NO_DEADLINE_S
         return self._objectives.has_wait_limit(job.spec) or (
-            has_deadline and self._runtime.wall_time < deadline_at
+            has_deadline and self._runtime.wall_time < deadline_wall_time
         )
 
     def _is_due(self, job: Job) -> bool:
--- a/appledock/core/fleet/idle_reserve.py
+++ b/appledock/core/fleet/idle_reserve.py
@@ -102,7 +102,7 @@
     def on_job_changed(self, job: Job) -> None:
         """Record the arrival if the job is a service that is not known yet."""
         if job.spec.service and job.id not in self._arrivals:
-            age_s = max(0.0, self._runtime.wall_time - job.submitted_at)
+            age_s = max(0.0, self._runtime.wall_time - job.submitted_wall_time)
             self._arrivals[job.id] = ServiceArrival(self._runtime.now - age_s, job.spec)
 
     def target(self) -> ReserveTarget:
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -104,7 +104,9 @@
         if known is None:
             now = self._runtime.now
             age_s = (
-                max(0.0, self._runtime.wall_time - job.cancelled_at) if job.cancelled_at else 0.0
+                max(0.0, self._runtime.wall_time - job.cancelled_wall_time)
+                if job.cancelled_wall_time
+                else 0.0
             )
             known = self._known_cancellations[job.id] = KnownCancellation(now, now - age_s)
         return known
--- a/appledock/core/records/capacity.py
+++ b/appledock/core/records/capacity.py
@@ -29,7 +29,7 @@
     fractions: MachineFractions
     previous_fractions: MachineFractions
     """Fractions before the last change."""
-    stop_at: float | None
+    stop_wall_time: float | None
     """Time of day from which tasks with checkpoints may be stopped for the change, in seconds."""
 
     def encode(self) -> dict[str, Any]:
@@ -38,7 +38,7 @@
             "request": self.request_id,
             "shares": self.fractions,
             "before": self.previous_fractions,
-            "stop_at": self.stop_at,
+            "stop_at": self.stop_wall_time,
         }
 
 
--- a/appledock/core/records/dependencies.py
+++ b/appledock/core/records/dependencies.py
@@ -24,7 +24,7 @@
 
     rank: int
     """Highest rank among the job and its dependents."""
-    deadline_at: float
+    deadline_wall_time: float
     """Time of day, in seconds, by which the job must be complete so that its dependents can meet
     their deadlines, according to their estimated run times."""
 
@@ -193,7 +193,7 @@
     def inherited_priority(self, job: Job) -> InheritedPriority:
         """Return the rank and the deadline that the job gets from its dependents."""
         if job.id not in self.dependents:
-            return InheritedPriority(job.spec.rank, job.deadline_at())
+            return InheritedPriority(job.spec.rank, job.deadline_wall_time())
         known = self._inherited_cache.get(job.id)
         if known is not None:
             return known
@@ -201,7 +201,7 @@
         priorities = {}
         for name in order:
             member = job if name == job.id else self.open_jobs[name]
-            priorities[name] = InheritedPriority(member.spec.rank, member.deadline_at())
+            priorities[name] = InheritedPriority(member.spec.rank, member.deadline_wall_time())
         # Repeat passes from the ends of the pipelines backwards until nothing changes. The graph
         # has no cycles, so the number of passes is at most the length of the longest pipeline.
         is_changed = True
@@ -228,15 +228,15 @@
 
     def _inherit(self, job_id: str, priorities: dict[str, InheritedPriority]) -> InheritedPriority:
         """Return the priority of the job, raised to the priorities of its direct dependents."""
-        rank, deadline_at = priorities[job_id]
+        rank, deadline_wall_time = priorities[job_id]
         for dependent in self.dependents.get(job_id, ()):
             if dependent in self.cancelled_by_dependency:
                 continue
             inherited = priorities.get(dependent) or self._inherited_cache[dependent]
             estimate_s = self.open_jobs[dependent].spec.estimate_s
             rank = max(rank, inherited.rank)
-            deadline_at = min(deadline_at, inherited.deadline_at - estimate_s)
-        return InheritedPriority(rank, deadline_at)
+            deadline_wall_time = min(deadline_wall_time, inherited.deadline_wall_time - estimate_s)
+        return InheritedPriority(rank, deadline_wall_time)
 
     def _invalidate_inherited(self, job_id: str, prerequisites: Iterable[str]) -> None:
         """Drop the cached priorities of the job and its direct and indirect prerequisites."""
--- a/appledock/core/records/job.py
+++ b/appledock/core/records/job.py
@@ -60,7 +60,7 @@
     """The record of one open job, with the version of its key."""
 
     spec: wire.JobSpec
-    submitted_at: float
+    submitted_wall_time: float
     """Time of day of the submission, in seconds."""
     version: int = 0
     last_step: int = 0
@@ -68,7 +68,7 @@
     completed_tasks: IntervalSet = field(default_factory=IntervalSet)
     attempts: list[Attempt] = field(default_factory=list)
     cancelled: bool = False
-    cancelled_at: float = 0.0
+    cancelled_wall_time: float = 0.0
     """Time of day of the cancellation, in seconds; 0 if unknown."""
     handoff_target: HandoffTarget | None = None
     """Owner of the job while that process is a member; None if the owner is derived."""
@@ -119,25 +119,25 @@
         """Return an independent copy that is not sealed."""
         return Job(
             self.spec,
-            self.submitted_at,
+            self.submitted_wall_time,
             self.version,
             self.last_step,
             self.completed_tasks.copy(),
             [attempt.copy() for attempt in self.attempts],
             self.cancelled,
-            self.cancelled_at,
+            self.cancelled_wall_time,
             self.handoff_target,
             self.consecutive_failures,
         )
 
-    def deadline_at(self) -> float:
+    def deadline_wall_time(self) -> float:
         """Return the time of day by which the job should be complete, in seconds.
 
         For a job without a deadline, the time is far in the future.
         """
         if self.spec.deadline_s is None:
-            return self.submitted_at + 1e9
-        return self.submitted_at + self.spec.deadline_s
+            return self.submitted_wall_time + 1e9
+        return self.submitted_wall_time + self.spec.deadline_s
 
     def encode(self, format_: int = 1) -> dict[str, Any]:
         """Encode the record in a format that every node of the cluster can read.
@@ -151,12 +151,12 @@
                 for name, value in msgspec.structs.asdict(self.spec).items()
                 if value is not None
             },
-            "at": round(self.submitted_at, 3),
+            "at": round(self.submitted_wall_time, 3),
             "steps": self.last_step,
         }
         record.update(self._encode_tasks_in_groups() if format_ >= 2 else self._encode_tasks())
         if self.cancelled:
-            record["cancelled"] = round(self.cancelled_at, 3) or True
+            record["cancelled"] = round(self.cancelled_wall_time, 3) or True
         if self.handoff_target:
             record["to"] = list(self.handoff_target)
         if self.consecutive_failures:
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -73,7 +73,7 @@
 
     def waiting_since(self, job: Job) -> float:
         """Return the time of day (s) since which the job is ready and waits for placement."""
-        return self._ready_at.get(job.id, job.submitted_at)
+        return self._ready_at.get(job.id, job.submitted_wall_time)
 
     def sort_key(self, job: Job) -> QueueSortKey:
         """Return the job's sort key: guarantee, rank, missed limits, then remaining work or age.
@@ -81,7 +81,7 @@
         A job that others depend on inherits the highest rank of these, and as a limit the
         earliest of their deadlines less their own run time.
         """
-        rank, inherited_deadline_at = self._replica.dependencies.inherited_priority(job)
+        rank, inherited_deadline_wall_time = self._replica.dependencies.inherited_priority(job)
         since = self.waiting_since(job)
         waited_s = self._runtime.wall_time - since
         if self._is_ageing(job, waited_s):
@@ -89,7 +89,9 @@
             guarantee = GuaranteeClass.OVERDUE if is_overdue else GuaranteeClass.WITHIN_GUARANTEE
             return QueueSortKey(guarantee, -rank, AGEING_PRECEDENCE, since)
         guarantee = self._guarantee_class(job)
-        limits_at = [] if job.spec.service else self._limits_at(job, since, inherited_deadline_at)
+        limits_at = (
+            [] if job.spec.service else self._limits_at(job, since, inherited_deadline_wall_time)
+        )
         missed = self._count_missed(job, limits_at)
         if missed == len(limits_at):
             # The job has no limit or misses all of them. Such jobs are ordered by age, so that
@@ -114,16 +116,18 @@
             return GuaranteeClass.WITHIN_GUARANTEE
         return GuaranteeClass.BEYOND_GUARANTEE
 
-    def _limits_at(self, job: Job, since: float, inherited_deadline_at: float) -> list[float]:
+    def _limits_at(
+        self, job: Job, since: float, inherited_deadline_wall_time: float
+    ) -> list[float]:
         """Return the times of day by which the job should be complete, one for each limit."""
         limits_at = [since + limit_s for limit_s in self._objectives.finish_limits_s(job.spec)]
         if job.spec.deadline_s is not None:
             limits_at += [
-                job.submitted_at + limit_s
+                job.submitted_wall_time + limit_s
                 for limit_s in self._objectives.deadline_limits_s(job.spec)
             ]
-        elif inherited_deadline_at < job.deadline_at():
-            limits_at.append(inherited_deadline_at)
+        elif inherited_deadline_wall_time < job.deadline_wall_time():
+            limits_at.append(inherited_deadline_wall_time)
         return limits_at
 
     def _count_missed(self, job: Job, limits_at: list[float]) -> int:
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -520,7 +520,11 @@
         return bool(controller.partitions.is_in_force())
 
     def job(self, spec: Any, completed: tuple[int, ...], **fields: Any) -> Any:
-        names = {"handoff": "handoff_target", "failures": "consecutive_failures"}
+        names = {
+            "handoff": "handoff_target",
+            "failures": "consecutive_failures",
+            "cancelled_at": "cancelled_wall_time",
+        }
         fields = {names.get(name, name): value for name, value in fields.items()}
         job = self.jobs.Job(spec, 12.5, 7, 3, **fields)
         for task in completed:
--- a/tests/test_compact.py
+++ b/tests/test_compact.py
@@ -60,10 +60,10 @@
         assert list(again.completed_tasks) == sorted(done)
         assert (
             again.spec,
-            again.submitted_at,
+            again.submitted_wall_time,
             again.last_step,
             again.cancelled,
-            again.cancelled_at,
+            again.cancelled_wall_time,
             again.handoff_target,
             again.consecutive_failures,
         ) == (job.spec, 12.5, 3, True, 13.25, ("n1", "x.1"), 2)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -55,7 +55,7 @@
         job = Job(self.specs[name], 100.0)
         return min(
             [
-                job.deadline_at(),
+                job.deadline_wall_time(),
                 *(self.end(other) - self.specs[other].estimate_s for other in self.behind(name)),
             ]
         )
--- a/tests/unit/quota/test_allocation.py
+++ b/tests/unit/quota/test_allocation.py
@@ -22,7 +22,7 @@
     """Queue order by time of submission."""
 
     def sort_key(self, job: Job) -> tuple[float, ...]:
-        return (job.submitted_at,)
+        return (job.submitted_wall_time,)
 
 
 @pytest.fixture
--- a/tests/unit/scheduling/test_queue_order.py
+++ b/tests/unit/scheduling/test_queue_order.py
@@ -65,4 +65,4 @@
     keys = [order.sort_key(queued) for queued in (small, large, late, too_late)]
     assert keys == sorted(keys)
     assert [key.missed_limits for key in keys] == [0, 0, 1, 2]
-    assert keys[3].tie_break == too_late.submitted_at  # by age, since no limit can be met
+    assert keys[3].tie_break == too_late.submitted_wall_time  # by age, since no limit can be met
