--- a/appledock/core/fleet/idle_reserve.py
+++ b/appledock/core/fleet/idle_reserve.py
@@ -18,6 +18,7 @@
     """A recently submitted service."""
 
     submitted_at: float
+    """time of submission, on the monotonic clock"""
     spec: wire.JobSpec
 
 
--- a/appledock/core/scheduling/queue_order.py
+++ b/appledock/core/scheduling/queue_order.py
@@ -60,20 +60,20 @@
         self._replica = replica
         self._quota = quota
         self._objectives = objectives
-        self._ready_at: dict[str, float] = {}
+        self._ready_wall_time: dict[str, float] = {}
         """job with dependencies -> time of day at which all were first seen to be met"""
 
     def on_dependencies_met(self, job_id: str) -> None:
         """Record that all dependencies of the job are met; only the first call counts."""
-        self._ready_at.setdefault(job_id, self._runtime.wall_time)
+        self._ready_wall_time.setdefault(job_id, self._runtime.wall_time)
 
     def forget(self, job_id: str) -> None:
         """Drop the state of a job that has ended."""
-        self._ready_at.pop(job_id, None)
+        self._ready_wall_time.pop(job_id, None)
 
     def waiting_since(self, job: Job) -> float:
         """Return the time of day (s) since which the job is ready and waits for placement."""
-        return self._ready_at.get(job.id, job.submitted_wall_time)
+        return self._ready_wall_time.get(job.id, job.submitted_wall_time)
 
     def sort_key(self, job: Job) -> QueueSortKey:
         """Return the job's sort key: guarantee, rank, missed limits, then remaining work or age.
@@ -89,11 +89,13 @@
             guarantee = GuaranteeClass.OVERDUE if is_overdue else GuaranteeClass.WITHIN_GUARANTEE
             return QueueSortKey(guarantee, -rank, AGEING_PRECEDENCE, since)
         guarantee = self._guarantee_class(job)
-        limits_at = (
-            [] if job.spec.service else self._limits_at(job, since, inherited_deadline_wall_time)
+        limit_wall_times = (
+            []
+            if job.spec.service
+            else self._limit_wall_times(job, since, inherited_deadline_wall_time)
         )
-        missed = self._count_missed(job, limits_at)
-        if missed == len(limits_at):
+        missed = self._count_missed(job, limit_wall_times)
+        if missed == len(limit_wall_times):
             # The job has no limit or misses all of them. Such jobs are ordered by age, so that
             # none starves, and do not delay jobs that can still meet a limit.
             return QueueSortKey(guarantee, -rank, missed, since)
@@ -116,28 +118,30 @@
             return GuaranteeClass.WITHIN_GUARANTEE
         return GuaranteeClass.BEYOND_GUARANTEE
 
-    def _limits_at(
+    def _limit_wall_times(
         self, job: Job, since: float, inherited_deadline_wall_time: float
     ) -> list[float]:
         """Return the times of day by which the job should be complete, one for each limit."""
-        limits_at = [since + limit_s for limit_s in self._objectives.finish_limits_s(job.spec)]
+        limit_wall_times = [
+            since + limit_s for limit_s in self._objectives.finish_limits_s(job.spec)
+        ]
         if job.spec.deadline_s is not None:
-            limits_at += [
+            limit_wall_times += [
                 job.submitted_wall_time + limit_s
                 for limit_s in self._objectives.deadline_limits_s(job.spec)
             ]
         elif inherited_deadline_wall_time < job.deadline_wall_time():
-            limits_at.append(inherited_deadline_wall_time)
-        return limits_at
+            limit_wall_times.append(inherited_deadline_wall_time)
+        return limit_wall_times
 
-    def _count_missed(self, job: Job, limits_at: list[float]) -> int:
+    def _count_missed(self, job: Job, limit_wall_times: list[float]) -> int:
         """Return the number of limits that the job misses even if it starts now.
 
         Under overload, jobs that can still meet all their limits thus come first, then those
         that can meet some.
         """
-        complete_at = self._runtime.wall_time + job.spec.estimate_s
-        return sum(complete_at > limit_at for limit_at in limits_at)
+        completion_wall_time = self._runtime.wall_time + job.spec.estimate_s
+        return sum(completion_wall_time > limit_wall_time for limit_wall_time in limit_wall_times)
 
 
 def _remaining_work_core_s(job: Job) -> float:
