--- a/appledock/app.py
+++ b/appledock/app.py
@@ -1,4 +1,8 @@
-"""Wires the core to sockets and clocks: one queue, one owner, one process."""
+"""Connects the core to sockets and clocks.
+
+Commands from all sources go through one queue and are handled by the core in batches. The
+resulting effects are executed as asynchronous I/O, whose replies are queued as further commands.
+"""
 
 from __future__ import annotations
 
@@ -48,11 +52,11 @@
 
 log = logging.getLogger(__name__)
 
-Called = TypeVar("Called", StoreReply, CloudReply, WorkerReply)
+Reply = TypeVar("Reply", StoreReply, CloudReply, WorkerReply)
 
 
 class App:
-    """One controller."""
+    """A controller process: the core with its HTTP server, peer links and clients."""
 
     def __init__(
         self,
@@ -67,19 +71,20 @@
             settings, f"{rng.getrandbits(48):012x}", rng, rebalancing, capacity
         )
         self.queue: list[Command] = []
-        self.scheduled = False
-        self.next_batch = 0.0
-        self.answers: dict[int, Answer] = {}
-        self.started: dict[int, tuple[str, float]] = {}
-        """request -> its kind and when it came, for the metrics"""
+        self.batch_scheduled = False
+        self.next_batch_at = 0.0
+        self.responders: dict[int, Answer] = {}
+        """request ID -> function that sends the response"""
+        self.arrivals: dict[int, tuple[str, float]] = {}
+        """request ID -> name of its metric and time of its arrival"""
         self.metrics = Metrics()
         self.last_request_id = 0
         self.tasks: set[asyncio.Task[None]] = set()
         self.store = Store(*split_address(settings.external.state))
         self.cloud = Cloud(*split_address(settings.external.cloud))
         self.workers = WorkerCalls(int(settings.cluster.limits.fd_limit * c.FD_WORKERS_SHARE))
-        sockets = settings.cluster.limits.fd_limit - c.FD_RESERVE - self.workers.most
-        self.server = Server(self._request, sockets)
+        max_connections = settings.cluster.limits.fd_limit - c.FD_RESERVE - self.workers.most
+        self.server = Server(self._handle_request, max_connections)
         self.links = {
             peer.name: PeerLink(
                 peer.name,
@@ -88,8 +93,8 @@
             )
             for peer in settings.peers
         }
-        self.outgoing: dict[str, list[bytes]] = {name: [] for name in self.links}
-        """peer -> messages of the present batch"""
+        self.peer_payloads: dict[str, list[bytes]] = {name: [] for name in self.links}
+        """peer -> encoded messages that result from the current batch"""
 
     async def run(self) -> None:
         """Serve until the process is killed."""
@@ -102,7 +107,7 @@
         for link in self.links.values():
             self._spawn(link.run())
         log.info(
-            "%s listens on %s, for %d connections at most",
+            "controller listening: name=%s address=%s max_connections=%d",
             self.settings.name,
             self.settings.listen,
             self.server.limit,
@@ -115,39 +120,43 @@
             self.push(Tick())
 
     def push(self, command: Command) -> None:
-        """Queue a command; the whole queue is worked through as one batch.
+        """Queue a command; all queued commands are handled as one batch.
 
-        Batches keep a least distance: with hundreds of machines what follows from a batch cost
-        more than its commands, since nearly every command was a batch of its own.
+        Batches are at least `BATCH_INTERVAL_S` apart. Without this interval, nearly every command
+        is a batch of its own; with hundreds of machines, the work that follows each batch then
+        costs more than the commands themselves.
         """
         self.queue.append(command)
-        if not self.scheduled:
-            self.scheduled = True
-            if self.loop.time() >= self.next_batch:
-                self.loop.call_soon(self._work)
+        if not self.batch_scheduled:
+            self.batch_scheduled = True
+            if self.loop.time() >= self.next_batch_at:
+                self.loop.call_soon(self._handle_batch)
             else:
-                # One pass of the loop later: answers read in the same pass come along.
-                self.loop.call_at(self.next_batch, self.loop.call_soon, self._work)
+                # Deferred by one iteration of the event loop, so that replies that are read in
+                # the same iteration join the batch.
+                self.loop.call_at(self.next_batch_at, self.loop.call_soon, self._handle_batch)
 
-    def _work(self) -> None:
-        self.scheduled = False
-        self.next_batch = self.loop.time() + c.BATCH_INTERVAL_S
+    def _handle_batch(self) -> None:
+        self.batch_scheduled = False
+        self.next_batch_at = self.loop.time() + c.BATCH_INTERVAL_S
         batch, self.queue = self.queue, []
-        since = self.loop.time()
-        effects = self.engine.handle(batch, since, time.time())
-        self.metrics.took("engine.batch", self.loop.time() - since)
+        started_at = self.loop.time()
+        effects = self.engine.handle(batch, started_at, time.time())
+        self.metrics.record("engine.batch", self.loop.time() - started_at)
         for effect in effects:
-            self._carry_out(effect)
-        # One write for all that a batch says to a peer: each costs a system call.
-        for name, payloads in self.outgoing.items():
+            self._execute(effect)
+        # One write for all messages of a batch to a peer, since each write is a system call.
+        for name, payloads in self.peer_payloads.items():
             if payloads:
                 self.links[name].send(b"".join(payloads))
                 payloads.clear()
 
-    def _request(self, method: str, path: str, _query: str, body: bytes, answer: Answer) -> None:
+    def _handle_request(
+        self, method: str, path: str, _query: str, body: bytes, respond: Answer
+    ) -> None:
         self.last_request_id += 1
         if path == users.ADMIN + "metrics" and method == "GET":
-            answer(
+            respond(
                 200,
                 wire.encode(
                     {
@@ -168,77 +177,77 @@
         try:
             command = users.command(self.last_request_id, method, path, body)
         except users.Refused as refused:
-            answer(refused.status, wire.encode({"error": refused.error}), refused.headers)
+            respond(refused.status, wire.encode({"error": refused.error}), refused.headers)
             return
-        self.answers[self.last_request_id] = answer
-        self.started[self.last_request_id] = (users.metric_name(command), self.loop.time())
+        self.responders[self.last_request_id] = respond
+        self.arrivals[self.last_request_id] = (users.metric_name(command), self.loop.time())
         self.push(command)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case Response():
-                answer = self.answers.pop(effect.request_id, None)
-                if answer is not None:
-                    kind, since = self.started.pop(effect.request_id)
-                    self.metrics.took(f"request.{kind}", self.loop.time() - since)
-                    answer(effect.status, wire.encode(effect.body), effect.headers)
+                respond = self.responders.pop(effect.request_id, None)
+                if respond is not None:
+                    name, arrived_at = self.arrivals.pop(effect.request_id)
+                    self.metrics.record(f"request.{name}", self.loop.time() - arrived_at)
+                    respond(effect.status, wire.encode(effect.body), effect.headers)
             case StoreCall():
-                self._spawn(self._store(effect))
+                self._spawn(self._run_store_call(effect))
             case CloudCall():
-                self._spawn(self._cloud(effect))
+                self._spawn(self._run_cloud_call(effect))
             case WorkerCall():
-                self._spawn(self._worker(effect))
+                self._spawn(self._run_worker_call(effect))
             case PeerSend():
                 payload = frame(wire.encode(effect.message))
-                for name, payloads in self.outgoing.items():
+                for name, payloads in self.peer_payloads.items():
                     if effect.to is None or effect.to == name:
                         payloads.append(payload)
             case SetLogLevel():
                 logging.getLogger().setLevel(effect.level.upper())
 
-    async def _store(self, call: StoreCall) -> None:
-        since = self.loop.time()
-        reply = await self._outcome(
+    async def _run_store_call(self, call: StoreCall) -> None:
+        started_at = self.loop.time()
+        reply = await self._reply_or_unknown(
             self.store.run(call), StoreReply(call.call_id, UnknownOutcome())
         )
         if not isinstance(call.request, WatchKeys):
-            self.metrics.took(f"state.{operation(call.request)}", self.loop.time() - since)
+            self.metrics.record(f"state.{operation(call.request)}", self.loop.time() - started_at)
         self.push(reply)
 
-    async def _cloud(self, call: CloudCall) -> None:
-        since = self.loop.time()
-        reply = await self._outcome(
+    async def _run_cloud_call(self, call: CloudCall) -> None:
+        started_at = self.loop.time()
+        reply = await self._reply_or_unknown(
             self.cloud.run(call), CloudReply(call.call_id, CloudOutcome.UNKNOWN)
         )
-        self.metrics.took(f"cloud.{cloud_operation(call.request)}", self.loop.time() - since)
+        self.metrics.record(f"cloud.{cloud_operation(call.request)}", self.loop.time() - started_at)
         self.push(reply)
 
-    async def _worker(self, call: WorkerCall) -> None:
+    async def _run_worker_call(self, call: WorkerCall) -> None:
         self.push(
-            await self._outcome(
+            await self._reply_or_unknown(
                 self.workers.run(call), WorkerReply(call.call_id, WorkerOutcome.UNKNOWN)
             )
         )
 
     @staticmethod
-    async def _outcome(answer: Awaitable[Called], unknown: Called) -> Called:
-        """Give the answer, whatever happens.
+    async def _reply_or_unknown(pending_reply: Awaitable[Reply], unknown: Reply) -> Reply:
+        """Return the reply, or `unknown` if the call raises an exception.
 
-        Guards against calls that the core waits for for ever: one renewal, proof or rental
-        whose end it never hears, and it sends no other.
+        The core must get a reply to every call: while a lease renewal, a view confirmation or a
+        rental is in flight, it starts no other, so a lost reply would block it forever.
         """
         try:
-            return await answer
-        except Exception:  # a bug, or an answer that a library chokes on
+            return await pending_reply
+        except Exception:  # a bug, or an answer on which a library fails
             log.exception("call failed")
             return unknown
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         task = self.loop.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.error("task failed", exc_info=task.exception())
--- a/appledock/metrics.py
+++ b/appledock/metrics.py
@@ -12,20 +12,20 @@
 
 
 class Metrics:
-    """One histogram for each kind of request, call and batch."""
+    """Latency histograms, one for each kind of request, call and batch."""
 
     def __init__(self) -> None:
         self.histograms: dict[str, HdrHistogram] = {}
 
-    def took(self, name: str, seconds: float) -> None:
-        """Count a duration under this name."""
+    def record(self, name: str, seconds: float) -> None:
+        """Add a duration to the histogram of this name; durations beyond its range are clamped."""
         histogram = self.histograms.get(name)
         if histogram is None:
             histogram = self.histograms[name] = HdrHistogram(1, c.LATENCY_MAX_US, c.LATENCY_DIGITS)
         histogram.record_value(min(max(1, int(seconds * 1e6)), c.LATENCY_MAX_US))
 
     def summary(self) -> dict[str, Any]:
-        """Count and percentiles in milliseconds by name."""
+        """Return the count and the percentiles, in milliseconds, of each histogram by name."""
         return {
             "latency_ms": {
                 name: {
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -42,7 +42,7 @@
         answers: list[object] = []
         app.engine.runtime.call(make, lambda reply: answers.append(reply.outcome))
         for effect in app.engine.handle([], 1.0, 0.0):
-            app._carry_out(effect)
+            app._execute(effect)
         for _ in range(50):
             await asyncio.sleep(0.01)
             if answers:
