--- a/appledock/cli.py
+++ b/appledock/cli.py
@@ -1,4 +1,4 @@
-"""The command line: runs a controller, checks settings, talks to the administration API."""
+"""The command line: runs a controller, checks settings, and uses the administration API."""
 
 from __future__ import annotations
 
@@ -16,60 +16,69 @@
 from appledock.capacity.settings import Capacity, CapacityError
 from appledock.capacity.settings import load as load_capacity
 from appledock.cli_capacity import capacity as capacity_commands
-from appledock.cli_requests import API, FAILED, JSON, USAGE, ask, fail, show, table
+from appledock.cli_requests import (
+    API_OPTION,
+    EXIT_FAILED,
+    EXIT_USAGE,
+    JSON_OPTION,
+    fail,
+    print_reply,
+    print_table,
+    send_request,
+)
 from appledock.console.link import Link
 from appledock.constants import CONSOLE_BYTES_PER_S
 from appledock.rebalancing.settings import Rebalancing, RebalancingError, schema
 from appledock.rebalancing.settings import load as load_rebalancing
 from appledock.settings import Settings, SettingsError, load
 
-LEVELS = {
+LOG_LEVELS = {
     "error": logging.ERROR,
     "warning": logging.WARNING,
     "info": logging.INFO,
     "debug": logging.DEBUG,
 }
-ADDRESS = re.compile(r"[^\s:]+:[0-9]{1,5}")
+ADDRESS_PATTERN = re.compile(r"[^\s:]+:[0-9]{1,5}")
 
 
 def set_up_logging() -> None:
-    """Log to standard error at the level of LOG_LEVEL."""
+    """Log to standard error, at the level that the environment variable LOG_LEVEL names."""
     name = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS.get(name, logging.INFO),
+        level=LOG_LEVELS.get(name, logging.INFO),
         format="%(asctime)s %(levelname)s %(name)s %(message)s",
     )
-    if name not in LEVELS:
+    if name not in LOG_LEVELS:
         logging.getLogger().warning("unknown LOG_LEVEL %r, using info", name)
 
 
 def read_settings(path: str) -> Settings:
-    """Read the settings file, or end the program."""
+    """Read the settings file; exit if it is invalid."""
     try:
         return load(path)
     except SettingsError as error:
-        fail(f"{path}: {error}", USAGE)
+        fail(f"{path}: {error}", EXIT_USAGE)
 
 
 def read_rebalancing(path: str | None, settings: Settings) -> Rebalancing | None:
-    """Read the file that enables rebalancing, or end the program."""
+    """Read the file that enables rebalancing, if one is given; exit if it is invalid."""
     if path is None:
         return None
     try:
         return load_rebalancing(path, settings.cluster)
     except RebalancingError as error:
-        fail(f"{path}: {error}", USAGE)
+        fail(f"{path}: {error}", EXIT_USAGE)
 
 
 def read_capacity(path: str | None, settings: Settings) -> Capacity | None:
-    """Read the file that enables capacity shares, or end the program."""
+    """Read the file that enables capacity shares, if one is given; exit if it is invalid."""
     if path is None:
         return None
     try:
         return load_capacity(path, settings)
     except CapacityError as error:
-        fail(f"{path}: {error}", USAGE)
+        fail(f"{path}: {error}", EXIT_USAGE)
 
 
 def serve(path: str, rebalancing_path: str | None, capacity_path: str | None) -> None:
@@ -80,7 +89,7 @@
     set_up_logging()
 
     async def start() -> None:
-        from appledock.app import App  # noqa: PLC0415  (the other commands start faster)
+        from appledock.app import App  # noqa: PLC0415  (other commands start faster without it)
 
         await App(settings, rebalancing, capacity).run()
 
@@ -89,22 +98,26 @@
     except KeyboardInterrupt:
         sys.exit(130)
     except OSError as error:
-        fail(str(error), FAILED)
+        fail(str(error), EXIT_FAILED)
 
 
-REBALANCING = click.option(
-    "--rebalancing", metavar="FILE", help="Spread load as this file says (docs/operations)."
+REBALANCING_OPTION = click.option(
+    "--rebalancing",
+    metavar="FILE",
+    help="Enable rebalancing with the rules in this file (docs/operations).",
 )
-CAPACITY = click.option(
-    "--capacity", metavar="FILE", help="Share machines as this file says (docs/operations)."
+CAPACITY_OPTION = click.option(
+    "--capacity",
+    metavar="FILE",
+    help="Enable capacity shares as this file defines them (docs/operations).",
 )
 
 
 @click.group(invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="appledock")
 @click.option("--config", metavar="FILE", help="Run a controller with this settings file.")
-@REBALANCING
-@CAPACITY
+@REBALANCING_OPTION
+@CAPACITY_OPTION
 @click.pass_context
 def main(
     context: click.Context, config: str | None, rebalancing: str | None, capacity: str | None
@@ -113,14 +126,16 @@
     if context.invoked_subcommand is None:
         if config is None:
             click.echo(context.get_help())
-            sys.exit(USAGE)
+            sys.exit(EXIT_USAGE)
         serve(config, rebalancing, capacity)
 
 
 @main.command()
-@click.option("--config", metavar="FILE", required=True, help="The platform's settings file.")
-@REBALANCING
-@CAPACITY
+@click.option(
+    "--config", metavar="FILE", required=True, help="Settings file, as the platform provides it."
+)
+@REBALANCING_OPTION
+@CAPACITY_OPTION
 def run(config: str, rebalancing: str | None, capacity: str | None) -> None:
     """Run a controller until it is killed."""
     serve(config, rebalancing, capacity)
@@ -128,10 +143,10 @@
 
 @main.command()
 @click.argument("file")
-@REBALANCING
-@CAPACITY
+@REBALANCING_OPTION
+@CAPACITY_OPTION
 def check(file: str, rebalancing: str | None, capacity: str | None) -> None:
-    """Check a settings file, and the files of parts with it."""
+    """Check a settings file, and the files for --rebalancing and --capacity if given."""
     settings = read_settings(file)
     read_rebalancing(rebalancing, settings)
     read_capacity(capacity, settings)
@@ -139,21 +154,23 @@
 
 
 @main.command()
-@API
-@JSON
+@API_OPTION
+@JSON_OPTION
 def status(api: str, as_json: bool) -> None:
-    """What a controller knows of the cluster."""
-    reply = ask(api, "GET", "status")
-    show(reply, as_json, [{"what": k, "value": v} for k, v in reply.items()], ["what", "value"])
+    """Show the state of the cluster as a controller knows it."""
+    reply = send_request(api, "GET", "status")
+    print_reply(
+        reply, as_json, [{"what": k, "value": v} for k, v in reply.items()], ["what", "value"]
+    )
 
 
 @main.command()
-@API
-@JSON
+@API_OPTION
+@JSON_OPTION
 def jobs(api: str, as_json: bool) -> None:
-    """Open jobs and what they wait for."""
-    reply = ask(api, "GET", "jobs")
-    show(
+    """List unfinished jobs and what they wait for."""
+    reply = send_request(api, "GET", "jobs")
+    print_reply(
         reply,
         as_json,
         reply["jobs"],
@@ -174,12 +191,12 @@
 
 
 @main.command()
-@API
-@JSON
+@API_OPTION
+@JSON_OPTION
 def machines(api: str, as_json: bool) -> None:
-    """Machines whose workers report."""
-    reply = ask(api, "GET", "machines")
-    show(
+    """List machines whose workers send heartbeats."""
+    reply = send_request(api, "GET", "machines")
+    print_reply(
         reply,
         as_json,
         reply["machines"],
@@ -199,12 +216,12 @@
 
 
 @main.command()
-@API
-@JSON
+@API_OPTION
+@JSON_OPTION
 def teams(api: str, as_json: bool) -> None:
-    """What the teams hold of their guarantees and limits."""
-    reply = ask(api, "GET", "teams")
-    show(
+    """Show the resources that teams hold, and their guarantees and limits."""
+    reply = send_request(api, "GET", "teams")
+    print_reply(
         reply,
         as_json,
         reply["teams"],
@@ -213,28 +230,28 @@
 
 
 @main.command("load")
-@API
-@JSON
+@API_OPTION
+@JSON_OPTION
 def show_load(api: str, as_json: bool) -> None:
-    """Committed load of workers and teams, and why overloaded workers stay so."""
-    reply = rebalancing_state(api)
+    """Show the committed load of workers and teams, and why overloaded workers stay overloaded."""
+    reply = fetch_rebalancing_state(api)
     workers = sorted(reply["workers"], key=lambda row: -row["load"])
-    show(reply, as_json, workers, ["id", "owner", "load", "smoothed", "teams", "stays"])
+    print_reply(reply, as_json, workers, ["id", "owner", "load", "smoothed", "teams", "stays"])
     if not as_json:
         click.echo(f"\nmean {reply['mean']:g}")
-        table(reply["teams"], ["name", "mean", "most", "machine", "bound", "within"])
+        print_table(reply["teams"], ["name", "mean", "most", "machine", "bound", "within"])
         for name, situation in sorted(reply["datasets"].items()):
             click.echo(f"data set {name}: {situation}")
 
 
 @main.command()
-@API
-@JSON
+@API_OPTION
+@JSON_OPTION
 def moves(api: str, as_json: bool) -> None:
-    """Moves of running tasks that a controller has asked for, and what came of them."""
-    reply = rebalancing_state(api)
+    """List the moves of running tasks that a controller has requested, with their outcomes."""
+    reply = fetch_rebalancing_state(api)
     rows = [*reply["ended"], *({**row, "outcome": "under way"} for row in reply["under_way"])]
-    show(reply, as_json, rows, ["job", "task", "from", "to", "outcome"])
+    print_reply(reply, as_json, rows, ["job", "task", "from", "to", "outcome"])
     if not as_json:
         state = "paused" if reply["paused"] else "dry run" if reply["dry_run"] else "on"
         click.echo(f"\nmoves are {state}")
@@ -242,11 +259,11 @@
             click.echo(f"{count:6d}  {outcome}")
 
 
-def rebalancing_state(api: str) -> Any:
-    """What a controller knows of load and moves; ends the program where that is off."""
-    reply = ask(api, "GET", "rebalancing")
+def fetch_rebalancing_state(api: str) -> Any:
+    """Return load and moves as a controller knows them; exit if rebalancing is off there."""
+    reply = send_request(api, "GET", "rebalancing")
     if not reply["enabled"]:
-        fail("rebalancing is off: the controller was started without --rebalancing", FAILED)
+        fail("rebalancing is off: the controller was started without --rebalancing", EXIT_FAILED)
     return reply
 
 
@@ -258,24 +275,24 @@
     multiple=True,
     required=True,
     envvar="APPLEDOCK_API",
-    help="A controller's public address; name all of them, it goes on with another one.",
+    help="A controller's public address; repeat for each controller, to allow failover.",
 )
 @click.option(
     "--bytes-per-second",
     default=CONSOLE_BYTES_PER_S,
     show_default=True,
     type=click.IntRange(min=200),
-    help="What it takes of its link at most.",
+    help="Limit on the traffic that the console causes on its network link.",
 )
 def console(addresses: tuple[str, ...], bytes_per_second: int) -> None:
     """Watch workers, teams, moves and controllers on a terminal."""
     for address in addresses:
-        if not ADDRESS.fullmatch(address):
-            fail(f"{address}: HOST:PORT is needed", USAGE)
+        if not ADDRESS_PATTERN.fullmatch(address):
+            fail(f"{address}: HOST:PORT is needed", EXIT_USAGE)
     try:
-        from appledock.console.screen import Console  # noqa: PLC0415  (not on controllers)
+        from appledock.console.screen import Console  # noqa: PLC0415  (controllers have no textual)
     except ModuleNotFoundError as error:
-        fail(f"the console needs requirements-console.txt: {error}", USAGE)
+        fail(f"the console needs requirements-console.txt: {error}", EXIT_USAGE)
     Console(Link(list(addresses), bytes_per_second)).run()
 
 
@@ -286,41 +303,43 @@
 
 
 @main.command()
-@API
-@JSON
+@API_OPTION
+@JSON_OPTION
 def metrics(api: str, as_json: bool) -> None:
-    """Latencies of a controller, in milliseconds."""
-    reply = ask(api, "GET", "metrics")
+    """Show the latencies that a controller has measured, in milliseconds."""
+    reply = send_request(api, "GET", "metrics")
     rows = [{"what": name, **values} for name, values in reply["latency_ms"].items()]
-    show(reply, as_json, rows, ["what", "count", "p50", "p90", "p99", "p100"])
+    print_reply(reply, as_json, rows, ["what", "count", "p50", "p90", "p99", "p100"])
 
 
 @main.group()
 def settings() -> None:
-    """Operators' settings, kept in the state service."""
+    """Read or change the operators' settings, which are kept in the state service."""
 
 
-def show_settings(reply: Any, as_json: bool) -> None:
-    """Print the operators' settings."""
+def print_settings(reply: Any, as_json: bool) -> None:
+    """Print the operators' settings as JSON or as a table."""
     rows = [{"name": name, **row} for name, row in reply["settings"].items()]
-    show(reply, as_json, rows, ["name", "value", "default", "least", "most", "unit", "reason"])
+    print_reply(
+        reply, as_json, rows, ["name", "value", "default", "least", "most", "unit", "reason"]
+    )
 
 
 @settings.command("get")
-@API
-@JSON
+@API_OPTION
+@JSON_OPTION
 def settings_get(api: str, as_json: bool) -> None:
-    """Values, defaults, ranges and reasons."""
-    show_settings(ask(api, "GET", "settings"), as_json)
+    """Show the settings: values, defaults, ranges and reasons."""
+    print_settings(send_request(api, "GET", "settings"), as_json)
 
 
 @settings.command("set")
-@API
-@JSON
-@click.option("--version", type=int, help="Fail if the settings are at another version by now.")
+@API_OPTION
+@JSON_OPTION
+@click.option("--version", type=int, help="Fail unless the settings are at this version.")
 @click.argument("changes", nargs=-1, required=True, metavar="NAME=VALUE...")
 def settings_set(api: str, as_json: bool, version: int | None, changes: tuple[str, ...]) -> None:
-    """Change settings on all controllers; `NAME=default` takes a change back."""
+    """Change settings on all controllers; `NAME=default` restores the default."""
     values: dict[str, Any] = {}
     for change in changes:
         name, equals, text = change.partition("=")
@@ -329,36 +348,36 @@
         except ValueError:
             equals = ""
         if not equals:
-            fail(f"{change}: NAME=NUMBER or NAME=default is needed", USAGE)
+            fail(f"{change}: NAME=NUMBER or NAME=default is needed", EXIT_USAGE)
     body: dict[str, Any] = {"settings": values}
     if version is not None:
         body["version"] = version
-    show_settings(ask(api, "PATCH", "settings", body), as_json)
+    print_settings(send_request(api, "PATCH", "settings", body), as_json)
 
 
-def machine_command(action: str, text: str) -> None:
-    """Add a command that does something to one machine."""
+def add_machine_command(action: str, help_text: str) -> None:
+    """Add a command that requests this action on a machine."""
 
-    @API
+    @API_OPTION
     @click.argument("machine")
     def command(api: str, machine: str) -> None:
-        reply = ask(api, "POST", f"machines/{machine}/{action}")
+        reply = send_request(api, "POST", f"machines/{machine}/{action}")
         click.echo(f"{machine}: {reply['cordoned'] or 'takes steps again'}")
 
-    main.command(action, help=text)(command)
+    main.command(action, help=help_text)(command)
 
 
-machine_command("cordon", "Place no more steps on a machine.")
-machine_command("uncordon", "Let a machine take steps again.")
-machine_command("drain", "Move the work of a machine elsewhere, then return it.")
+add_machine_command("cordon", "Stop placing tasks on a machine.")
+add_machine_command("uncordon", "Allow tasks to be placed on a machine again.")
+add_machine_command("drain", "Evict all tasks from a machine, then return it to the cloud.")
 
 
 @main.command("log-level")
-@API
+@API_OPTION
 @click.argument("level", type=click.Choice(["error", "info", "debug"]))
 def log_level(api: str, level: str) -> None:
-    """Change how much a controller logs, until it restarts."""
-    click.echo(ask(api, "PUT", "log-level", {"level": level})["level"])
+    """Change the log level of a controller until it restarts."""
+    click.echo(send_request(api, "PUT", "log-level", {"level": level})["level"])
 
 
 main.add_command(capacity_commands)
--- a/appledock/cli_capacity.py
+++ b/appledock/cli_capacity.py
@@ -1,4 +1,4 @@
-"""The command line for capacity shares: show, propose, apply, withdraw."""
+"""The `capacity` commands: show, propose, apply and withdraw shares, and record their history."""
 
 from __future__ import annotations
 
@@ -15,16 +15,31 @@
 import msgspec
 
 from appledock.capacity.settings import schema
-from appledock.cli_requests import API, FAILED, JSON, USAGE, ask, fail, show, table
-
-CHANGES = click.argument("changes", nargs=-1, required=True, metavar="PARTITION.POOL=SHARE...")
-REQUEST = click.option("--request", help="Name of the request; said again, it has no new effect.")
-VERSION = click.option("--version", type=int, help="Fail if the shares are at another version.")
+from appledock.cli_requests import (
+    API_OPTION,
+    EXIT_FAILED,
+    EXIT_USAGE,
+    JSON_OPTION,
+    fail,
+    print_reply,
+    print_table,
+    send_request,
+)
+
+CHANGES_ARGUMENT = click.argument(
+    "changes", nargs=-1, required=True, metavar="PARTITION.POOL=SHARE..."
+)
+REQUEST_OPTION = click.option(
+    "--request", help="ID of the request; a repetition with the same ID has no further effect."
+)
+VERSION_OPTION = click.option(
+    "--version", type=int, help="Fail unless the shares are at this version."
+)
 
 
 @click.group()
 def capacity() -> None:
-    """Machines shared among partitions of teams."""
+    """Show or change how machines are shared among partitions."""
 
 
 @capacity.command("schema")
@@ -34,18 +49,18 @@
 
 
 @capacity.command("show")
-@API
-@JSON
+@API_OPTION
+@JSON_OPTION
 def show_capacity(api: str, as_json: bool) -> None:
-    """Targets, holdings, use and machines that change hands."""
-    reply = ask(api, "GET", "capacity")
+    """Show targets, machines held, tasks, and machines that are leaving a partition."""
+    reply = send_request(api, "GET", "capacity")
     if not reply["enabled"]:
-        fail("capacity shares are off: the controller was started without --capacity", FAILED)
-    show_state(reply, as_json)
+        fail("capacity shares are off: the controller was started without --capacity", EXIT_FAILED)
+    print_state(reply, as_json)
 
 
-def show_state(reply: Any, as_json: bool) -> None:
-    """Print the state of all pools."""
+def print_state(reply: Any, as_json: bool) -> None:
+    """Print the state of all pools as JSON or as a table."""
     rows = [
         {
             "pool": pool,
@@ -53,21 +68,22 @@
             "share": reply["shares"][name].get(pool, 0.0),
             **row,
             "leaving": [
-                f"{x['machine']} ({x['tasks']}, {x['left_s']:g} s)" for x in row["leaving"]
+                f"{machine['machine']} ({machine['tasks']}, {machine['left_s']:g} s)"
+                for machine in row["leaving"]
             ],
         }
         for pool, state in reply["pools"].items()
         for name, row in state["partitions"].items()
     ]
     columns = ["pool", "partition", "share", "target", "held", "tasks", "controller", "leaving"]
-    show(reply, as_json, rows, columns)
+    print_reply(reply, as_json, rows, columns)
     if not as_json:
         state = "in force" if reply["in_force"] else "NOT in force yet"
         click.echo(f"\nversion {reply['version']}, {state}")
 
 
-def wanted(changes: tuple[str, ...]) -> dict[str, dict[str, float]]:
-    """The shares named on the command line."""
+def parse_shares(changes: tuple[str, ...]) -> dict[str, dict[str, float]]:
+    """Return the shares given on the command line, by partition and pool."""
     shares: dict[str, dict[str, float]] = {}
     for change in changes:
         name, _, text = change.partition("=")
@@ -75,18 +91,18 @@
         try:
             shares.setdefault(partition, {})[pool] = float(text)
         except ValueError:
-            fail(f"{change}: PARTITION.POOL=SHARE is needed", USAGE)
+            fail(f"{change}: PARTITION.POOL=SHARE is needed", EXIT_USAGE)
     return shares
 
 
 @capacity.command()
-@API
-@JSON
-@CHANGES
+@API_OPTION
+@JSON_OPTION
+@CHANGES_ARGUMENT
 def propose(api: str, as_json: bool, changes: tuple[str, ...]) -> None:
-    """What a change would drain, and for how long by the estimates; changes nothing."""
-    body = {"request": "proposal", "shares": wanted(changes)}
-    reply = ask(api, "POST", "capacity/propose", body)
+    """Show what a change would drain and the estimated time, without changing anything."""
+    body = {"request": "proposal", "shares": parse_shares(changes)}
+    reply = send_request(api, "POST", "capacity/propose", body)
     if as_json:
         click.echo(json.dumps(reply, indent=2))
         return
@@ -95,16 +111,20 @@
         for pool, by_partition in reply["pools"].items()
         for name, row in by_partition.items()
     ]
-    table(rows, ["pool", "partition", "target", "holds", "drains", "tasks", "left_s"])
+    print_table(rows, ["pool", "partition", "target", "holds", "drains", "tasks", "left_s"])
 
 
 @capacity.command()
-@API
-@JSON
-@REQUEST
-@VERSION
-@click.option("--deadline", type=float, help="Seconds after which tasks that save are stopped.")
-@CHANGES
+@API_OPTION
+@JSON_OPTION
+@REQUEST_OPTION
+@VERSION_OPTION
+@click.option(
+    "--deadline",
+    type=float,
+    help="Seconds after which tasks with checkpoints may be stopped for the change.",
+)
+@CHANGES_ARGUMENT
 def apply(
     api: str,
     as_json: bool,
@@ -113,76 +133,79 @@
     deadline: float | None,
     changes: tuple[str, ...],
 ) -> None:
-    """Change shares; machines change hands once their work has ended or moved."""
+    """Change shares; a machine changes partition once its tasks have ended or moved."""
     body: dict[str, Any] = {
         "request": request or uuid.uuid4().hex,
         "version": version,
-        "shares": wanted(changes),
+        "shares": parse_shares(changes),
         "deadline_s": deadline,
     }
-    show_state(ask(api, "POST", "capacity/apply", body), as_json)
+    print_state(send_request(api, "POST", "capacity/apply", body), as_json)
 
 
 @capacity.command()
-@API
-@JSON
-@REQUEST
-@VERSION
+@API_OPTION
+@JSON_OPTION
+@REQUEST_OPTION
+@VERSION_OPTION
 def withdraw(api: str, as_json: bool, request: str | None, version: int | None) -> None:
-    """Take the last change back, from wherever it has got to."""
+    """Withdraw the last change, whether or not it is complete."""
     body = {"request": request or uuid.uuid4().hex, "version": version}
-    show_state(ask(api, "POST", "capacity/withdraw", body), as_json)
+    print_state(send_request(api, "POST", "capacity/withdraw", body), as_json)
 
 
 @capacity.command()
-@API
-@click.option("--every", default=1.0, show_default=True, help="Seconds between two looks.")
-@click.option("--seconds", type=float, help="How long; until it is interrupted without it.")
+@API_OPTION
+@click.option("--every", default=1.0, show_default=True, help="Seconds between two samples.")
+@click.option(
+    "--seconds", type=float, help="Seconds to record; without this option, until interrupted."
+)
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 def history(api: str, every: float, seconds: float | None, file: Path) -> None:
-    """Collect use against grant into a compressed file; an existing one is continued."""
+    """Record targets, machines and tasks of partitions in a compressed file, or append to it."""
     if every <= 0:
-        fail("--every: a number above 0 is needed", USAGE)
-    archive = history_module()
-    looks = None if seconds is None else max(1, round(seconds / every))
-    with archive.HistoryWriter(file) as writer:
+        fail("--every: a number above 0 is needed", EXIT_USAGE)
+    history_file = import_history_module()
+    sample_count = None if seconds is None else max(1, round(seconds / every))
+    with history_file.HistoryWriter(file) as writer:
         try:
-            for look in itertools.count():
-                if look == looks:
+            for number in itertools.count():
+                if number == sample_count:
                     return
-                if look:
+                if number:
                     time.sleep(every)
-                reply = ask(api, "GET", "capacity")
+                reply = send_request(api, "GET", "capacity")
                 if not reply["enabled"]:
-                    fail("capacity shares are off", FAILED)
-                writer.add(archive.summary_rows(reply, round(time.time(), 3)))
+                    fail("capacity shares are off", EXIT_FAILED)
+                writer.add(history_file.summary_rows(reply, round(time.time(), 3)))
         except KeyboardInterrupt:
             return
 
 
 @capacity.command("read-history")
-@JSON
+@JSON_OPTION
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def read_history(as_json: bool, file: Path) -> None:
-    """Print a collected history."""
-    archive = history_module()
+    """Print a recorded history."""
+    history_file = import_history_module()
     try:
         rows = [
-            {**msgspec.structs.asdict(row), "at": moment(row.at)} for row in archive.read_rows(file)
+            {**msgspec.structs.asdict(row), "at": format_wall_time(row.at)}
+            for row in history_file.read_rows(file)
         ]
-    except archive.HistoryError as error:
-        fail(str(error), FAILED)
-    show(rows, as_json, rows, list(archive.HistoryRow.__struct_fields__))
+    except history_file.HistoryError as error:
+        fail(str(error), EXIT_FAILED)
+    print_reply(rows, as_json, rows, list(history_file.HistoryRow.__struct_fields__))
 
 
-def moment(at: float) -> str:
-    """A time of day as people read it."""
-    return datetime.fromtimestamp(at, UTC).isoformat(timespec="milliseconds")
+def format_wall_time(wall_time: float) -> str:
+    """Return a time of day, in seconds since the epoch, as ISO 8601 in UTC."""
+    return datetime.fromtimestamp(wall_time, UTC).isoformat(timespec="milliseconds")
 
 
-def history_module() -> Any:
-    """The module of compressed files, whose library controllers do not have."""
+def import_history_module() -> Any:
+    """Return the module for history files; its library is not installed on controllers."""
     try:
         return importlib.import_module("appledock.capacity.history")
     except ModuleNotFoundError as error:
-        fail(f"histories need requirements-console.txt: {error}", USAGE)
+        fail(f"histories need requirements-console.txt: {error}", EXIT_USAGE)
--- a/appledock/cli_requests.py
+++ b/appledock/cli_requests.py
@@ -1,4 +1,4 @@
-"""What the commands that talk to the administration API have in common."""
+"""Shared parts of the commands that use the administration API: requests, output, options."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from appledock.net.http import Client, NoAnswer, NotSent
 from appledock.settings import split_address
 
-FAILED, USAGE = 1, 2
-"""Exit codes: the request failed; the call or the file is wrong."""
+EXIT_FAILED, EXIT_USAGE = 1, 2
+"""Exit codes: the request failed; the command line or a file is invalid."""
 
 
 def fail(text: str, code: int) -> NoReturn:
-    """End the program with an error message."""
+    """Print an error message to standard error and exit with this code."""
     click.echo(f"appledock: {text}", err=True)
     sys.exit(code)
 
 
-def ask(api: str, method: str, path: str, body: Any = None) -> Any:
-    """One request to the administration API; ends the program if it fails."""
+def send_request(api: str, method: str, path: str, body: Any = None) -> Any:
+    """Send a request to the administration API and return its reply; exit if it fails."""
 
-    async def request() -> tuple[int, bytes]:
+    async def exchange() -> tuple[int, bytes]:
         client = Client(*split_address(api))
         payload = b"" if body is None else json.dumps(body).encode()
         try:
@@ -34,20 +34,22 @@
             client.close()
 
     try:
-        status, answer = asyncio.run(request())
+        status, answer = asyncio.run(exchange())
         reply = json.loads(answer)
     except (NotSent, NoAnswer) as error:
-        fail(f"{api}: {error}", FAILED)
+        fail(f"{api}: {error}", EXIT_FAILED)
     except ValueError as error:
-        fail(f"{api}: {error}", USAGE if "literal" in str(error) else FAILED)
+        # "invalid literal" is raised for a port that is no number, everything else for a reply
+        # that is not JSON.
+        fail(f"{api}: {error}", EXIT_USAGE if "literal" in str(error) else EXIT_FAILED)
     if status != 200:
         text = reply.get("error", answer.decode()) if isinstance(reply, dict) else answer.decode()
-        fail(f"{status}: {text}", FAILED)
+        fail(f"{status}: {text}", EXIT_FAILED)
     return reply
 
 
-def cell(value: Any) -> str:
-    """A value as a table shows it."""
+def format_cell(value: Any) -> str:
+    """Return a value as text for a cell of a table."""
     if value is None:
         return "-"
     if isinstance(value, bool):
@@ -61,9 +63,9 @@
     return str(value)
 
 
-def table(rows: list[dict[str, Any]], columns: list[str]) -> None:
-    """Rows under their headings."""
-    lines = [columns, *([cell(row.get(name)) for name in columns] for row in rows)]
+def print_table(rows: list[dict[str, Any]], columns: list[str]) -> None:
+    """Print the rows as a table, with the names of the columns as headings."""
+    lines = [columns, *([format_cell(row.get(name)) for name in columns] for row in rows)]
     widths = [max(len(line[i]) for line in lines) for i in range(len(columns))]
     for line in lines:
         click.echo(
@@ -71,15 +73,15 @@
         )
 
 
-def show(reply: Any, as_json: bool, rows: list[dict[str, Any]], columns: list[str]) -> None:
-    """Print a reply as JSON or as a table."""
+def print_reply(reply: Any, as_json: bool, rows: list[dict[str, Any]], columns: list[str]) -> None:
+    """Print the whole reply as JSON, or these rows and columns as a table."""
     if as_json:
         click.echo(json.dumps(reply, indent=2))
     else:
-        table(rows, columns)
+        print_table(rows, columns)
 
 
-API = click.option(
+API_OPTION = click.option(
     "--api",
     metavar="HOST:PORT",
     envvar="APPLEDOCK_API",
@@ -87,4 +89,4 @@
     show_default=True,
     help="A controller's public address (or APPLEDOCK_API).",
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
