--- a/appledock/cli.py
+++ b/appledock/cli.py
@@ -26,7 +26,7 @@
     print_table,
     send_request,
 )
-from appledock.console.link import Link
+from appledock.console.request_planner import RequestPlanner
 from appledock.constants import CONSOLE_BYTES_PER_S
 from appledock.rebalancing.settings import Rebalancing, RebalancingError, schema
 from appledock.rebalancing.settings import load as load_rebalancing
@@ -293,7 +293,7 @@
         from appledock.console.screen import Console  # noqa: PLC0415  (controllers have no textual)
     except ModuleNotFoundError as error:
         fail(f"the console needs requirements-console.txt: {error}", EXIT_USAGE)
-    Console(Link(list(addresses), bytes_per_second)).run()
+    Console(RequestPlanner(list(addresses), bytes_per_second)).run()
 
 
 @main.command("rebalancing-schema")
--- a/appledock/console/__init__.py
+++ b/appledock/console/__init__.py
@@ -1,5 +1,5 @@
-"""The terminal console: a screen on the administration API, for slow links.
+"""The terminal console: a client of the administration API that is made for slow links.
 
-`rows` and `changes` are also used by controllers and import nothing that they do not have;
-`screen` needs the libraries of requirements-console.txt.
+Controllers also use `rows` and `changes`, so these import only packages of requirements.txt;
+`screen` needs the packages of requirements-console.txt.
 """
--- a/appledock/console/changes.py
+++ b/appledock/console/changes.py
@@ -1,4 +1,4 @@
-"""Rows with versions: what has changed since a version, in parts of a bounded size."""
+"""Incremental updates of consoles: versioned rows, and the changes since a version in parts."""
 
 from __future__ import annotations
 
@@ -9,57 +9,68 @@
 import msgspec
 
 from appledock import constants as c
-from appledock.console.rows import TYPES, Changes, Row
+from appledock.console.rows import ROW_TYPES, Changes, Row
 
 
-class RowChanges:
-    """The rows of a controller, in the order in which they changed last.
+class VersionedRows:
+    """The rows of a controller, ordered by the version of their last change.
 
-    Every change of a row has a version of its own, so an answer may end anywhere and the next
-    one goes on there. Dropped rows stay for a while as changes to nothing; a console that knows
-    only what was before them begins anew.
+    Every change of a row has its own version, so an answer can end after any change and the next
+    answer continues there. Removed rows are kept as tombstones until there are more than
+    `CONSOLE_TOMBSTONES_MAX`, then all are deleted. A console whose version is older than a deleted
+    tombstone gets all rows again.
     """
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
         self.version = 0
-        self.floor = 0
-        """changes up to this version are not known one by one any more"""
+        self.compacted_version = 0
+        """highest version of a deleted tombstone; consoles with an older version get all rows"""
         self._rows: OrderedDict[str, tuple[int, Row | None]] = OrderedDict()
-        self._dropped = 0
+        """key -> version of the last change, and the row, which is None in a tombstone"""
+        self._tombstone_count = 0
 
     def update(self, rows: Mapping[str, Row]) -> None:
-        """Take the rows as they are now; those that are missing are dropped."""
+        """Replace the rows with the current ones; rows that are not among them are removed."""
         for key, row in rows.items():
-            known = self._rows.get(key)
-            if known is None or known[1] != row:
-                self._dropped -= known is not None and known[1] is None
+            previous = self._rows.get(key)
+            if previous is None or previous[1] != row:
+                self._tombstone_count -= previous is not None and previous[1] is None
                 self._set(key, row)
-        gone = [key for key, (_, row) in self._rows.items() if row is not None and key not in rows]
-        for key in gone:
-            self._dropped += 1
+        removed = [
+            key for key, (_, row) in self._rows.items() if row is not None and key not in rows
+        ]
+        for key in removed:
+            self._tombstone_count += 1
             self._set(key, None)
-        if self._dropped > c.CONSOLE_TOMBSTONES_MAX:
-            self._forget_dropped()
+        if self._tombstone_count > c.CONSOLE_TOMBSTONES_MAX:
+            self._compact()
 
     def _set(self, key: str, row: Row | None) -> None:
         self.version += 1
         self._rows[key] = (self.version, row)
         self._rows.move_to_end(key)
 
-    def _forget_dropped(self) -> None:
+    def _compact(self) -> None:
+        """Delete all tombstones."""
         for key in [key for key, (_, row) in self._rows.items() if row is None]:
-            self.floor = max(self.floor, self._rows.pop(key)[0])
-        self._dropped = 0
+            self.compacted_version = max(self.compacted_version, self._rows.pop(key)[0])
+        self._tombstone_count = 0
 
-    def since(self, incarnation: str, version: int, limit: int) -> Changes:
-        """Up to `limit` changes after a version, the oldest first."""
-        full = incarnation != self.incarnation or not self.floor <= version <= self.version
+    def changes_since(self, incarnation: str, version: int, limit: int) -> Changes:
+        """Return at most `limit` changes after a version, the oldest first.
+
+        The answer starts from an empty state if the version is of another incarnation or older
+        than a deleted tombstone.
+        """
+        full = (
+            incarnation != self.incarnation or not self.compacted_version <= version <= self.version
+        )
         after = 0 if full else version
         newest_first = itertools.takewhile(
             lambda item: item[1][0] > after, reversed(self._rows.items())
         )
-        # After a start, rows that are gone again are of no use.
+        # A console that starts from an empty state needs no tombstones.
         changed = [item for item in newest_first if not (after == 0 and item[1][1] is None)]
         changed.reverse()
         sent = changed[:limit]
@@ -75,7 +86,7 @@
 
 
 class Mirror:
-    """The rows as a console knows them."""
+    """A console's copy of the rows of a controller."""
 
     def __init__(self) -> None:
         self.incarnation = "-"
@@ -83,24 +94,28 @@
         self.rows: dict[str, Row] = {}
 
     def apply(self, changes: Changes) -> tuple[set[str], set[str]]:
-        """Take changes in; the keys that are new or other, and those that are gone.
+        """Apply changes; return the keys of new or changed rows, and those of removed rows.
+
+        Rows of unknown kinds are ignored.
 
-        Raises msgspec.ValidationError for rows of a form that this version does not know.
+        Raises:
+            msgspec.ValidationError: a row does not have the form that this version knows; no
+                change is applied.
         """
         rows = {
-            key: msgspec.convert(row, TYPES[kind])
+            key: msgspec.convert(row, ROW_TYPES[kind])
             for key, row in changes.rows.items()
-            if (kind := key.partition("/")[0]) in TYPES
+            if (kind := key.partition("/")[0]) in ROW_TYPES
         }
-        gone = set(self.rows) - set(rows) if changes.full else set(changes.dropped)
-        for key in gone:
+        removed = set(self.rows) - set(rows) if changes.full else set(changes.dropped)
+        for key in removed:
             self.rows.pop(key, None)
         self.rows.update(rows)
         self.incarnation, self.version = changes.incarnation, changes.version
-        return set(rows), gone
+        return set(rows), removed
 
-    def of(self, kind: str) -> dict[str, Row]:
-        """The rows of one kind by name."""
+    def rows_of_kind(self, kind: str) -> dict[str, Row]:
+        """Return the rows of one kind by name."""
         prefix = kind + "/"
         return {
             key.removeprefix(prefix): row
--- a/appledock/console/rows.py
+++ b/appledock/console/rows.py
@@ -1,4 +1,8 @@
-"""The rows that the console shows, as controllers send them: short, and one type each."""
+"""The rows that the console shows, as controllers send them.
+
+There is one type for each kind of row. Rows are encoded as arrays, without field names, to be
+short.
+"""
 
 from __future__ import annotations
 
@@ -6,9 +10,10 @@
 
 
 class ClusterRow(Struct, frozen=True, array_like=True):
-    """The cluster as the controller that was asked sees it."""
+    """The state of the cluster as the answering controller knows it."""
 
     node: str
+    """name of the answering controller"""
     jobs: int
     queued_tasks: int
     mean_load: float
@@ -22,30 +27,31 @@
 
     role: str
     """`leader`, `member`, `detached` or `not in the view`"""
-    reached: bool
-    """does the one that was asked hear it?"""
+    reachable: bool
+    """whether the answering controller receives its heartbeats"""
     workers: int
 
 
 class TeamRow(Struct, frozen=True, array_like=True):
-    """What a team has committed."""
+    """The resources that a team holds, and its largest share of one machine."""
 
     cpus: float
     cpus_max: float
-    most: float
-    """its largest share of one machine"""
+    max_machine_share: float
+    """largest load that the team has committed on one machine, as a share of the machine"""
     machine: str
-    within: bool
-    """is that within its bound?"""
+    """the machine with that share"""
+    within_bound: bool
+    """whether that share is within the team's bound on one machine"""
 
 
 class PartitionRow(Struct, frozen=True, array_like=True):
-    """What a partition has of a pool; its name is partition.pool."""
+    """The machines of a partition in one pool; the name of the row is `partition.pool`."""
 
     target: int
     held: int
     leaving: int
-    """machines that it is to hand over once they are empty"""
+    """number of machines that change to another partition once they are empty"""
     tasks: int
     controller: str
 
@@ -57,11 +63,11 @@
     load: float
     teams: str
     note: str
-    """why it takes no steps, or why nothing moves off it"""
+    """why no steps are placed on the worker, or why no tasks are moved away from it"""
 
 
 class MoveRow(Struct, frozen=True, array_like=True):
-    """A move that the controller that was asked has asked for."""
+    """A move of a running task that the answering controller has requested."""
 
     source: str
     destination: str
@@ -70,7 +76,7 @@
 
 Row = ClusterRow | ControllerRow | TeamRow | PartitionRow | WorkerRow | MoveRow
 
-TYPES: dict[str, type[Row]] = {
+ROW_TYPES: dict[str, type[Row]] = {
     "cluster": ClusterRow,
     "controller": ControllerRow,
     "team": TeamRow,
@@ -78,18 +84,21 @@
     "worker": WorkerRow,
     "move": MoveRow,
 }
-"""first part of a row's key -> its type; the rest of the key is its name"""
+"""kind of row -> its type; the key of a row is `kind/name`"""
 
 
 class Changes(Struct, frozen=True):
-    """What has changed since a version that the console knows."""
+    """The changes after the version that a console has."""
 
     incarnation: str
-    """of the controller: another one's versions mean nothing here"""
+    """incarnation of the answering controller; versions of other incarnations are unrelated"""
     version: int
+    """version that the console has once it has applied these changes"""
     full: bool
-    """from the beginning: rows known before are to be dropped"""
+    """whether the changes start from an empty state: the console drops its previous rows"""
     rows: dict[str, list[object]]
+    """new and changed rows by key"""
     dropped: list[str]
+    """keys of removed rows"""
     more: bool
-    """more has changed than fits into one answer"""
+    """whether there are further changes, which did not fit into this answer"""
--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from appledock.console.changes import RowChanges
+from appledock.console.changes import VersionedRows
 from appledock.console.rows import (
     Changes,
     ClusterRow,
@@ -56,12 +56,12 @@
         self._rebalancer = rebalancer
         self._partition_summary = partition_summary
         self._moves = moves
-        self._changes = RowChanges(runtime.incarnation)
+        self._versioned_rows = VersionedRows(runtime.incarnation)
 
     def changes_since(self, incarnation: str, version: int, limit: int) -> Changes:
         """Return the changes after the version that a console has, at most `limit` rows."""
-        self._changes.update(self._read_rows())
-        return self._changes.since(incarnation, version, limit)
+        self._versioned_rows.update(self._read_rows())
+        return self._versioned_rows.changes_since(incarnation, version, limit)
 
     def _read_rows(self) -> dict[str, Row]:
         """Return all rows by key; the rows that a console shows first come first."""
@@ -108,7 +108,7 @@
         return {
             f"controller/{name}": ControllerRow(
                 role=_controller_role(name, view),
-                reached=self._heartbeats.is_reachable(name),
+                reachable=self._heartbeats.is_reachable(name),
                 workers=worker_counts[name],
             )
             for name in sorted(names)
@@ -122,9 +122,9 @@
             rows[f"team/{name}"] = TeamRow(
                 cpus=round(self._quota_usage.held_by_team(name).cpus, 2),
                 cpus_max=team.cpus_max,
-                most=round(summary["most"], 2) if summary else 0.0,
+                max_machine_share=round(summary["most"], 2) if summary else 0.0,
                 machine=summary["machine"] if summary else "",
-                within=summary["within"] if summary else True,
+                within_bound=summary["within"] if summary else True,
             )
         return rows
 
--- a/run.py
+++ b/run.py
@@ -1,4 +1,7 @@
-"""Thin program that starts appledock from a checkout; see deploy/service.toml."""
+"""Entry point that runs appledock from a checkout, with its libraries in target/.
+
+deploy/service.toml tells the platform to start this program.
+"""
 
 import sys
 from pathlib import Path
@@ -7,7 +10,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "target" / "deps")]
 sys.path.append(str(ROOT / "target" / "console"))
 
-from appledock.cli import main  # noqa: E402  (the path has to be set first)
+from appledock.cli import main  # noqa: E402  (needs the path set above)
 
 if __name__ == "__main__":
     main()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -15,8 +15,8 @@
 
 from appledock import constants as c
 from appledock.cli import main
-from appledock.console.changes import Mirror, RowChanges
-from appledock.console.link import Link
+from appledock.console.changes import Mirror, VersionedRows
+from appledock.console.request_planner import RequestPlanner
 from appledock.console.rows import Changes, ClusterRow, ControllerRow, Row, TeamRow, WorkerRow
 from appledock.console.screen import Console
 from appledock.core.commands import AdminRequest, HeartbeatReceived
@@ -48,18 +48,18 @@
 @given(turns=turns)
 def test_a_mirror_that_has_caught_up_shows_the_rows(turns: Any) -> None:
     """Against the plainest model: the rows themselves. Controllers end, consoles lag."""
-    changes, mirror, lives = RowChanges("x.0"), Mirror(), 0
+    changes, mirror, lives = VersionedRows("x.0"), Mirror(), 0
     rows: dict[str, Row] = {}
     for loads, limit, asks, ends in turns:
         if ends:
             lives += 1
-            changes = RowChanges(f"x.{lives}")
+            changes = VersionedRows(f"x.{lives}")
         rows = {key: worker(load) for key, load in loads.items()}
         changes.update(rows)
         if asks:
-            mirror.apply(changes.since(mirror.incarnation, mirror.version, limit))
+            mirror.apply(changes.changes_since(mirror.incarnation, mirror.version, limit))
     for _ in range(30):
-        told = over_the_wire(changes.since(mirror.incarnation, mirror.version, 1))
+        told = over_the_wire(changes.changes_since(mirror.incarnation, mirror.version, 1))
         assert len(told.rows) + len(told.dropped) <= 1
         mirror.apply(told)
         if not told.more and not told.rows and not told.dropped:
@@ -73,15 +73,15 @@
 
 def test_rows_that_are_gone_are_remembered_within_a_bound(monkeypatch: Patch) -> None:
     monkeypatch.setattr(c, "CONSOLE_TOMBSTONES_MAX", 10)
-    changes, mirror, lagging = RowChanges("x"), Mirror(), Mirror()
+    changes, mirror, lagging = VersionedRows("x"), Mirror(), Mirror()
     changes.update({"worker/old": worker(1.0), "worker/kept": worker(0.5)})
     for one in (mirror, lagging):
-        one.apply(changes.since(one.incarnation, one.version, 100))
+        one.apply(changes.changes_since(one.incarnation, one.version, 100))
     for number in range(100):
         changes.update({f"worker/{number}": worker(0.1), "worker/kept": worker(0.5)})
-        mirror.apply(changes.since(mirror.incarnation, mirror.version, 100))
+        mirror.apply(changes.changes_since(mirror.incarnation, mirror.version, 100))
     assert len(changes._rows) <= 13
-    told = changes.since(lagging.incarnation, lagging.version, 100)
+    told = changes.changes_since(lagging.incarnation, lagging.version, 100)
     assert told.full, "it begins anew"
     lagging.apply(told)
     assert lagging.rows == mirror.rows
@@ -98,28 +98,31 @@
 # --- the link ----------------------------------------------------------------
 def test_it_takes_no_more_of_its_link_than_was_said() -> None:
     rng, now, received = random.Random(1), 0.0, 0
-    link = Link(["a:1"], 1000.0)
+    planner = RequestPlanner(["a:1"], 1000.0)
     while now < 600.0:
-        ask = link.ask()
-        now = max(now, ask.at) + 0.05
-        rows = min(ask.rows, rng.choice([0, 3, 40, 500]))
+        request = planner.next_request()
+        now = max(now, request.send_at) + 0.05
+        rows = min(request.max_rows, rng.choice([0, 3, 40, 500]))
         size = 150 + sum(rng.randint(40, 200) for _ in range(rows))
         received += size + c.CONSOLE_HEADERS_BYTES
-        link.answered(now, size, rows, more=rows == ask.rows)
+        planner.on_response(now, size, rows, more=rows == request.max_rows)
     assert received <= 1000.0 * (600.0 + 2 * c.CONSOLE_RESPONSE_TARGET_S)
     assert received >= 0.3 * 1000.0 * 600.0
 
 
 def test_it_goes_on_with_another_controller_and_says_which_it_tried() -> None:
-    link = Link(["a:1", "b:1", "c:1"], 1000.0)
-    link.failed(10.0, "refused")
-    assert (link.ask().address, link.ask().at) == ("b:1", 10.0)
-    link.failed(14.0, "no answer")
-    link.failed(14.1, "refused")
-    assert link.ask().address == "a:1" and link.ask().at == 14.1 + c.CONSOLE_RETRY_DELAY_S
-    assert link.trouble() == "a:1: refused; b:1: no answer; c:1: refused"
-    link.answered(20.0, 500, 5, False)
-    assert link.trouble() == "" and link.ask().address == "a:1"
+    planner = RequestPlanner(["a:1", "b:1", "c:1"], 1000.0)
+    planner.on_failure(10.0, "refused")
+    assert (planner.next_request().address, planner.next_request().send_at) == ("b:1", 10.0)
+    planner.on_failure(14.0, "no answer")
+    planner.on_failure(14.1, "refused")
+    assert (
+        planner.next_request().address == "a:1"
+        and planner.next_request().send_at == 14.1 + c.CONSOLE_RETRY_DELAY_S
+    )
+    assert planner.describe_failures() == "a:1: refused; b:1: no answer; c:1: refused"
+    planner.on_response(20.0, 500, 5, False)
+    assert planner.describe_failures() == "" and planner.next_request().address == "a:1"
 
 
 # --- the screen --------------------------------------------------------------
@@ -134,7 +137,7 @@
             "worker/vm-1": worker(0.9),
             "worker/vm-2": worker(0.1),
         }
-        self.changes = {name: RowChanges(name) for name in ("a:1", "b:1")}
+        self.changes = {name: VersionedRows(name) for name in ("a:1", "b:1")}
         self.down: set[str] = set()
         self.asked: list[tuple[str, str]] = []
 
@@ -148,7 +151,7 @@
             return 200, b"{}"
         _, incarnation, version, limit = path.split("/")
         self.changes[address].update(self.rows)
-        told = self.changes[address].since(incarnation, int(version), int(limit))
+        told = self.changes[address].changes_since(incarnation, int(version), int(limit))
         return 200, msgspec.json.encode(told)
 
 
@@ -157,10 +160,10 @@
     cluster = Cluster()
     for name in ("CONSOLE_POLL_INTERVAL_S", "CONSOLE_RETRY_DELAY_S"):
         patch.setattr(c, name, 0.01)
-    patch.setattr(Console, "_request", cluster.request)
+    patch.setattr(Console, "_send_request", cluster.request)
 
     async def run() -> None:
-        console = Console(Link(["a:1", "b:1"], 1e9))
+        console = Console(RequestPlanner(["a:1", "b:1"], 1e9))
         async with console.run_test(size=(120, 40)) as pilot:
             await play(cluster, console, pilot)
 
@@ -181,7 +184,7 @@
 
 
 def line(console: Console, name: str) -> str:
-    shown = console.cluster_line if name == "cluster" else console.link_line
+    shown = console.cluster_line if name == "cluster" else console.failure_line
     return str(shown.content)
 
 
@@ -209,7 +212,7 @@
         cluster.down = {"a:1"}
         cluster.rows["worker/vm-9"] = worker(0.3)
         await shows(pilot, lambda: "vm-9" in names(console, "worker"))
-        assert line(console, "link") == "" and console.link.address == "b:1"
+        assert line(console, "link") == "" and console.planner.address == "b:1"
         await pilot.press("p")
         await shows(pilot, lambda: ("b:1", "PATCH") in cluster.asked)
 
