--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -1,4 +1,4 @@
-"""Composition root: builds the parts of one controller and connects them."""
+"""Composition root: creates the components of one controller and connects them."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 class Controller:
-    """The parts of one controller; `handle` runs a batch through its engine."""
+    """Holds the components of one controller; `handle` passes a batch to its engine."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
         self.runtime = Runtime(settings, incarnation, rng)
         self.operator_settings = OperatorSettings()
         self.machine_types: dict[str, wire.MachineType] = {}
-        """name -> machine type that the cloud offers; one object for all parts"""
+        """Machine types that the cloud offers, by name; all components share this dictionary."""
         self.reconcile_queue = ReconcileQueue()
         self.objectives = ServiceLevelObjectives(settings.cluster.objectives)
         self.client = StoreClient(self.runtime)
@@ -115,7 +115,7 @@
         self.engine = self._build_engine()
 
     def _build_membership_and_workers(self, capacity: Capacity | None) -> None:
-        """Leases, views and leadership; heartbeats between the controllers; the workers."""
+        """Build membership (leases, views, leadership), controller heartbeats and workers."""
         self.view_requests = ViewChangeRequests()
         self.membership = Membership(self.runtime, self.replica)
         self.heartbeats = Heartbeats(
@@ -150,10 +150,10 @@
         )
 
     def _build_machines_and_partitions(self, capacity: Capacity | None) -> None:
-        """Free capacity of the machines, and to which partition each belongs."""
+        """Build the index of the machines' free capacity and the capacity partitions."""
         self.machine_zones = MachineZones(
             self.workers,
-            lambda machine: self.fleet.zone_of(machine),  # noqa: PLW0108 -- built later
+            lambda machine: self.fleet.zone_of(machine),  # noqa: PLW0108 -- created later
         )
         self.eligibility = Eligibility(self.runtime, self.workers, self.machine_types)
         self.capacity_index = CapacityIndex(
@@ -162,7 +162,7 @@
             replica=self.replica,
             machine_types=self.machine_types,
             eligibility=self.eligibility,
-            admission_of=lambda worker: self.partitions.admission_of(worker),  # noqa: PLW0108 -- built later
+            admission_of=lambda worker: self.partitions.admission_of(worker),  # noqa: PLW0108 -- created later
             is_load_tracked=lambda: self.rebalancer.enabled or self.partitions.enabled,
         )
         self.partitions = PartitionMap(self.replica, self.capacity_index, capacity)
@@ -173,7 +173,7 @@
         self.partition_summary = PartitionSummary(self.replica, self.partitions, self.machine_usage)
 
     def _build_quota_and_writes(self) -> None:
-        """Quota, settlement of attempts, and the conditional writes of job records."""
+        """Build quota, the settlement of attempts, and the conditional writes of records."""
         self.quota_usage = QuotaUsage(self.runtime, self.replica)
         self.queue_order = QueueOrder(self.runtime, self.replica, self.quota_usage, self.objectives)
         self.quota_allocation = QuotaAllocation(
@@ -182,7 +182,7 @@
         self.settlement = Settlement(
             self.replica,
             self.workers.verdict,
-            lambda machine, job_id: self.fleet.on_task_failed(machine, job_id),  # noqa: PLW0108 -- built later
+            lambda machine, job_id: self.fleet.on_task_failed(machine, job_id),  # noqa: PLW0108 -- created later
         )
         self.team_record_writer = TeamRecordWriter(
             client=self.client,
@@ -204,7 +204,7 @@
             team_record_writer=self.team_record_writer,
             fencing_conditions=self.membership.fencing_conditions,
             partition_conditions=self.partitions.conditions,
-            is_step_rate_limited=lambda: self.pacing.is_step_rate_limited(),  # noqa: PLW0108 -- built later
+            is_step_rate_limited=lambda: self.pacing.is_step_rate_limited(),  # noqa: PLW0108 -- created later
             commit_listeners=(self._release_claims, self._on_step_committed),
         )
         self.stop_requests = StopRequests(
@@ -212,7 +212,7 @@
         )
 
     def _build_preemption_and_moves(self, rebalancing: Rebalancing | None) -> None:
-        """What makes room or moves tasks: preemption, moves and their policy."""
+        """Build preemption, hand-off, pacing, moves and rebalancing."""
         self.preemption = Preemption(
             runtime=self.runtime,
             replica=self.replica,
@@ -247,7 +247,7 @@
             pacing=self.pacing,
             preemption=self.preemption,
             policy=self._build_move_policy(rebalancing),
-            count_running=lambda job: self.job_states.count_running(job),  # noqa: PLW0108 -- built later
+            count_running=lambda job: self.job_states.count_running(job),  # noqa: PLW0108 -- created later
         )
         self.rebalancer = Rebalancer(
             rebalancing,
@@ -262,7 +262,7 @@
         )
 
     def _build_placement(self) -> None:
-        """Decides the next steps of the queued jobs and carries the decisions out."""
+        """Build the components that plan and write the next steps of queued jobs."""
         self.step_writer = StepWriter(
             self.replica,
             self.codec,
@@ -303,7 +303,7 @@
         )
 
     def _build_reconciler(self) -> None:
-        """Reconciles the jobs that this controller owns."""
+        """Build the reconciler of the jobs that this controller owns."""
         self.lost_launches = LostLaunchDetector(
             self.runtime, self.replica, self.membership, self.view_requests, self.workers
         )
@@ -334,7 +334,7 @@
         )
 
     def _build_cancellation_and_fleet(self) -> None:
-        """Enforcement of cancellations; scale out and scale in."""
+        """Build the enforcement of cancellations, and the fleet, which scales out and in."""
         self.cancellation_dissemination = CancellationDissemination(
             self.runtime, self.replica, self.codec
         )
@@ -349,7 +349,7 @@
             machine_deleter=CancelledTaskMachineDeleter(
                 self.runtime,
                 self.workers,
-                lambda names: self.fleet.on_machines_deleted(names),  # noqa: PLW0108 -- built later
+                lambda names: self.fleet.on_machines_deleted(names),  # noqa: PLW0108 -- created later
             ),
         )
         self.fleet = Fleet(
@@ -372,7 +372,7 @@
         )
 
     def _build_api(self) -> None:
-        """Health check, requests of users and operators."""
+        """Build the health check and the APIs for users and operators."""
         self.health = HealthCheck(self.reader, self.membership, self.heartbeats, self.machine_types)
         self.job_states = JobStates(self.replica, self.workers)
         self.user_requests = self._build_user_requests()
@@ -380,7 +380,7 @@
         self.admin = self._build_admin_api()
 
     def _build_engine(self) -> Engine:
-        """The batch loop, which dispatches to the parts."""
+        """Build the engine, which dispatches commands to the components."""
         return Engine(
             runtime=self.runtime,
             client=self.client,
@@ -409,11 +409,14 @@
         )
 
     def _build_move_policy(self, rebalancing: Rebalancing | None) -> MovePolicy:
-        """Moves spread load, and drain machines that change their capacity partition."""
+        """Build the policy for moves, which serve rebalancing and the drain of machines.
+
+        A machine is drained before it changes its capacity partition.
+        """
         return MovePolicy(
             settings=(rebalancing or Rebalancing()).moves,
             is_enabled=lambda: self.rebalancer.enabled or self.partitions.enabled,
-            is_movable=lambda spec: self.rebalancer.is_movable(spec),  # noqa: PLW0108 -- built later
+            is_movable=lambda spec: self.rebalancer.is_movable(spec),  # noqa: PLW0108 -- created later
             must_leave=self.partitions.must_move_off,
             is_draining=self.partitions.is_being_handed_over,
         )
@@ -433,7 +436,7 @@
         )
 
     def _build_admin_api(self) -> AdminApi:
-        """The administration API, with the readers of state by their paths."""
+        """Build the administration API, with its readers keyed by the path that they serve."""
         responder = AdminResponder(self.runtime.emit)
         status = StatusReader(
             runtime=self.runtime,
@@ -483,7 +486,7 @@
         )
 
     def _build_partition_manager(self) -> PartitionManager:
-        """Passes over the partitions of the machines."""
+        """Build what assigns machines to capacity partitions, drains them and hands jobs off."""
         return PartitionManager(
             runtime=self.runtime,
             membership=self.membership,
@@ -523,7 +526,7 @@
         )
 
     def _build_user_requests(self) -> UserRequests:
-        """Requests of users, one part for each kind."""
+        """Build the user API, with one component for each kind of request."""
         requests = PendingRequests(self.runtime, self.reader)
         record_reader = JobRecordReader(self.replica, self.reader)
         polls = StatusPolls(
@@ -562,12 +565,15 @@
         return UserRequests(requests, submissions, polls, cancellations, outcome_reader)
 
     def handle(self, batch: list[Command], now: float, wall_time: float) -> list[Effect]:
-        """Work through a batch; `now` is the steady clock, `wall_time` the time of day (s)."""
+        """Process a batch of commands and return the effects to carry out.
+
+        `now` is the time on the steady clock and `wall_time` the time of day, both in seconds.
+        """
         return self.engine.handle(batch, now, wall_time)
 
-    # --- what the workers tell parts that are built after them --------------
+    # --- callbacks into components that are built after their callers -------
     def _on_replica_loaded(self) -> None:
-        """Join at once instead of with the next tick."""
+        """Join the cluster at once instead of at the next tick."""
         self.membership_protocol.tick()
 
     def _on_capacity_changed(self, machine: str) -> None:
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -1,4 +1,4 @@
-"""The batch loop: commands in, effects out; each command goes to the part that handles it."""
+"""Batch loop of a controller: dispatches commands to the components and returns their effects."""
 
 from __future__ import annotations
 
@@ -53,13 +53,13 @@
 
 
 class Engine:
-    """Dispatches each command to its part, then acts upon what the batch has changed.
+    """Dispatches each command of a batch, then processes the changes that the batch made.
 
-    The parts never call each other's timers nor clear the replica's changes: what happens in one
-    batch, and in which order, is written down here and nowhere else.
+    The components neither call each other's `tick` methods nor clear the change sets of the
+    replica: this class alone determines what happens in a batch, and in which order.
     """
 
-    def __init__(  # noqa: PLR0913 -- it dispatches to every part
+    def __init__(  # noqa: PLR0913 -- the engine dispatches to every component
         self,
         *,
         runtime: Runtime,
@@ -111,16 +111,18 @@
         self._user_requests = user_requests
         self._admin = admin
         self._operator_settings = operator_settings
-        self._applied_view: View | None = None
-        """the view that the other parts last acted upon"""
+        self._last_view: View | None = None
+        """The view that the components were last notified of; None before the first one."""
         self._is_started = False
 
     # --- batches ----------------------------------------------------------
     def handle(self, batch: list[Command], now: float, wall_time: float) -> list[Effect]:
-        """Work through a batch; `now` is the steady clock, `wall_time` the time of day (s).
+        """Process a batch of commands and return the effects to carry out.
 
-        Never raises: bad input or a bug in one part is logged, and the rest of the batch and its
-        effects are kept.
+        `now` is the time on the steady clock and `wall_time` the time of day, both in seconds.
+
+        Never raises: an exception that bad input or a bug in one component causes is logged. The
+        rest of the batch is still processed, and the effects collected so far are returned.
         """
         self._runtime.now, self._runtime.wall_time = now, wall_time
         if not self._is_started:
@@ -132,8 +134,9 @@
             except Exception:
                 log.exception("command failed: kind=%s", type(command).__name__)
                 self._answer_failed_request(command)
-        # Apart from each other, so that leases are renewed and users answered if the first fails.
-        for follow_up in (self._act_on_changes, self._client.flush):
+        # Each step has its own exception handler: if the first fails, the flush still sends the
+        # store calls, so that leases are renewed and users get answers.
+        for follow_up in (self._process_changes, self._client.flush):
             try:
                 follow_up()
             except Exception:
@@ -141,7 +144,7 @@
         return self._runtime.take_effects()
 
     def _answer_failed_request(self, command: Command) -> None:
-        """Answer with status 500 if the command was a request; else its sender would wait."""
+        """Answer status 500 if the command was a request, so that its sender does not wait."""
         request_id = getattr(command, "request_id", None)
         if request_id is not None:
             self._user_requests.pending_requests.discard(request_id)
@@ -224,69 +227,70 @@
         ):
             try:
                 tick()
-            except Exception:  # of one part: it must not stop the others
+            except Exception:  # a failure of one component must not stop the others
                 log.exception("tick failed: part=%s", tick.__qualname__)
 
-    # --- what follows from a batch ----------------------------------------
-    def _act_on_changes(self) -> None:
-        """Act upon what the batch has changed, then reconcile.
+    # --- processing of changes --------------------------------------------
+    def _process_changes(self) -> None:
+        """Process the changes that the batch made to the replica, then reconcile the jobs.
 
-        A failure leaves out the steps after it, whose changes are kept for the next batch.
+        If a step raises, the steps after it are skipped; their changes remain recorded for the
+        next batch.
         """
         changes = self._replica.changes
         if changes.view:
-            self._act_on_view_change()
+            self._process_view_change()
         if self._replica.capacity.changed_machines:
-            self._act_on_partition_changes()
+            self._process_partition_changes()
         if changes.settings:
-            self._act_on_settings_change()
+            self._process_settings_change()
         if changes.jobs:
-            self._act_on_job_changes()
+            self._process_job_changes()
         self._fleet.load_stored_catalogue()
         self._quota_allocation.clear_admissions()
         self._capacity_index.check_eligibility()
         self._reconciler.tick()
         self._workers.push_commands()
 
-    def _act_on_view_change(self) -> None:
-        """Owners, members or the term are others: ownership is derived anew."""
+    def _process_view_change(self) -> None:
+        """Notify the components of a new view: its members, machine owners or term have changed."""
         self._replica.changes.view = False
         view = self._replica.view
         assert view is not None
-        self._workers.on_view(self._applied_view)
+        self._workers.on_view(self._last_view)
         self._membership_protocol.on_view()
         self._quota_allocation.on_view()
         self._moves.on_view()
         self._capacity_index.mark_all_changed()
-        self._applied_view = view
+        self._last_view = view
         self._reconcile_queue.placement_due = True
 
-    def _act_on_partition_changes(self) -> None:
-        """Machines were assigned to other capacity partitions, or drained."""
+    def _process_partition_changes(self) -> None:
+        """Process machines that were assigned to another capacity partition, or drained."""
         changed_machines = self._replica.capacity.changed_machines
         self._capacity_index.mark_each_changed(changed_machines)
         changed_machines.clear()
         self._reconcile_queue.placement_due = True
 
-    def _act_on_settings_change(self) -> None:
-        """An operator has changed settings, here or at another controller."""
+    def _process_settings_change(self) -> None:
+        """Apply settings that an operator has changed at this controller or at another one."""
         self._replica.changes.settings = False
         self._operator_settings.apply(self._replica.stored_settings.value)
         self._reconcile_queue.placement_due = True
 
-    def _act_on_job_changes(self) -> None:
-        """Records of jobs have changed, and with them those of teams and machines."""
+    def _process_job_changes(self) -> None:
+        """Process changed job records, and the changes to teams and machines that they imply."""
         changes = self._replica.changes
         for team in changes.teams:
             self._quota_allocation.clear_caches_of(team)
         changes.teams.clear()
         for job_id in sorted(changes.jobs):
-            self._act_on_job_change(job_id)
+            self._process_job_change(job_id)
         changes.jobs.clear()
-        self._act_on_machine_changes()
+        self._process_machine_changes()
         self._reconcile_queue.placement_due = True
 
-    def _act_on_job_change(self, job_id: str) -> None:
+    def _process_job_change(self, job_id: str) -> None:
         job = self._replica.jobs.get(job_id)
         if job is not None:
             self._fleet.on_job_changed(job)
@@ -295,8 +299,12 @@
                 self._queue_order.on_dependencies_met(job_id)
         self._reconcile_queue.jobs.add(job_id)
 
-    def _act_on_machine_changes(self) -> None:
-        """Other attempts are recorded on machines: what may be settled, sent and placed changes."""
+    def _process_machine_changes(self) -> None:
+        """Process machines whose recorded attempts have changed.
+
+        The attempts determine what can be settled, which commands the workers are sent, and how
+        much capacity is free.
+        """
         machines = self._replica.changes.machines
         for machine in machines:
             self._settlement.on_machine_changed(machine)
--- a/tests/unit/test_engine.py
+++ b/tests/unit/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine, built from fakes of all parts."""
+"""Tests of the engine, with fakes for all of its components."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from tests.test_requests import spec
 
 
-class Parts:
-    """An engine whose parts record how they are called."""
+class EngineWithFakes:
+    """An engine whose components are mocks, except the runtime, the replica and the queue."""
 
     def __init__(self) -> None:
         names = inspect.signature(Engine).parameters
@@ -47,20 +47,22 @@
 
 
 def test_a_request_that_fails_is_answered_and_the_rest_of_the_batch_is_handled() -> None:
-    parts = Parts()
-    parts.fakes["user_requests"].poll.side_effect = raising
-    effects = parts.engine.handle([GetJobState(4, "job-1"), HeartbeatReceived(5, Mock())], 1.0, 2.0)
+    fixture = EngineWithFakes()
+    fixture.fakes["user_requests"].poll.side_effect = raising
+    effects = fixture.engine.handle(
+        [GetJobState(4, "job-1"), HeartbeatReceived(5, Mock())], 1.0, 2.0
+    )
     assert effects == [Response(4, 500, {"error": "internal error"})]
-    parts.fakes["user_requests"].pending_requests.discard.assert_called_once_with(4)
-    parts.fakes["workers"].on_heartbeat.assert_called_once()
-    assert (parts.runtime.now, parts.runtime.wall_time) == (1.0, 2.0)
+    fixture.fakes["user_requests"].pending_requests.discard.assert_called_once_with(4)
+    fixture.fakes["workers"].on_heartbeat.assert_called_once()
+    assert (fixture.runtime.now, fixture.runtime.wall_time) == (1.0, 2.0)
 
 
 def test_a_timer_that_fails_does_not_stop_the_others() -> None:
-    parts = Parts()
-    parts.fakes["membership_protocol"].tick.side_effect = raising
-    parts.engine.handle([Tick()], 1.0, 2.0)
-    parts.fakes["partitions"].tick.assert_called_once()
+    fixture = EngineWithFakes()
+    fixture.fakes["membership_protocol"].tick.side_effect = raising
+    fixture.engine.handle([Tick()], 1.0, 2.0)
+    fixture.fakes["partitions"].tick.assert_called_once()
 
 
 @pytest.mark.parametrize(
@@ -73,21 +75,21 @@
 def test_store_calls_are_sent_whatever_fails_after_a_batch(
     fail: Callable[[dict[str, Any]], None],
 ) -> None:
-    parts = Parts()
-    parts.fakes["client"].flush.__qualname__ = "client.flush"
-    fail(parts.fakes)
-    parts.engine.handle([], 1.0, 2.0)
-    parts.fakes["client"].flush.assert_called_once()
+    fixture = EngineWithFakes()
+    fixture.fakes["client"].flush.__qualname__ = "client.flush"
+    fail(fixture.fakes)
+    fixture.engine.handle([], 1.0, 2.0)
+    fixture.fakes["client"].flush.assert_called_once()
 
 
 def test_a_changed_job_is_reconciled_and_met_dependencies_are_noted_once_they_are() -> None:
-    parts = Parts()
-    parts.replica.set_job(Job(spec(id="job-1"), 0.0, 2))
-    parts.replica.set_job(Job(spec(id="job-2", tethers=["job-1"]), 0.0, 3))
-    parts.engine.handle([], 1.0, 2.0)
-    assert parts.reconcile_queue.jobs == {"job-1", "job-2"}
-    assert parts.reconcile_queue.placement_due and not parts.replica.changes.jobs
-    parts.fakes["queue_order"].on_dependencies_met.assert_not_called()
-    parts.replica.put(FINAL_PREFIX + "job-1", {"state": "done"}, 4)
-    parts.engine.handle([], 1.5, 2.5)
-    parts.fakes["queue_order"].on_dependencies_met.assert_called_once_with("job-2")
+    fixture = EngineWithFakes()
+    fixture.replica.set_job(Job(spec(id="job-1"), 0.0, 2))
+    fixture.replica.set_job(Job(spec(id="job-2", tethers=["job-1"]), 0.0, 3))
+    fixture.engine.handle([], 1.0, 2.0)
+    assert fixture.reconcile_queue.jobs == {"job-1", "job-2"}
+    assert fixture.reconcile_queue.placement_due and not fixture.replica.changes.jobs
+    fixture.fakes["queue_order"].on_dependencies_met.assert_not_called()
+    fixture.replica.put(FINAL_PREFIX + "job-1", {"state": "done"}, 4)
+    fixture.engine.handle([], 1.5, 2.5)
+    fixture.fakes["queue_order"].on_dependencies_met.assert_called_once_with("job-2")
