--- a/appledock/core/rebalancing/__init__.py
+++ b/appledock/core/rebalancing/__init__.py
@@ -1,1 +1,1 @@
-"""Attachment of the rebalancing policy: snapshots, proposals and their pacing."""
+"""Connects the rebalancing policy to the core: fleet snapshots, scoring and planning passes."""
--- a/appledock/core/rebalancing/data_availability.py
+++ b/appledock/core/rebalancing/data_availability.py
@@ -1,4 +1,4 @@
-"""Availability of the machines that hold data sets, for the log and the API."""
+"""Availability of the machines that hold data sets, for the log and the administration API."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DataAvailability:
-    """Tells which grade of locality can be had for each data set."""
+    """Tracks which grade of data locality new tasks can get for each data set."""
 
     def __init__(
         self,
@@ -26,11 +26,14 @@
         self._capacity_index = capacity_index
         self._machine_types = machine_types
         self.by_dataset: dict[str, str] = {}
-        """data set -> its availability in words"""
+        """Availability of each data set as a text for operators, by the name of the data set."""
         self._unknown_types: set[str] = set()
 
     def check(self) -> None:
-        """Log where the machines that hold data vanished, filled up or came back."""
+        """Update the availability of each data set and log the changes.
+
+        It changes when machines that hold the data disappear, fill up or become available again.
+        """
         if not self._datasets:
             return
         sites = [
@@ -49,12 +52,13 @@
                 log.info(
                     "data availability changed: dataset=%s availability=%s", data.name, availability
                 )
-            self._check_types(data)
+            self._log_unknown_types(data)
 
-    def _check_types(self, data: DataSet) -> None:
-        """Log once a machine type of the settings file that the cloud does not offer.
+    def _log_unknown_types(self, data: DataSet) -> None:
+        """Log, once for each name, a machine type of the settings that the cloud does not offer.
 
-        Only the cloud knows its types, so the file cannot be refused for them at the start.
+        The types are known only after the cloud has answered, so the settings file cannot be
+        rejected for them at the start.
         """
         for name in data.types:
             is_unknown = bool(self._machine_types) and name not in self._machine_types
--- a/appledock/core/rebalancing/move_planning.py
+++ b/appledock/core/rebalancing/move_planning.py
@@ -1,4 +1,4 @@
-"""Planning passes: when moves are planned, how many, and among which machines."""
+"""Planning passes: when moves are planned, how many, and between which machines."""
 
 from __future__ import annotations
 
@@ -21,17 +21,18 @@
 
 
 class BlockedMachine(NamedTuple):
-    """An overloaded machine that nothing could be moved off."""
+    """An overloaded machine from which the planner could not move any task."""
 
-    until: float
-    """until when it is not planned for, on the steady clock"""
+    retry_at: float
+    """Time from which the machine is considered again (s, steady clock)."""
     obstacle: str
+    """Why no task could be moved, as a text for operators."""
 
 
 class MovePlanning:
-    """Plans moves at intervals, within the number that may be under way."""
+    """Plans moves at intervals, up to the number that may be under way at a time."""
 
-    def __init__(  # noqa: PLR0913 -- what a pass reads, and where its proposals go
+    def __init__(  # noqa: PLR0913 -- the inputs of a pass and the receiver of its proposals
         self,
         *,
         runtime: Runtime,
@@ -55,44 +56,46 @@
         self._mean_loads = mean_loads
         self.blocked: dict[str, BlockedMachine] = {}
         self._next_pass_at = 0.0
-        self._first_reviewed = 0
-        """index of the first machine of the next review, modulo their number"""
+        self._review_offset = 0
+        """Index of the first machine to review in the next pass, modulo the number of machines."""
 
     def tick(self) -> None:
-        """Plan moves, if it is time to."""
+        """Run a planning pass if one is due."""
         settings, now = self._settings.moves, self._runtime.now
         if not settings.enabled or now < self._next_pass_at:
             return
-        # Jitter: controllers would otherwise keep planning at the same moment.
+        # Jitter prevents the controllers from planning at the same moment in every pass.
         self._next_pass_at = now + settings.every_s * (0.9 + 0.2 * self._runtime.rng.random())
         self._snapshots.update_smoothed(settings.smooth_s)
         if self._operator_settings["moves_paused"]:
             return
-        self.blocked = {name: row for name, row in self.blocked.items() if row.until > now}
-        self._plan_own()
+        self.blocked = {
+            name: machine for name, machine in self.blocked.items() if machine.retry_at > now
+        }
+        self._plan_within_own_machines()
         if self._membership.is_leader():
             self._plan_between_owners()
 
-    def _plan_own(self) -> None:
-        """Plan moves between this controller's machines, by the means of the whole fleet."""
+    def _plan_within_own_machines(self) -> None:
+        """Plan moves between this controller's machines, against the mean loads of the fleet."""
         machines = self._snapshots.own_machines()
         plan = self._planner.plan(
             machines,
             self._mean_loads(),
             self._snapshots.running_tasks,
             self._remaining_moves(),
-            review=self._next_reviewed(machines),
+            review=self._next_machines_to_review(machines),
             skip=self.blocked.keys(),
         )
-        until = self._runtime.now + constants.MOVE_SOURCE_BACKOFF_S
+        retry_at = self._runtime.now + constants.MOVE_SOURCE_BACKOFF_S
         for name, obstacle in plan.obstacles.items():
-            self.blocked[name] = BlockedMachine(until, obstacle.value)
-        self._carry_out(plan.proposals)
+            self.blocked[name] = BlockedMachine(retry_at, obstacle.value)
+        self._request_moves(plan.proposals)
 
     def _plan_between_owners(self) -> None:
-        """As the leader, plan moves from owners with higher mean load to those with lower.
+        """As the leader, plan moves from owners with a higher mean load to owners with a lower.
 
-        Each owner plans the moves within its own machines.
+        Moves between machines of one owner are left to that owner.
         """
         machines = self._snapshots.machines()
         mean = mean_load_by_owner(machines)
@@ -103,36 +106,49 @@
             self._remaining_moves(),
             owner_filter=lambda source, destination: mean[source.owner] > mean[destination.owner],
         )
-        self._carry_out([move for move in plan.proposals if self._is_between_owners(move)])
+        self._request_moves([move for move in plan.proposals if self._is_between_owners(move)])
 
     def _is_between_owners(self, proposal: Proposal) -> bool:
         owner_of = self._replica.owner_of
         return owner_of(proposal.source) != owner_of(proposal.destination)
 
     def _remaining_moves(self) -> int:
-        """Return how many more moves of this controller may be under way."""
+        """Return how many further moves this controller may request now."""
         return max(0, self._settings.moves.in_flight - len(self._moves.requested))
 
-    def _next_reviewed(self, machines: list[MachineLoad]) -> list[MachineLoad]:
-        """Return a few machines, the next ones each time, to review their tasks' locality."""
+    def _next_machines_to_review(self, machines: list[MachineLoad]) -> list[MachineLoad]:
+        """Return the machines whose tasks this pass reviews for data locality.
+
+        Consecutive passes take consecutive parts of the list.
+        """
         if not self._settings.datasets or not machines:
             return []
-        first = self._first_reviewed % len(machines)
-        self._first_reviewed = first + constants.DATA_LOCALITY_MACHINES_MAX
+        first = self._review_offset % len(machines)
+        self._review_offset = first + constants.DATA_LOCALITY_MACHINES_MAX
         rotated = machines[first:] + machines[:first]
         return rotated[: constants.DATA_LOCALITY_MACHINES_MAX]
 
-    def _carry_out(self, proposals: list[Proposal]) -> None:
+    def _request_moves(self, proposals: list[Proposal]) -> None:
         for proposal in proposals:
             if self._operator_settings["moves_dry_run"]:
                 self._moves.count_dry_run()
-                log.info("move not requested, dry run: %s", proposal)
+                log.info(
+                    "move not requested, dry run: job=%s task=%s attempt=%s"
+                    " source=%s destination=%s gain=%s destination_load=%s",
+                    proposal.job,
+                    proposal.task,
+                    proposal.attempt,
+                    proposal.source,
+                    proposal.destination,
+                    proposal.gain,
+                    proposal.destination_load,
+                )
             else:
                 self._moves.request(proposal)
 
 
 def mean_load_by_owner(machines: list[MachineLoad]) -> dict[str, float]:
-    """Return the mean load of each owner's machines, weighted by their size."""
+    """Return the mean load of each owner's machines, weighted by their CPUs."""
     by_owner: dict[str, list[MachineLoad]] = {}
     for machine in machines:
         by_owner.setdefault(machine.owner, []).append(machine)
--- a/appledock/core/rebalancing/rebalancer.py
+++ b/appledock/core/rebalancing/rebalancer.py
@@ -1,4 +1,4 @@
-"""Attaches the rebalancing policy to the core: scores, mean loads, planning, summaries."""
+"""Interface of rebalancing to the core: scorers, mean loads, planning passes and summaries."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 
 class Rebalancer:
-    """Spreads load over machines; without settings nothing is scored, planned or sent."""
+    """Spreads load over machines; without settings it scores, plans and sends nothing."""
 
-    def __init__(  # noqa: PLR0913 -- what snapshots and planning read
+    def __init__(  # noqa: PLR0913 -- the inputs of snapshots and planning
         self,
         settings: Rebalancing | None,
         *,
@@ -50,11 +50,13 @@
         self.settings = settings
         self.enabled = settings is not None
         self.speeds = MachineSpeeds()
-        rules = settings or Rebalancing()
-        datasets = DataSets(rules.datasets)
-        self._scorer_factory = ScorerFactory(rules, datasets, self.speeds.slowness)
-        self._planner = Planner(rules, datasets, runtime.rng)
-        self._data_availability = DataAvailability(rules.datasets, capacity_index, machine_types)
+        effective_settings = settings or Rebalancing()
+        datasets = DataSets(effective_settings.datasets)
+        self._scorer_factory = ScorerFactory(effective_settings, datasets, self.speeds.slowness)
+        self._planner = Planner(effective_settings, datasets, runtime.rng)
+        self._data_availability = DataAvailability(
+            effective_settings.datasets, capacity_index, machine_types
+        )
         self._snapshots = FleetSnapshots(
             runtime=runtime,
             replica=replica,
@@ -68,34 +70,34 @@
             replica=replica,
             membership=membership,
             operator_settings=operator_settings,
-            settings=rules,
+            settings=effective_settings,
             planner=self._planner,
             snapshots=self._snapshots,
             moves=moves,
             mean_loads=lambda: self._scorer_factory.means,
         )
-        self._means_at = constants.DISTANT_PAST
+        self._means_updated_at = constants.DISTANT_PAST
 
     # --- placement ----------------------------------------------------------
     def scorer(self, spec: wire.JobSpec) -> WeightedScorer | None:
-        """Return the scorer of the job's class; None: the default score holds."""
+        """Return the scorer for a job, or None if the default score applies."""
         return self._scorer_factory.scorer(spec) if self.enabled else None
 
     def is_movable(self, spec: wire.JobSpec) -> bool:
-        """May tasks of the job be stopped to balance load?"""
+        """Return whether tasks of the job may be stopped to balance load."""
         return self._planner.is_movable(spec)
 
     def on_task_completed(self, machine: str, job: Job, seconds: float) -> None:
-        """A heartbeat shows that a task of the job completed after so many seconds."""
+        """Record the run time of a task that a heartbeat reports as completed."""
         if self.enabled:
             self.speeds.add_run_time(machine, job.spec.job_class, seconds)
 
     def refresh_means(self) -> None:
-        """Compute the mean loads and check the data sets, at most once in an interval."""
+        """Update the mean loads and the availability of data sets, at most once an interval."""
         now = self._runtime.now
-        if not self.enabled or now < self._means_at + constants.MEAN_LOAD_INTERVAL_S:
+        if not self.enabled or now < self._means_updated_at + constants.MEAN_LOAD_INTERVAL_S:
             return
-        self._means_at = now
+        self._means_updated_at = now
         self._scorer_factory.means = means(
             (machine.type.cpus, machine.load)
             for machine in self._capacity_index.machines.values()
@@ -105,7 +107,7 @@
 
     # --- planning -----------------------------------------------------------
     def tick(self) -> None:
-        """Plan moves, if it is time to."""
+        """Run a planning pass if one is due and this controller may act."""
         if not self.enabled or not self._membership.can_act():
             return
         self._capacity_index.recompute()
@@ -115,11 +117,11 @@
     # --- operators ----------------------------------------------------------
     @property
     def blocked(self) -> Mapping[str, BlockedMachine]:
-        """Overloaded machines that nothing could be moved off, and why."""
+        """Overloaded machines from which no task could be moved, with the obstacle."""
         return self._planning.blocked
 
     def summary(self) -> dict[str, Any]:
-        """Return loads, bounds, moves and obstacles, for the administration API."""
+        """Return loads, bounds, moves and obstacles as JSON values for the administration API."""
         if self.settings is None:
             return {"enabled": False}
         self._capacity_index.recompute()
@@ -138,7 +140,10 @@
         }
 
     def team_summaries(self) -> list[dict[str, Any]]:
-        """Return each team's mean, its most loaded machine, and whether it is within bounds."""
+        """Return each team's mean load, its most loaded machine, and whether the bound is kept.
+
+        All values are JSON values.
+        """
         if self.settings is None:
             return []
         return team_summaries(self._capacity_index, self._scorer_factory.means, self.settings.bound)
--- a/appledock/core/rebalancing/scoring.py
+++ b/appledock/core/rebalancing/scoring.py
@@ -1,4 +1,4 @@
-"""Scores of machines for job classes that have weights of their own."""
+"""Scores of machines for job classes whose weights the rebalancing settings define."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedScorer:
-    """Scores machines for the tasks of one job; lower is better."""
+    """Scores machines for one job by the weights of its class; a lower score is better."""
 
     spec: wire.JobSpec
     weights: ClassWeights
@@ -23,16 +23,20 @@
     means: Means
     bound: float
     slowness: Callable[[str], float]
+    """Returns the relative run time of tasks on a machine; see `MachineSpeeds.slowness`."""
 
     def score(self, machine: MachineCapacity) -> tuple[float, ...]:
-        """Return failures, spot mismatch and the weighted sum, in the order of precedence."""
+        """Return the terms of the score in order of precedence.
+
+        The terms are: recent failures of the machine, spot mismatch, weighted sum.
+        """
         return (
             float(machine.failure_count > 0),
             spot_mismatch(self.spec, machine),
-            round(self._weighted(machine), 6),
+            round(self._weighted_sum(machine), 6),
         )
 
-    def _weighted(self, machine: MachineCapacity) -> float:
+    def _weighted_sum(self, machine: MachineCapacity) -> float:
         weights, spec = self.weights, self.spec
         result = weights.locality * self.distance(machine)
         if machine.load is not None:
@@ -49,17 +53,21 @@
         return result
 
     def distance(self, machine: MachineCapacity) -> float:
-        """To the job's data; a team at its bound gains nothing by being close."""
-        far = self.datasets.distance(self.spec, machine.name, machine.type.name, machine.zone)
-        if far < 1.0 and machine.load is not None:
+        """Return the distance from a machine to the job's data, from 0 (held there) to 1.
+
+        A machine on which one more task would exceed the team's bound counts as distant, so that
+        data locality does not concentrate a team's load beyond the bound.
+        """
+        distance = self.datasets.distance(self.spec, machine.name, machine.type.name, machine.zone)
+        if distance < 1.0 and machine.load is not None:
             share = task_share(self.spec, machine.type)
             mean = self.means.team(self.spec.team)
             if exceeds_bound(machine.load.of_team(self.spec.team), share, mean, self.bound):
                 return 1.0
-        return far
+        return distance
 
     def is_preferred(self, machine: MachineCapacity) -> bool:
-        """Does it hold the data of the job, with the team below its bound there?"""
+        """Return whether the machine holds the job's data and the team is below its bound there."""
         return (
             self.weights.locality > 0
             and bool(self.datasets.read_by(self.spec))
@@ -68,7 +76,7 @@
 
 
 class ScorerFactory:
-    """Makes the scorers, with the mean loads as last computed."""
+    """Creates the scorers of jobs, with the mean loads as last computed."""
 
     def __init__(
         self, rebalancing: Rebalancing, datasets: DataSets, slowness: Callable[[str], float]
@@ -80,7 +88,10 @@
         self._weights = {row.name: row for row in rebalancing.classes}
 
     def scorer(self, spec: wire.JobSpec) -> WeightedScorer | None:
-        """Return the scorer of a job; None: its class has no weights, the default score holds."""
+        """Return the scorer for a job, or None if its class has no weights.
+
+        The default score applies then.
+        """
         weights = self._weights.get(spec.job_class)
         if weights is None:
             return None
--- a/appledock/core/rebalancing/snapshots.py
+++ b/appledock/core/rebalancing/snapshots.py
@@ -17,7 +17,7 @@
 
 
 class FleetSnapshots:
-    """Builds what the planner reads; the planner may change the loads of a snapshot."""
+    """Builds the planner's input; loads are copies, which the planner may modify."""
 
     def __init__(
         self,
@@ -34,21 +34,22 @@
         self._workers = workers
         self._capacity_index = capacity_index
         self._moves = moves
-        self._is_movable = is_movable
+        self._is_spec_movable = is_movable
         self.smoothed: dict[str, Load] = {}
-        """machine -> its load, averaged over time"""
-        self._smoothed_at = constants.DISTANT_PAST
+        """Exponentially averaged load of each machine, by machine name."""
+        self._smoothed_updated_at = constants.DISTANT_PAST
 
     # --- machines -----------------------------------------------------------
     def update_smoothed(self, time_constant_s: float) -> None:
-        """Average the loads exponentially; a new machine begins with the highest known load.
+        """Update the exponential averages of the loads.
 
-        Guards against machines that join and leave in waves: filled at once, each would give
-        back seconds later what was just moved to it.
+        The average of a new machine starts at the highest known average. This prevents
+        oscillation when machines join and leave in waves: a new machine that the planner filled
+        at once would become a source seconds later, and lose the tasks just moved to it.
         """
         now = self._runtime.now
-        weight = 1 - math.exp(-(now - self._smoothed_at) / time_constant_s)
-        self._smoothed_at = now
+        weight = 1 - math.exp(-(now - self._smoothed_updated_at) / time_constant_s)
+        self._smoothed_updated_at = now
         highest = Load()
         for load in self.smoothed.values():
             highest = highest.maximum_with(load)
@@ -60,7 +61,7 @@
         self.smoothed = smoothed
 
     def machines(self) -> list[MachineLoad]:
-        """Return a snapshot of all machines that may take tasks, in the order of their names."""
+        """Return a snapshot of all machines that may take tasks, ordered by name."""
         return [
             self._snapshot(machine, machine.load)
             for _, machine in sorted(self._capacity_index.machines.items())
@@ -68,7 +69,7 @@
         ]
 
     def own_machines(self) -> list[MachineLoad]:
-        """Return a snapshot of those that this controller owns."""
+        """Return a snapshot of the machines that this controller owns, ordered by name."""
         return [machine for machine in self.machines() if machine.owner == self._runtime.node]
 
     def _snapshot(self, machine: MachineCapacity, load: Load) -> MachineLoad:
@@ -90,7 +91,11 @@
 
     # --- tasks --------------------------------------------------------------
     def running_tasks(self, machine: MachineLoad) -> list[RunningTask]:
-        """Return the tasks on a machine; those of jobs that moved lately are not movable."""
+        """Return the tasks on a machine, each with whether it may be moved.
+
+        No task of a job may be moved while the job has a move under way or a cooldown after one,
+        is cancelled, has queued tasks, or has an owner that this controller cannot reach.
+        """
         worker = self._workers.table.get(machine.name)
         if worker is None:
             return []
@@ -111,7 +116,7 @@
 
     def _is_job_movable(self, job: Job) -> bool:
         return (
-            self._is_movable(job.spec)
+            self._is_spec_movable(job.spec)
             and job.queued_task_count == 0
             and not self._replica.is_cancelled(job.id)
             and not self._moves.is_cooling_down(job.id)
@@ -125,21 +130,22 @@
         reported = worker.tasks.get(key)
         is_running = reported is not None and reported.state == wire.RUNNING
         now = self._runtime.now
-        ran_s = now - worker.status.running_since.get(key, now)
+        run_time_s = now - worker.status.running_since.get(key, now)
         return RunningTask(
             job.spec,
             task,
             attempt.attempt_number,
-            lost_core_s(job.spec, ran_s),
+            lost_core_s(job.spec, run_time_s),
             is_movable and is_running,
         )
 
 
-def lost_core_s(spec: wire.JobSpec, ran_s: float) -> float:
-    """Return the core seconds that stopping a task throws away.
+def lost_core_s(spec: wire.JobSpec, run_time_s: float) -> float:
+    """Return the work that is lost when a task is stopped, in core seconds.
 
-    Replicas lose nothing; a task with checkpoints loses the time that its last one takes.
+    Replicas of services lose none. Other movable tasks write checkpoints: such a task loses the
+    time that it takes to save one, at most its run time.
     """
     if spec.service:
         return 0.0
-    return min(ran_s, spec.save_s) * spec.cpus
+    return min(run_time_s, spec.save_s) * spec.cpus
--- a/appledock/core/rebalancing/summary.py
+++ b/appledock/core/rebalancing/summary.py
@@ -14,7 +14,7 @@
 
 
 def move_summary(moves: Moves, now: float) -> dict[str, Any]:
-    """Return the moves under way and the last ones that ended, as JSON values."""
+    """Return the moves under way and those that ended last as JSON values."""
     return {
         "under_way": [
             {**_order_row(move.order), "for_s": round(now - move.started_at, 1)}
@@ -42,7 +42,7 @@
     smoothed: Mapping[str, Load],
     blocked: Mapping[str, BlockedMachine],
 ) -> list[dict[str, Any]]:
-    """Return the load of each machine, and what keeps an overloaded one from being relieved."""
+    """Return the load of each machine and, if no task could be moved off it, the obstacle."""
     return [
         {
             "id": name,
@@ -60,7 +60,10 @@
 def team_summaries(
     capacity_index: CapacityIndex, mean_loads: Means, bound_ratio: float
 ) -> list[dict[str, Any]]:
-    """Return each team's mean, its most loaded machine, and whether that is within the bound."""
+    """Return each team's mean load, its most loaded machine, and whether the bound is kept.
+
+    All values are JSON values.
+    """
     rows = []
     for team, mean in sorted(mean_loads.teams.items()):
         most, machine, tasks = max(
