--- a/appledock/rebalancing/__init__.py
+++ b/appledock/rebalancing/__init__.py
@@ -1,7 +1,8 @@
 """Rebalancing policy: which machines tasks are placed on, and which running tasks move.
 
-A policy without I/O that knows value types only. It reads typed snapshots of the fleet and
-returns typed proposals; the core checks each one and carries it out by the ordinary step
-transaction (`core/scheduling/moves`), and scores machines by it (`core/rebalancing/scoring`).
-docs/rebalancing.md has the options that were considered and the proof of convergence.
+The policy does no I/O and imports only value types. It reads snapshots of the fleet and returns
+proposals of moves. The core checks each proposal and executes it with the same transaction as any
+other step (`core/scheduling/moves`), and scores machines for placement by the policy's weights
+(`core/rebalancing/scoring`). docs/rebalancing.md describes the alternatives that were considered
+and the proof of convergence.
 """
--- a/appledock/rebalancing/locality.py
+++ b/appledock/rebalancing/locality.py
@@ -10,12 +10,14 @@
 
 
 class Distance(enum.Enum):
-    """Grade of the distance from a machine to data; the value multiplies the locality weight."""
+    """Grade of the distance from a machine to data; its value multiplies the locality weight."""
 
     MACHINE = 0.0
+    """The machine holds the data, or is as close as the settings can express."""
     ZONE = 0.5
-    """the machine's type or zone holds it"""
+    """Other machines hold the data; the settings name this machine's type or zone."""
     ELSEWHERE = 1.0
+    """Neither the machine nor its type nor its zone is named."""
 
 
 def distance(data: DataSet, machine: str, machine_type: str, zone: str) -> Distance:
@@ -23,25 +25,25 @@
     if machine in data.machines:
         return Distance.MACHINE
     if machine_type in data.types or zone in data.zones:
-        # Where no machines are named, type and zone are as close as it gets.
+        # If the settings name no machines for the data set, type and zone are the closest grade.
         return Distance.ZONE if data.machines else Distance.MACHINE
     return Distance.ELSEWHERE
 
 
 def reads(spec: wire.JobSpec, data: DataSet) -> bool:
-    """Does the job read the data set?"""
+    """Return whether the job reads the data set."""
     return spec.job_class in data.classes or spec.team in data.teams
 
 
 class DataSets:
-    """The data sets of the settings file, by their readers."""
+    """Finds the data sets of the settings file that a job reads."""
 
     def __init__(self, datasets: list[DataSet]) -> None:
         self.datasets = datasets
         self._by_reader: dict[tuple[str, str], list[DataSet]] = {}
 
     def read_by(self, spec: wire.JobSpec) -> list[DataSet]:
-        """Return the data sets that the job reads."""
+        """Return the data sets that the job reads; cached by job class and team."""
         key = (spec.job_class, spec.team)
         found = self._by_reader.get(key)
         if found is None:
@@ -49,7 +51,7 @@
         return found
 
     def distance(self, spec: wire.JobSpec, machine: str, machine_type: str, zone: str) -> float:
-        """Return the mean distance to the data sets of the job; 0 if it reads none."""
+        """Return the mean distance to the data sets that the job reads, or 0 if it reads none."""
         datasets = self.read_by(spec)
         if not datasets:
             return 0.0
@@ -69,7 +71,10 @@
 
 
 def describe_availability(data: DataSet, sites: list[MachineSite]) -> str:
-    """Return which grade of locality can be had, and why not a better one; for the API and log."""
+    """Describe the best grade of locality with free capacity, and why no better one has any.
+
+    The text goes to the administration API and the log.
+    """
     present = dict.fromkeys(Distance, 0)
     with_capacity = dict.fromkeys(Distance, 0)
     for site in sites:
--- a/appledock/rebalancing/planner.py
+++ b/appledock/rebalancing/planner.py
@@ -1,4 +1,4 @@
-"""Plans moves: few of them, each with the largest gain for the least lost work."""
+"""Planner of moves: few moves in a pass, each the one with the largest net gain."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Obstacle(enum.Enum):
-    """Why nothing moves off an overloaded machine, in the order in which moves are checked."""
+    """Why no task is moved off an overloaded machine, in the order of the planner's checks."""
 
     NOTHING_MOVABLE = "no task on it may be stopped for balance"
     NO_ROOM = "no other machine has room for its tasks"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """One move that the planner asks for."""
+    """A move of one task that the planner proposes."""
 
     job: str
     task: int
@@ -40,8 +40,9 @@
     source: str
     destination: str
     gain: float
+    """Gain of the move less its cost, in the unit of the potential (see `potential`)."""
     destination_load: float
-    """load of the destination before the move, as far as the planner knows"""
+    """Load of the destination before the move, according to the planner."""
 
 
 @dataclass(slots=True)
@@ -50,27 +51,30 @@
 
     proposals: list[Proposal] = field(default_factory=list)
     obstacles: dict[str, Obstacle] = field(default_factory=dict)
-    """overloaded machine -> why nothing moves off it"""
+    """Why no task is moved off an overloaded machine, by machine name."""
     comparisons: int = 0
-    """pairs of a task and a destination that were compared: the work of the pass"""
+    """Number of pairs of a task and a destination that were compared; measures the work done."""
 
 
 ReadTasks = Callable[[MachineLoad], list[RunningTask]]
-"""gives the tasks on a machine; asked only for machines that tasks may move from"""
+"""Returns the tasks on a machine; called only for machines considered as sources."""
 OwnerFilter = Callable[[MachineLoad, MachineLoad], bool]
-"""may tasks move from the first to the second machine, as far as owners go?"""
+"""Returns whether the owners of a source and a destination permit moves between them."""
 
 
 @dataclass(slots=True)
 class _Candidate:
+    """A move that gains enough, with its rank among the possible moves off one machine."""
+
     proposal: Proposal
     task: RunningTask
     destination: MachineLoad
     rank: tuple[bool, float]
+    """The candidate with the highest rank is chosen: replicas first, then the highest net gain."""
 
 
 class Planner:
-    """Plans moves over the machines of one snapshot."""
+    """Plans moves between the machines of a snapshot."""
 
     def __init__(self, rebalancing: Rebalancing, datasets: DataSets, rng: random.Random) -> None:
         self.settings = rebalancing.moves
@@ -80,10 +84,11 @@
         self.weights = {row.name: row for row in rebalancing.classes}
 
     def is_movable(self, spec: wire.JobSpec) -> bool:
-        """May tasks of the job be stopped for balance?
+        """Return whether tasks of the job may be stopped to balance load.
 
-        Replicas, and tasks that save their progress; never what would lose its work, nor
-        one of a gang, which only runs whole.
+        Replicas of services and tasks that write checkpoints may, if the weight `spread` of their
+        class is positive. A task without checkpoints would lose its work, and a gang runs only as a
+        whole, so these may not.
         """
         weights = self.weights.get(spec.job_class)
         return (
@@ -103,15 +108,15 @@
         review: Sequence[MachineLoad] = (),
         skip: Container[str] = (),
     ) -> Plan:
-        """Plan up to `max_moves` moves; the loads of the machines are changed as planned.
+        """Plan up to `max_moves` moves and apply them to the loads of the given machines.
 
-        `review`: machines whose tasks are looked at for their data, however even the load is.
-        `skip`: machines off which nothing could be moved lately.
+        Moves are planned off overloaded machines, except those named in `skip`, and off the
+        machines in `review`, whose tasks may move closer to their data at any load.
         """
         plan = Plan()
         if len(machines) < 2 or means.machines == 0:
             return plan
-        sources = self._sources(machines, means, skip)
+        sources = self._overloaded_machines(machines, means, skip)
         overloaded = {machine.name for machine in sources}
         sources += [machine for machine in review if machine.name not in overloaded]
         moved: set[str] = set()
@@ -119,7 +124,7 @@
             if len(plan.proposals) >= max_moves:
                 break
             source.tasks = read_tasks(source)
-            best, obstacle = self._best(source, machines, means, owner_filter, moved, plan)
+            best, obstacle = self._best_move(source, machines, means, owner_filter, moved, plan)
             if best is None:
                 if source.name in overloaded:
                     plan.obstacles[source.name] = obstacle
@@ -131,22 +136,24 @@
         return plan
 
     # --- sources ----------------------------------------------------------
-    def _sources(
+    def _overloaded_machines(
         self, machines: list[MachineLoad], means: Means, skip: Container[str]
     ) -> list[MachineLoad]:
-        """The machines furthest beyond the dead band, the worst first."""
-        beyond = [
+        """Return the machines furthest beyond the dead band, in descending order; a bounded number."""
+        overloaded = [
             (overload_ratio, machine.name, machine)
             for machine in machines
             if machine.name not in skip
             and (overload_ratio := self.overload_ratio(machine, means)) > 1.0
         ]
-        return [machine for _, _, machine in heapq.nlargest(constants.MOVE_SOURCES_MAX, beyond)]
+        return [machine for _, _, machine in heapq.nlargest(constants.MOVE_SOURCES_MAX, overloaded)]
 
     def overload_ratio(self, machine: MachineLoad, means: Means) -> float:
-        """Return the load, or the highest of a team, over the most that the dead band allows.
+        """Return the load of a machine divided by the upper limit of the dead band.
 
-        A single task cannot be spread, however much of the machine it takes.
+        This is the maximum over the total load and the load of each team, each the lower of the
+        present and the smoothed one. A load that consists of a single task is ignored: it cannot
+        be spread, however large its share of the machine is.
         """
         trigger = self.settings.trigger
         overload_ratio = 0.0
@@ -157,12 +164,12 @@
         for team, share in machine.load.teams.items():
             mean = means.team(team)
             if mean > constants.EPSILON and machine.load.task_counts[team] > 1:
-                lasting = min(share, machine.smoothed.of_team(team))
-                overload_ratio = max(overload_ratio, lasting / (trigger * mean))
+                sustained = min(share, machine.smoothed.of_team(team))
+                overload_ratio = max(overload_ratio, sustained / (trigger * mean))
         return overload_ratio
 
     # --- choice -----------------------------------------------------------
-    def _best(
+    def _best_move(
         self,
         source: MachineLoad,
         machines: list[MachineLoad],
@@ -171,26 +178,28 @@
         moved: set[str],
         plan: Plan,
     ) -> tuple[_Candidate | None, Obstacle]:
-        """The best move off a machine, replicas first, or what stands against one."""
+        """Return the best move off a machine, or None and the obstacle."""
         best: _Candidate | None = None
         obstacle = Obstacle.NOTHING_MOVABLE
-        for task in self._candidates(source, moved):
+        for task in self._candidate_tasks(source, moved):
             weights = self.weights[task.spec.job_class]
-            room = False
-            for destination in self._destinations(task.spec, source, machines, owner_filter):
+            has_destination = False
+            for destination in self._candidate_destinations(
+                task.spec, source, machines, owner_filter
+            ):
                 plan.comparisons += 1
-                room = True
-                found, reason = self._weigh(task, weights, source, destination, means)
+                has_destination = True
+                found, reason = self._evaluate_move(task, weights, source, destination, means)
                 if found is None:
                     obstacle = _later_obstacle(obstacle, reason)
                 elif best is None or found.rank > best.rank:
                     best = found
-            if not room:
+            if not has_destination:
                 obstacle = _later_obstacle(obstacle, Obstacle.NO_ROOM)
         return best, obstacle
 
-    def _candidates(self, source: MachineLoad, moved: set[str]) -> list[RunningTask]:
-        """The task of each job that loses least; a bounded number of jobs."""
+    def _candidate_tasks(self, source: MachineLoad, moved: set[str]) -> list[RunningTask]:
+        """Return, for a bounded number of jobs, the task that would lose the least work."""
         cheapest: dict[str, RunningTask] = {}
         for task in source.tasks:
             if not task.is_movable or task.spec.id in moved:
@@ -204,14 +213,14 @@
             key=lambda task: (not task.spec.service, task.lost_core_s, task.spec.id),
         )
 
-    def _destinations(
+    def _candidate_destinations(
         self,
         spec: wire.JobSpec,
         source: MachineLoad,
         machines: list[MachineLoad],
         owner_filter: OwnerFilter | None,
     ) -> list[MachineLoad]:
-        """The least loaded machines that may take a task, and those that hold its data."""
+        """Return some of the least loaded machines that may take a task, and some with its data."""
         fitting = [
             machine
             for machine in machines
@@ -223,18 +232,18 @@
         least = heapq.nsmallest(
             2 * constants.MOVE_DESTINATIONS_MAX, fitting, key=lambda m: (m.load.total, m.name)
         )
-        # Half of the least loaded ones, at random: several planners with the same snapshot
-        # would otherwise all choose the same machine.
-        drawn = (
+        # The least loaded machine and a random sample of the next ones, about half of them:
+        # several planners with the same snapshot would otherwise all choose the same machine.
+        sampled = (
             least
             if len(least) <= constants.MOVE_DESTINATIONS_MAX
             else [least[0], *self.rng.sample(least[1:], constants.MOVE_DESTINATIONS_MAX - 1)]
         )
         if not self.datasets.read_by(spec):
-            return drawn
-        names = {machine.name for machine in drawn}
+            return sampled
+        names = {machine.name for machine in sampled}
         holders = (m for m in fitting if m.name not in names and self._distance(spec, m) <= 0.0)
-        return drawn + heapq.nsmallest(
+        return sampled + heapq.nsmallest(
             constants.MOVE_DESTINATIONS_MAX, holders, key=lambda m: (m.load.total, m.name)
         )
 
@@ -242,7 +251,7 @@
         return self.datasets.distance(spec, machine.name, machine.machine_type.name, machine.zone)
 
     def _is_allowed(self, spec: wire.JobSpec, source: MachineLoad, machine: MachineLoad) -> bool:
-        """Check the hard constraints; jobs with zone constraints move within their zone."""
+        """Return whether a task may move to a machine; with zone constraints, only in its zone."""
         if machine.is_failing or (
             not self.settings.use_empty and machine.load.total <= constants.EPSILON
         ):
@@ -250,14 +259,14 @@
         if (spec.one_zone or spec.spread) and machine.zone != source.zone:
             return False
         if machine.admission is not None and not machine.admission.admits(spec):
-            return False  # a move never crosses a capacity partition
+            return False  # a move must not cross the boundary of a capacity partition
         return (
             (spec.types is None or machine.machine_type.name in spec.types)
             and (spec.zone is None or spec.zone == machine.zone)
             and (spec.spot or not machine.spot)
         )
 
-    def _weigh(
+    def _evaluate_move(
         self,
         task: RunningTask,
         weights: ClassWeights,
@@ -265,14 +274,17 @@
         destination: MachineLoad,
         means: Means,
     ) -> tuple[_Candidate | None, Obstacle]:
-        """One move: its gain, less what it costs, against what a move must gain."""
+        """Compare the net gain of one move with the minimum gain.
+
+        Return a candidate, or None and the obstacle. The obstacle beside a candidate is unused.
+        """
         spec, settings = task.spec, self.settings
-        arrives = task_share(spec, destination.machine_type)
+        added_share = task_share(spec, destination.machine_type)
         if exceeds_bound(
-            destination.load.of_team(spec.team), arrives, means.team(spec.team), self.bound
+            destination.load.of_team(spec.team), added_share, means.team(spec.team), self.bound
         ):
             return None, Obstacle.TOO_LARGE
-        fetch_s = self.fetch_s(spec, destination)
+        fetch_s = self.image_fetch_s(spec, destination)
         if fetch_s > settings.fetch_s:
             return None, Obstacle.GAIN_TOO_SMALL
         found = move_gain(spec, weights, source, destination, self.datasets)
@@ -296,8 +308,8 @@
         ), Obstacle.NOTHING_MOVABLE
 
     @staticmethod
-    def fetch_s(spec: wire.JobSpec, machine: MachineLoad) -> float:
-        """Return how long (s) the task would wait for its image there."""
+    def image_fetch_s(spec: wire.JobSpec, machine: MachineLoad) -> float:
+        """Return how long a task would wait for its image on the machine (s)."""
         rate = machine.machine_type.fetch_gb_per_s
         if spec.image in machine.images or rate <= 0:
             return 0.0
@@ -305,6 +317,6 @@
 
 
 def _later_obstacle(known: Obstacle, found: Obstacle) -> Obstacle:
-    """Return the obstacle of the attempt that came further."""
+    """Return the obstacle that occurs later in the order of the checks."""
     order = list(Obstacle)
     return max(known, found, key=order.index)
--- a/appledock/rebalancing/potential.py
+++ b/appledock/rebalancing/potential.py
@@ -1,15 +1,15 @@
-"""The potential that every move lowers: why moves end under a constant load.
+"""Potential function that every planned move decreases, so that moves end under constant load.
 
-For machines m of C cores with load L(m), and the part T(m, t) of team t in it:
+For machines m with C cores and load L(m), of which T(m, t) belongs to team t, the potential is:
 
     sum over m of C * (L(m)^2 + sum over t of T(m, t)^2)
     + sum over running tasks of (locality / spread) * cores * distance to their data
 
-It is never negative. A move is proposed only if it lowers the potential by more than a
-fixed amount for each core of the task, both by the loads of now and by the smoothed ones.
-Under a constant load smoothed loads become those of now, and only finitely many moves can
-follow. Weights of a class only scale its own term of distance, so classes that wish for
-opposite things share one potential and cannot chase each other.
+The potential is never negative. A move is proposed only if it decreases the potential by at least
+a fixed amount for each core of the task, both with the present and with the smoothed loads. Under
+constant load the smoothed loads converge to the present ones, and only finitely many moves can
+follow. The weights of a class scale only the distance terms of its own tasks. Classes with
+conflicting weights therefore share one potential, and cannot undo each other's moves forever.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Gain:
-    """By how much a move lowers the potential."""
+    """Decrease of the potential by a move, with the present and with the smoothed loads."""
 
     now: float
     smoothed: float
 
     @property
     def minimum(self) -> float:
-        """The lower of the two gains: what the move gains by either load."""
+        """The lower of the two gains."""
         return min(self.now, self.smoothed)
 
 
-def _growth(cores: float, load: Load, team: str, change: float) -> float:
-    """How much the terms of one machine grow when a team's load there changes."""
+def _potential_increase(cores: float, load: Load, team: str, change: float) -> float:
+    """Return the increase of a machine's load terms when the load of a team on it changes."""
     return cores * sum(
         (before + change) ** 2 - before**2 for before in (load.total, load.of_team(team))
     )
@@ -49,23 +49,27 @@
     destination: MachineLoad,
     datasets: DataSets,
 ) -> Gain:
-    """The gain of moving one task of the job from its source, where it is counted."""
-    leaves = task_share(spec, source.machine_type)
-    arrives = task_share(spec, destination.machine_type)
+    """Return the gain of moving one task of the job; the loads of the source include the task."""
+    source_share = task_share(spec, source.machine_type)
+    destination_share = task_share(spec, destination.machine_type)
 
-    def spread(source_load: Load, destination_load: Load) -> float:
+    def spread_gain(source_load: Load, destination_load: Load) -> float:
         return -(
-            _growth(source.machine_type.cpus, source_load, spec.team, -leaves)
-            + _growth(destination.machine_type.cpus, destination_load, spec.team, arrives)
+            _potential_increase(source.machine_type.cpus, source_load, spec.team, -source_share)
+            + _potential_increase(
+                destination.machine_type.cpus, destination_load, spec.team, destination_share
+            )
         )
 
-    closer = 0.0
+    locality_gain = 0.0
     if weights.locality > 0:
-        nearer = _distance(spec, source, datasets) - _distance(spec, destination, datasets)
-        closer = weights.locality / weights.spread * spec.cpus * nearer
+        distance_decrease = _distance(spec, source, datasets) - _distance(
+            spec, destination, datasets
+        )
+        locality_gain = weights.locality / weights.spread * spec.cpus * distance_decrease
     return Gain(
-        closer + spread(source.load, destination.load),
-        closer + spread(source.smoothed, destination.smoothed),
+        locality_gain + spread_gain(source.load, destination.load),
+        locality_gain + spread_gain(source.smoothed, destination.smoothed),
     )
 
 
@@ -76,7 +80,7 @@
 def potential(
     machines: list[MachineLoad], weights: dict[str, ClassWeights], datasets: DataSets
 ) -> float:
-    """The whole potential of machines whose tasks are known; for tests and the log."""
+    """Return the potential of machines whose tasks are known; used by tests."""
     result = 0.0
     for machine in machines:
         cores = machine.machine_type.cpus
@@ -85,6 +89,6 @@
         for task in machine.tasks:
             row = weights.get(task.spec.job_class)
             if row is not None and row.spread > 0:
-                far = _distance(task.spec, machine, datasets)
-                result += row.locality / row.spread * task.spec.cpus * far
+                distance = _distance(task.spec, machine, datasets)
+                result += row.locality / row.spread * task.spec.cpus * distance
     return result
--- a/appledock/rebalancing/settings.py
+++ b/appledock/rebalancing/settings.py
@@ -1,4 +1,4 @@
-"""The file that enables rebalancing: read, checked, and published as a JSON schema."""
+"""Settings file that enables rebalancing: types, validation and JSON schema."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 
 
 class RebalancingError(Exception):
-    """The file cannot be used; the text says why in one line."""
+    """The settings file is unusable; the message gives the reason in one line."""
 
 
 class ClassWeights(Struct, frozen=True, forbid_unknown_fields=True):
-    """What counts when a task of the class is placed or moved; all zero is an error."""
+    """Weights for placing and moving tasks of a job class; at least one must be positive."""
 
     name: Name
     spread: Weight = 0.0
-    """even load of machines, and of the team over the machines"""
+    """Even load over the machines, in total and of the job's team."""
     locality: Weight = 0.0
-    """closeness to the data sets that the class or its team reads"""
+    """Short distance to the data sets that the class or its team reads."""
     image: Weight = 0.0
-    """the wait for an image that the machine does not have"""
+    """Short wait for an image that the machine does not have yet."""
     packing: Weight = 0.0
-    """a tight fit: machines stay empty, and can be returned"""
+    """Tight packing, which leaves other machines empty, so that they can be returned."""
     speed: Weight = 0.0
-    """machines on which tasks took less than their estimates"""
+    """Machines on which tasks run faster than the mean of their class."""
 
     def has_positive_weight(self) -> bool:
-        """Does anything count?"""
+        """Return whether any weight is positive."""
         return any((self.spread, self.locality, self.image, self.packing, self.speed))
 
 
 class DataSet(Struct, frozen=True, forbid_unknown_fields=True):
-    """Data, where it lies, and who reads it."""
+    """A data set: the machines, types or zones that hold it, and its readers."""
 
     name: Name
     machines: list[Name] = []
@@ -59,50 +59,54 @@
 
     enabled: bool = True
     every_s: Seconds = 5.0
-    """pause between two passes of the planner"""
+    """Interval between two planning passes (s)."""
     smooth_s: Seconds = 15.0
-    """time constant of the load that the planner trusts"""
+    """Time constant of the smoothed load (s)."""
     trigger: Ratio = 1.25
-    """dead band: load over the mean below which nothing is moved off a machine"""
+    """Dead band: ratio of a load to the mean up to which no task is moved to spread load."""
     min_gain: Annotated[float, Meta(gt=0, le=10)] = 0.2
-    """least gain of a move, for each core of the task"""
+    """Minimum gain of a move, for each core of the task."""
     payback_s: Seconds = 120.0
-    """time within which a move's gain must outweigh the work that it loses"""
+    """Time within which the gain of a move must outweigh the work that it loses (s)."""
     in_flight: Annotated[int, Meta(ge=1, le=1000)] = 2
-    """moves under way at a time that one controller has asked for"""
+    """Maximum number of moves under way at a time that one controller has requested."""
     cooldown_s: Seconds = 60.0
-    """a job that was moved is left alone for so long"""
+    """Time after a move for which the job is not moved again (s)."""
     replicas_down: Annotated[int, Meta(ge=1, le=1000)] = 1
-    """replicas of a service that moves may take down at a time"""
+    """Maximum number of replicas of a service that moves may take down at a time."""
     fetch_s: Annotated[float, Meta(ge=0, le=3600)] = 5.0
-    """longest wait for an image that a moved task may have"""
+    """Maximum time that a moved task may wait for its image (s)."""
     use_empty: bool = True
-    """may tasks be moved to machines that are empty, and could be returned?"""
+    """Whether tasks may move to empty machines, which could be returned otherwise."""
 
 
 class Rebalancing(Struct, frozen=True, forbid_unknown_fields=True):
-    """All that the file says."""
+    """Contents of the rebalancing settings file."""
 
     bound: Ratio = 1.5
-    """a team's load on one machine over its mean: closeness counts only up to it"""
+    """Limit of the ratio of a team's load on one machine to its mean load.
+
+    Data locality counts, and moves add tasks, only up to this limit. A single task of the team may
+    exceed it.
+    """
     moves: Moves = msgspec.field(default_factory=Moves)
     classes: list[ClassWeights] = []
     datasets: list[DataSet] = []
     extra_classes: list[Name] = []
-    """classes that the platform's objectives do not name"""
+    """Job classes that the platform's objectives do not name."""
 
     def weights(self, job_class: str) -> ClassWeights | None:
-        """The weights of a class; None: it is placed as without rebalancing."""
+        """Return the weights of a job class, or None if the default score applies to it."""
         return next((row for row in self.classes if row.name == job_class), None)
 
 
 def schema() -> dict[str, Any]:
-    """The JSON schema of the file, made from the types."""
+    """Return the JSON schema of the settings file, derived from the types."""
     return msgspec.json.schema(Rebalancing)
 
 
 def parse(raw: bytes, cluster: Cluster) -> Rebalancing:
-    """Check the bytes of a file against its types and the platform's settings."""
+    """Parse the contents of a settings file, and check them against the platform's settings."""
     try:
         rebalancing = msgspec.convert(tomllib.loads(raw.decode()), Rebalancing)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError, UnicodeDecodeError) as error:
@@ -113,7 +117,7 @@
 
 
 def load(path: str | Path, cluster: Cluster) -> Rebalancing:
-    """Read and check a file."""
+    """Read and check a settings file."""
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
@@ -126,36 +130,36 @@
     classes.update(rebalancing.extra_classes)
     teams = {team.name for team in cluster.teams}
     zones = set(cluster.zones)
-    for place, weights in enumerate(rebalancing.classes):
-        _known(f"$.classes[{place}].name", "class", [weights.name], classes)
-    for place, data in enumerate(rebalancing.datasets):
-        where = f"$.datasets[{place}]"
-        _known(f"{where}.classes", "class", data.classes, classes)
-        _known(f"{where}.teams", "team", data.teams, teams)
-        _known(f"{where}.zones", "zone", data.zones, zones)
-    _unique("$.classes", [row.name for row in rebalancing.classes])
-    _unique("$.datasets", [row.name for row in rebalancing.datasets])
-
-
-def _known(where: str, kind: str, names: Iterable[str], known: set[str]) -> None:
+    for index, weights in enumerate(rebalancing.classes):
+        _check_known(f"$.classes[{index}].name", "class", [weights.name], classes)
+    for index, data in enumerate(rebalancing.datasets):
+        where = f"$.datasets[{index}]"
+        _check_known(f"{where}.classes", "class", data.classes, classes)
+        _check_known(f"{where}.teams", "team", data.teams, teams)
+        _check_known(f"{where}.zones", "zone", data.zones, zones)
+    _check_unique("$.classes", [row.name for row in rebalancing.classes])
+    _check_unique("$.datasets", [row.name for row in rebalancing.datasets])
+
+
+def _check_known(where: str, kind: str, names: Iterable[str], known: set[str]) -> None:
     for name in names:
         if name not in known:
             listed = ", ".join(sorted(known)) or "none"
             raise RebalancingError(f"unknown {kind} {name!r}; known are {listed} - at `{where}`")
 
 
-def _unique(where: str, names: list[str]) -> None:
+def _check_unique(where: str, names: list[str]) -> None:
     for name, count in Counter(names).items():
         if count > 1:
             raise RebalancingError(f"{name!r} is named {count} times - at `{where}`")
 
 
 def _check_values(rebalancing: Rebalancing) -> None:
-    for place, weights in enumerate(rebalancing.classes):
+    for index, weights in enumerate(rebalancing.classes):
         if not weights.has_positive_weight():
-            raise RebalancingError(f"all weights are 0 - at `$.classes[{place}]`")
-    for place, data in enumerate(rebalancing.datasets):
-        where = f"$.datasets[{place}]"
+            raise RebalancingError(f"all weights are 0 - at `$.classes[{index}]`")
+    for index, data in enumerate(rebalancing.datasets):
+        where = f"$.datasets[{index}]"
         if not (data.machines or data.types or data.zones):
             raise RebalancingError(f"machines, types or zones are needed - at `{where}`")
         if not (data.classes or data.teams):
--- a/appledock/rebalancing/snapshot.py
+++ b/appledock/rebalancing/snapshot.py
@@ -1,7 +1,8 @@
-"""Snapshot of the fleet that the policy decides on: loads, tasks, means.
+"""Snapshot of the fleet, the input of the policy: loads, tasks and mean loads.
 
-Load is the *committed* share of a machine, since workers report no usage: the sum, over the
-tasks on it, of the largest of their shares of its CPUs, memory and GPUs.
+The load of a machine is its *committed* share, because workers do not report usage. It is the sum
+of the dominant shares of the tasks on the machine, where the dominant share of a task is the
+largest of its shares of the machine's CPUs, memory and GPUs.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 def task_share(spec: wire.JobSpec, machine_type: wire.MachineType) -> float:
-    """Return the dominant share: the largest part of the machine's resources that a task takes."""
+    """Return the dominant share of a task: its largest share of any resource of the machine."""
     share = 0.0
     for amount, whole in (
         (spec.cpus, machine_type.cpus),
@@ -28,15 +29,15 @@
 
 @dataclass(slots=True)
 class Load:
-    """The committed shares of one machine."""
+    """Committed shares of one machine, in total and by team."""
 
     total: float = 0.0
     teams: dict[str, float] = field(default_factory=dict)
     task_counts: dict[str, int] = field(default_factory=dict)
-    """team -> its tasks"""
+    """Number of tasks of each team."""
 
     def add(self, team: str, share: float, tasks: int) -> None:
-        """Count tasks of a team, each of this share (negative: no longer)."""
+        """Add tasks of a team, each with the given share; a negative number removes them."""
         self.total += share * tasks
         left = self.task_counts.get(team, 0) + tasks
         if left > 0:
@@ -47,17 +48,17 @@
             self.teams.pop(team, None)
 
     def add_share(self, team: str, share: float) -> None:
-        """Add a share that is not a whole number of tasks."""
+        """Add a share to the load of a team, without a change of the number of tasks."""
         self.total += share
         self.teams[team] = self.teams.get(team, 0.0) + share
 
     @property
     def task_count(self) -> int:
-        """How many tasks are counted."""
+        """Number of tasks of all teams."""
         return sum(self.task_counts.values())
 
     def interpolated_towards(self, now: Load, weight: float) -> Load:
-        """Return this load, moved towards the present one by `weight` of their difference."""
+        """Return this load plus `weight` times the difference to the load `now`."""
         teams = {
             team: self.of_team(team) + weight * (now.of_team(team) - self.of_team(team))
             for team in self.teams.keys() | now.teams.keys()
@@ -65,7 +66,7 @@
         return Load(self.total + weight * (now.total - self.total), teams, dict(now.task_counts))
 
     def maximum_with(self, other: Load) -> Load:
-        """Return the maximum of both loads, team by team."""
+        """Return the maximum of the two loads, in total and for each team."""
         teams = {
             team: max(self.of_team(team), other.of_team(team))
             for team in self.teams.keys() | other.teams.keys()
@@ -73,17 +74,17 @@
         return Load(max(self.total, other.total), teams, dict(self.task_counts))
 
     def of_team(self, team: str) -> float:
-        """Return the team's share."""
+        """Return the share that tasks of the team commit."""
         return self.teams.get(team, 0.0)
 
     def copy(self) -> Load:
-        """Return a copy that may be changed."""
+        """Return an independent copy."""
         return Load(self.total, dict(self.teams), dict(self.task_counts))
 
 
 @dataclass(frozen=True, slots=True)
 class Means:
-    """Mean loads over machines, each weighted by its size."""
+    """Mean loads over machines, in total and by team, weighted by the machines' CPUs."""
 
     machines: int = 0
     cpus: float = 0.0
@@ -91,12 +92,12 @@
     teams: dict[str, float] = field(default_factory=dict)
 
     def team(self, name: str) -> float:
-        """The team's mean load."""
+        """Return the mean load of the team."""
         return self.teams.get(name, 0.0)
 
 
 def means(loads: Iterable[tuple[float, Load]]) -> Means:
-    """Return the mean loads over machines, each given as its CPUs and its load."""
+    """Return the mean loads over machines, each given as a pair of its CPUs and its load."""
     machines, cpus, total = 0, 0.0, 0.0
     teams: dict[str, float] = {}
     for size, load in loads:
@@ -114,27 +115,27 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """One task on a machine, as far as the planner needs to know it."""
+    """The planner's view of one task on a machine."""
 
     spec: wire.JobSpec
     task: int
     attempt: int
     lost_core_s: float
-    """work that is thrown away when it is stopped"""
+    """Work that is lost if the task is stopped (core seconds)."""
     is_movable: bool
-    """may it be stopped to balance load?"""
+    """Whether the task may be stopped to balance load."""
 
 
 class Admission(Protocol):
-    """Which jobs a machine of a capacity partition admits."""
+    """Decides which jobs a machine of a capacity partition admits."""
 
     def admits(self, spec: wire.JobSpec) -> bool:
-        """May a task of the job run there?"""
+        """Return whether tasks of the job may run on the machine."""
 
 
 @dataclass(slots=True)
 class MachineLoad:
-    """One machine that may take tasks, as the planner sees it."""
+    """The planner's view of one machine that may take tasks."""
 
     name: str
     owner: str
@@ -142,23 +143,25 @@
     spot: bool
     machine_type: wire.MachineType
     load: Load
-    """without the tasks that are leaving it"""
+    """Load without the tasks that are being stopped."""
     smoothed: Load
-    """averaged over time"""
+    """Load averaged over time."""
     cpus: float
+    """Free CPUs."""
     gpus: float
+    """Free GPUs."""
     memory_gb: float
-    """what is free"""
+    """Free memory (GB)."""
     images: frozenset[str] = frozenset()
     tasks: list[RunningTask] = field(default_factory=list)
-    """read for machines that tasks may be moved from"""
+    """Tasks on the machine; filled in only if the machine is considered as a source."""
     is_failing: bool = False
-    """tasks of different jobs failed on it"""
+    """Whether tasks of different jobs have failed on the machine."""
     admission: Admission | None = None
-    """which jobs it admits; None: any"""
+    """Which jobs the machine admits; None if any."""
 
     def fits(self, spec: wire.JobSpec) -> bool:
-        """Is there free capacity for one task?"""
+        """Return whether the free capacity is enough for one task of the job."""
         return (
             self.cpus + constants.EPSILON >= spec.cpus
             and self.gpus + constants.EPSILON >= spec.gpus
@@ -166,7 +169,7 @@
         )
 
     def add_tasks(self, spec: wire.JobSpec, tasks: int) -> None:
-        """Count tasks of the job as placed here; a negative number as moved away."""
+        """Add tasks of the job to the machine; a negative number removes them."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
         self.memory_gb -= spec.memory_gb * tasks
@@ -176,8 +179,9 @@
 
 
 def exceeds_bound(load: float, share: float, mean: float, bound: float) -> bool:
-    """Would one task more be beyond the team's bound on a machine?
+    """Return whether one more task would exceed the team's bound on a machine.
 
-    A machine may always hold one task of a team: a smaller part of it cannot be moved.
+    A machine without load of the team never exceeds it: the smallest unit that can be placed is one
+    task, however large its share is.
     """
     return load > constants.EPSILON and load + share > bound * mean + constants.EPSILON
--- a/appledock/rebalancing/speeds.py
+++ b/appledock/rebalancing/speeds.py
@@ -18,14 +18,17 @@
 
 
 class MachineSpeeds:
-    """Run times against the mean of their class; estimates are wrong for whole classes."""
+    """Averages, for each machine, the ratios of run times to the mean run time of the class.
+
+    Run times are not compared with the estimates of the jobs, which are wrong for whole classes.
+    """
 
     def __init__(self) -> None:
         self._classes: dict[str, _Average] = {}
         self._machines: dict[str, _Average] = {}
 
     def add_run_time(self, machine: str, job_class: str, seconds: float) -> None:
-        """A task of the class took so long on the machine."""
+        """Record the run time of a completed task of the job class on the machine."""
         if seconds <= 0:
             return
         mean = self._classes.get(job_class)
@@ -41,11 +44,14 @@
             known.add(ratio)
 
     def forget(self, machine: str) -> None:
-        """Drop what is known of a machine that no longer exists."""
+        """Delete the average of a machine that no longer exists."""
         self._machines.pop(machine, None)
 
     def slowness(self, machine: str) -> float:
-        """Return the mean ratio of its run times to those of the class; 1 if too few are known."""
+        """Return the mean ratio of run times on the machine to those of the class; 1 if unknown.
+
+        The ratio is unknown until enough tasks have completed on the machine.
+        """
         known = self._machines.get(machine)
         if known is None or known.count < constants.SPEED_SAMPLES_MIN:
             return 1.0
--- a/tests/unit/rebalancing/test_move_planning.py
+++ b/tests/unit/rebalancing/test_move_planning.py
@@ -1,4 +1,4 @@
-"""Planning passes, built from a planner and snapshots that answer as the test says."""
+"""Tests of planning passes, with fakes of the planner, the snapshots and the moves."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
     return Proposal("job-1", 0, 1, source, destination, 0.5, 0.0)
 
 
-class Planning:
-    """A planning of controller n0, whose planner returns `plans` one after the other."""
+class PlanningFixture:
+    """The planning passes of controller n0; the fake planner returns `plans` in turn."""
 
     def __init__(self, *plans: Plan, is_leader: bool = False) -> None:
         self.plans = list(plans)
         self.calls: list[dict[str, Any]] = []
-        self.smoothed = 0
+        self.smoothing_count = 0
         self.requested: list[Proposal] = []
-        self.dry_runs = 0
+        self.dry_run_count = 0
         self.runtime = Runtime(settings("n0", ["n0", "n1"]), "x", random.Random(1))
         self.runtime.now = 100.0
         self.operator_settings = OperatorSettings()
@@ -46,7 +46,7 @@
         snapshots: Any = SimpleNamespace(
             machines=lambda: fleet,
             own_machines=lambda: fleet[:2],
-            running_tasks=lambda row: [],
+            running_tasks=lambda machine_load: [],
             update_smoothed=self._update_smoothed,
         )
         self.moves: Any = SimpleNamespace(
@@ -68,64 +68,66 @@
         )
 
     def _plan(
-        self, machines: list[MachineLoad], means: Means, tasks: Any, most: int, **options: Any
+        self, machines: list[MachineLoad], means: Means, tasks: Any, max_moves: int, **options: Any
     ) -> Plan:
-        self.calls.append({"machines": [row.name for row in machines], "most": most, **options})
+        self.calls.append(
+            {"machines": [row.name for row in machines], "max_moves": max_moves, **options}
+        )
         return self.plans.pop(0)
 
     def _update_smoothed(self, time_constant_s: float) -> None:
-        self.smoothed += 1
+        self.smoothing_count += 1
 
     def _count_dry_run(self) -> None:
-        self.dry_runs += 1
+        self.dry_run_count += 1
 
 
 def test_a_controller_plans_among_its_own_machines_within_the_moves_that_may_be_under_way() -> None:
     own = proposal("vm-1", "vm-2")
-    parts = Planning(Plan([own]), Plan())
-    parts.moves.requested = {1: None, 2: None}
-    parts.planning.tick()
-    assert parts.requested == [own]
-    assert parts.calls[0]["machines"] == ["vm-1", "vm-2"] and parts.calls[0]["most"] == 1
-    parts.runtime.now += 8.9
-    parts.planning.tick()
-    assert len(parts.calls) == 1  # the next pass is not due
-    parts.runtime.now += 2.2
-    parts.planning.tick()
-    assert len(parts.calls) == 2
+    fixture = PlanningFixture(Plan([own]), Plan())
+    fixture.moves.requested = {1: None, 2: None}
+    fixture.planning.tick()
+    assert fixture.requested == [own]
+    assert fixture.calls[0]["machines"] == ["vm-1", "vm-2"] and fixture.calls[0]["max_moves"] == 1
+    fixture.runtime.now += 8.9
+    fixture.planning.tick()
+    assert len(fixture.calls) == 1  # the next pass is not due
+    fixture.runtime.now += 2.2
+    fixture.planning.tick()
+    assert len(fixture.calls) == 2
 
 
 def test_the_leader_requests_only_moves_between_owners() -> None:
     between, within = proposal("vm-1", "vm-3"), proposal("vm-1", "vm-2")
-    parts = Planning(Plan(), Plan([between, within]), is_leader=True)
-    parts.planning.tick()
-    assert parts.requested == [between]
-    owner_filter = parts.calls[1]["owner_filter"]
-    assert owner_filter(machine("vm-1", 0.0), machine("vm-3", 0.0))  # 0.5 on average, against 0.2
+    fixture = PlanningFixture(Plan(), Plan([between, within]), is_leader=True)
+    fixture.planning.tick()
+    assert fixture.requested == [between]
+    owner_filter = fixture.calls[1]["owner_filter"]
+    assert owner_filter(machine("vm-1", 0.0), machine("vm-3", 0.0))  # mean loads 0.5 and 0.2
     assert not owner_filter(machine("vm-3", 0.0), machine("vm-1", 0.0))
 
 
 def test_a_machine_that_nothing_can_be_moved_off_is_left_alone_for_a_while() -> None:
-    parts = Planning(Plan(obstacles={"vm-1": Obstacle.NO_ROOM}), Plan(), Plan())
-    parts.planning.tick()
-    assert parts.planning.blocked["vm-1"].obstacle == Obstacle.NO_ROOM.value
-    parts.runtime.now += 11.1
-    parts.planning.tick()
-    assert set(parts.calls[1]["skip"]) == {"vm-1"}
-    parts.runtime.now += constants.MOVE_SOURCE_BACKOFF_S
-    parts.planning.tick()
-    assert set(parts.calls[2]["skip"]) == set()
+    fixture = PlanningFixture(Plan(obstacles={"vm-1": Obstacle.NO_ROOM}), Plan(), Plan())
+    fixture.planning.tick()
+    assert fixture.planning.blocked["vm-1"].obstacle == Obstacle.NO_ROOM.value
+    fixture.runtime.now += 11.1
+    fixture.planning.tick()
+    assert set(fixture.calls[1]["skip"]) == {"vm-1"}
+    fixture.runtime.now += constants.MOVE_SOURCE_BACKOFF_S
+    fixture.planning.tick()
+    assert set(fixture.calls[2]["skip"]) == set()
 
 
 def test_operators_pause_moves_or_only_count_them_while_loads_are_smoothed_on() -> None:
-    parts = Planning(Plan([proposal("vm-1", "vm-2")]))
-    parts.operator_settings.apply({"moves_paused": 1})
-    parts.planning.tick()
-    assert parts.calls == [] and parts.smoothed == 1
-    parts.operator_settings.apply({"moves_dry_run": 1})
-    parts.runtime.now += 11.1
-    parts.planning.tick()
-    assert parts.dry_runs == 1 and parts.requested == [] and parts.smoothed == 2
+    fixture = PlanningFixture(Plan([proposal("vm-1", "vm-2")]))
+    fixture.operator_settings.apply({"moves_paused": 1})
+    fixture.planning.tick()
+    assert fixture.calls == [] and fixture.smoothing_count == 1
+    fixture.operator_settings.apply({"moves_dry_run": 1})
+    fixture.runtime.now += 11.1
+    fixture.planning.tick()
+    assert fixture.dry_run_count == 1 and fixture.requested == [] and fixture.smoothing_count == 2
 
 
 def test_the_mean_load_of_an_owner_weighs_machines_by_their_size() -> None:
