--- a/appledock/rebalancing/planner.py
+++ b/appledock/rebalancing/planner.py
@@ -139,7 +139,7 @@
     def _overloaded_machines(
         self, machines: list[MachineLoad], means: Means, skip: Container[str]
     ) -> list[MachineLoad]:
-        """Return the machines furthest beyond the dead band, in descending order; a bounded number."""
+        """Return a bounded number of the machines furthest beyond the dead band, worst first."""
         overloaded = [
             (overload_ratio, machine.name, machine)
             for machine in machines
