--- a/appledock/rebalancing/settings.py
+++ b/appledock/rebalancing/settings.py
@@ -28,15 +28,15 @@
 
     name: Name
     spread: Weight = 0.0
-    """Even load over the machines, in total and of the job's team."""
+    """Weight of an even load over the machines, in total and of the job's team."""
     locality: Weight = 0.0
-    """Short distance to the data sets that the class or its team reads."""
+    """Weight of a short distance to the data sets that the class or its team reads."""
     image: Weight = 0.0
-    """Short wait for an image that the machine does not have yet."""
+    """Weight of a short wait for an image that the machine does not have yet."""
     packing: Weight = 0.0
-    """Tight packing, which leaves other machines empty, so that they can be returned."""
+    """Weight of tight packing, which leaves other machines empty, so that they can be returned."""
     speed: Weight = 0.0
-    """Machines on which tasks run faster than the mean of their class."""
+    """Weight of machines on which tasks run faster than the mean of their class."""
 
     def has_positive_weight(self) -> bool:
         """Return whether any weight is positive."""
@@ -51,7 +51,9 @@
     types: list[Name] = []
     zones: list[Name] = []
     classes: list[Name] = []
+    """Job classes whose jobs read the data set."""
     teams: list[Name] = []
+    """Teams whose jobs read the data set."""
 
 
 class Moves(Struct, frozen=True, forbid_unknown_fields=True):
--- a/appledock/rebalancing/speeds.py
+++ b/appledock/rebalancing/speeds.py
@@ -9,6 +9,8 @@
 
 @dataclass(slots=True)
 class _Average:
+    """Running mean; beyond `SPEED_SAMPLES_MAX` samples, older ones lose weight exponentially."""
+
     value: float
     count: int = 1
 
@@ -25,7 +27,9 @@
 
     def __init__(self) -> None:
         self._classes: dict[str, _Average] = {}
+        """Mean run time (s) by job class."""
         self._machines: dict[str, _Average] = {}
+        """Mean ratio of run times to the mean of the class, by machine."""
 
     def add_run_time(self, machine: str, job_class: str, seconds: float) -> None:
         """Record the run time of a completed task of the job class on the machine."""
