--- a/appledock/core/capacity/summary.py
+++ b/appledock/core/capacity/summary.py
@@ -1,4 +1,4 @@
-"""Fractions, owned machines, their use and drains, as the administration API shows them."""
+"""Summary of capacity partitions for the administration API."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PartitionSummary:
-    """Builds the body of `GET capacity`; its keys are part of the administration API."""
+    """Builds the body of `GET capacity`, whose keys are part of the administration API."""
 
     def __init__(self, replica: Replica, partitions: PartitionMap, usage: MachineUsage) -> None:
         self._replica = replica
@@ -19,7 +19,7 @@
         self._usage = usage
 
     def as_json(self) -> dict[str, Any]:
-        """The body, from this controller's replica."""
+        """Return fractions, owners, use and drains of machines, from this controller's replica."""
         settings = self._partitions.settings
         if settings is None:
             return {"enabled": False}
@@ -30,19 +30,23 @@
             "version": agreed.version if agreed is not None else 0,
             "request": agreed.request_id if agreed is not None else None,
             "shares": self._partitions.agreed_fractions(),
-            "pools": {pool.name: self._pool(pool.name) for pool in settings.pools},
+            "pools": {pool.name: self._summarize_pool(pool.name) for pool in settings.pools},
         }
 
-    def _pool(self, pool: str) -> dict[str, Any]:
+    def _summarize_pool(self, pool: str) -> dict[str, Any]:
         uses = self._usage.of_pool(pool)
         target = self._partitions.target_machines(pool, len(uses))
         return {
             "machines": len(uses),
             "unassigned": sum(use.ownership is None for use in uses),
-            "partitions": {name: self._partition(name, target[name], uses) for name in target},
+            "partitions": {
+                name: self._summarize_partition(name, target[name], uses) for name in target
+            },
         }
 
-    def _partition(self, name: str, target: int, uses: list[MachineUse]) -> dict[str, Any]:
+    def _summarize_partition(
+        self, name: str, target: int, uses: list[MachineUse]
+    ) -> dict[str, Any]:
         settings = self._partitions.settings
         assert settings is not None
         owned = [
--- a/appledock/core/jobs/cancellation.py
+++ b/appledock/core/jobs/cancellation.py
@@ -104,7 +104,9 @@
         if known is None:
             now = self._runtime.now
             age_s = (
-                max(0.0, self._runtime.wall_time - job.cancelled_at) if job.cancelled_at else 0.0
+                max(0.0, self._runtime.wall_time - job.cancelled_wall_time)
+                if job.cancelled_wall_time
+                else 0.0
             )
             known = self._known_cancellations[job.id] = KnownCancellation(now, now - age_s)
         return known
@@ -151,9 +153,9 @@
     def _may_still_run(self, job: Job, attempt: Attempt) -> bool:
         """Return whether a task of the attempt may still run.
 
-        None does if verdicts show that all are over, or if a recent heartbeat of the machine
-        does not report them. In the latter case only a launch in flight could still start one,
-        and the machine's agent epoch or a new term voids that launch.
+        No task may still run if verdicts show that all of them are over, or if a recent heartbeat
+        of the machine reports none of them. In the latter case only a launch in flight could still
+        start one, and the machine's agent epoch or a new term voids that launch.
         """
         worker = self._workers.table.get(attempt.machine)
         if attempt.machine in self._workers.deleted_machines or worker is None:
--- a/appledock/core/quota/allocation.py
+++ b/appledock/core/quota/allocation.py
@@ -5,8 +5,8 @@
 other. The allocations add up to at most the limit. These rules keep jobs from ever holding more:
 
 * Within a view, only the owner of a job changes what the job holds, and only a controller itself
-  lowers its allocation. A handoff of a job moves the job's reservation to the new owner's
-  allocation in the transaction that records the handoff.
+  lowers its allocation. A hand-off of a job moves the job's reservation to the new owner's
+  allocation in the transaction that records the hand-off.
 * A record of an earlier view grants nothing. The first controller that needs it under the new
   view writes a new one, based on what all jobs hold after all commits of earlier views. No job
   can have grown in between, because that takes this record.
@@ -97,7 +97,7 @@
         self.clear_caches()
 
     def clear_caches(self) -> None:
-        """Clear all caches, as owners, or jobs or records of any team, may have changed."""
+        """Clear all caches: owners, or the jobs or the record of any team, may have changed."""
         self._usage.clear_cache()
         self._admissions.clear()
 
@@ -231,7 +231,7 @@
         return held.excess_over(self._usage.held_by_job(job))
 
     def _raise_own_allocation(self, team: str, needed: Resources) -> dict[str, Resources]:
-        """Return the allocations, this controller's raised to what its jobs need after a step."""
+        """Return the allocations, with this controller's raised to its jobs' need after a step."""
         allocated, node, members = self.allocated(team), self._runtime.node, self._view.members
         limit = limit_of(self._runtime.teams[team])
         if not self._is_record_of_current_view(team):
--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -17,6 +17,12 @@
 ROOT = Path(__file__).parents[1]
 
 RENAMED = {
+    "test_a_batch_job_goes_to_the_peer_with_most_free_slots_if_it_has_enough": (
+        "test_an_array_goes_to_the_peer_with_most_free_slots_if_it_has_enough"
+    ),
+    "test_a_machine_reserved_for_replicas_admits_no_batch_job": (
+        "test_a_machine_reserved_for_replicas_admits_no_array"
+    ),
     "test_budget_serves_by_priority_and_lets_reads_pass": (
         "test_rate_limiter_serves_by_priority_and_lets_reads_pass"
     ),
@@ -47,6 +53,23 @@
     "test_an_override_ends_with_its_owner_and_with_its_machine": (
         "test_an_override_is_removed_with_its_owner_and_with_its_machine"
     ),
+    # api
+    "test_a_request_gets_one_final_answer": "test_a_request_gets_a_single_answer",
+    "test_requests_before_the_first_load_are_refused_to_be_repeated": (
+        "test_requests_before_the_first_load_are_refused_with_a_time_to_retry"
+    ),
+    "test_requests_beyond_the_bound_are_refused_to_be_repeated": (
+        "test_requests_beyond_the_limit_are_refused_with_a_time_to_retry"
+    ),
+    "test_a_committed_change_takes_effect_here_at_once": (
+        "test_a_committed_change_takes_effect_on_this_controller_at_once"
+    ),
+    "test_a_change_made_meanwhile_is_a_conflict_and_the_settings_are_read_again": (
+        "test_a_concurrent_change_is_a_conflict_after_which_the_settings_are_read_again"
+    ),
+    "test_an_unknown_outcome_is_answered_with_when_to_try_again": (
+        "test_an_unknown_outcome_is_answered_with_a_time_to_retry"
+    ),
     # workers
     "test_a_recorded_task_that_is_not_there_is_launched_and_again_only_after_a_while": (
         "test_a_recorded_task_missing_on_the_worker_is_launched_and_retried_after_a_delay"
@@ -85,7 +108,7 @@
         "test_no_capacity_is_free_beside_an_orphaned_task"
     ),
     "test_a_batch_job_that_was_handed_here_rests_before_it_is_handed_off_again": (
-        "test_a_batch_job_handed_to_this_controller_stays_there_during_the_cooldown"
+        "test_an_array_handed_to_this_controller_stays_there_during_the_cooldown"
     ),
     "test_a_gang_goes_whole_to_one_peer_or_to_the_leader_for_all_machines": (
         "test_a_gang_is_handed_to_a_peer_on_which_it_fits_whole_or_else_to_the_leader"
@@ -141,6 +164,13 @@
     "test_capacity_is_counted_anew_where_a_step_cannot_be_written_now": (
         "test_the_capacity_of_machines_is_recomputed_if_a_step_cannot_be_written"
     ),
+    # capacity
+    "test_tasks_with_checkpoints_are_stopped_from_the_deadline_of_the_change_on": (
+        "test_tasks_with_checkpoints_are_stopped_once_the_deadline_of_the_change_has_passed"
+    ),
+    "test_a_lender_gets_its_machine_back_after_the_time_that_the_file_names": (
+        "test_tasks_on_a_returned_machine_are_stopped_after_the_configured_time"
+    ),
 }
 """name of a test -> its later name"""
 
