--- a/appledock/core/rebalancing/move_planning.py
+++ b/appledock/core/rebalancing/move_planning.py
@@ -77,7 +77,7 @@
             self._plan_between_owners()
 
     def _plan_within_own_machines(self) -> None:
-        """Plan moves between this controller's machines, against the mean loads of the fleet."""
+        """Plan moves between this controller's machines, relative to the fleet's mean loads."""
         machines = self._snapshots.own_machines()
         plan = self._planner.plan(
             machines,
@@ -93,18 +93,20 @@
         self._request_moves(plan.proposals)
 
     def _plan_between_owners(self) -> None:
-        """As the leader, plan moves from owners with a higher mean load to owners with a lower.
+        """As the leader, plan moves from owners with a higher mean load to those with a lower one.
 
         Moves between machines of one owner are left to that owner.
         """
         machines = self._snapshots.machines()
-        mean = mean_load_by_owner(machines)
+        mean_loads = mean_load_by_owner(machines)
         plan: Plan = self._planner.plan(
             machines,
             self._mean_loads(),
             self._snapshots.running_tasks,
             self._remaining_moves(),
-            owner_filter=lambda source, destination: mean[source.owner] > mean[destination.owner],
+            owner_filter=lambda source, destination: (
+                mean_loads[source.owner] > mean_loads[destination.owner]
+            ),
         )
         self._request_moves([move for move in plan.proposals if self._is_between_owners(move)])
 
--- a/appledock/core/rebalancing/scoring.py
+++ b/appledock/core/rebalancing/scoring.py
@@ -28,7 +28,7 @@
     def score(self, machine: MachineCapacity) -> tuple[float, ...]:
         """Return the terms of the score in order of precedence.
 
-        The terms are: recent failures of the machine, spot mismatch, weighted sum.
+        The terms are: 1 if tasks failed on the machine, else 0; spot mismatch; weighted sum.
         """
         return (
             float(machine.failure_count > 0),
--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -171,6 +171,22 @@
     "test_a_lender_gets_its_machine_back_after_the_time_that_the_file_names": (
         "test_tasks_on_a_returned_machine_are_stopped_after_the_configured_time"
     ),
+    # engine and rebalancing
+    "test_a_timer_that_fails_does_not_stop_the_others": (
+        "test_a_tick_that_fails_does_not_stop_the_other_components"
+    ),
+    "test_store_calls_are_sent_whatever_fails_after_a_batch": (
+        "test_store_calls_are_sent_even_if_the_processing_of_changes_fails"
+    ),
+    "test_a_changed_job_is_reconciled_and_met_dependencies_are_noted_once_they_are": (
+        "test_a_changed_job_is_reconciled_and_the_queue_is_notified_of_met_dependencies"
+    ),
+    "test_a_machine_that_nothing_can_be_moved_off_is_left_alone_for_a_while": (
+        "test_a_machine_that_no_task_can_be_moved_off_is_skipped_during_its_backoff"
+    ),
+    "test_operators_pause_moves_or_only_count_them_while_loads_are_smoothed_on": (
+        "test_operators_can_pause_moves_or_only_count_them_while_loads_are_still_smoothed"
+    ),
 }
 """name of a test -> its later name"""
 
--- a/tests/unit/rebalancing/test_move_planning.py
+++ b/tests/unit/rebalancing/test_move_planning.py
@@ -107,7 +107,7 @@
     assert not owner_filter(machine("vm-3", 0.0), machine("vm-1", 0.0))
 
 
-def test_a_machine_that_nothing_can_be_moved_off_is_left_alone_for_a_while() -> None:
+def test_a_machine_that_no_task_can_be_moved_off_is_skipped_during_its_backoff() -> None:
     fixture = PlanningFixture(Plan(obstacles={"vm-1": Obstacle.NO_ROOM}), Plan(), Plan())
     fixture.planning.tick()
     assert fixture.planning.blocked["vm-1"].obstacle == Obstacle.NO_ROOM.value
@@ -119,7 +119,7 @@
     assert set(fixture.calls[2]["skip"]) == set()
 
 
-def test_operators_pause_moves_or_only_count_them_while_loads_are_smoothed_on() -> None:
+def test_operators_can_pause_moves_or_only_count_them_while_loads_are_still_smoothed() -> None:
     fixture = PlanningFixture(Plan([proposal("vm-1", "vm-2")]))
     fixture.operator_settings.apply({"moves_paused": 1})
     fixture.planning.tick()
--- a/tests/unit/test_engine.py
+++ b/tests/unit/test_engine.py
@@ -58,7 +58,7 @@
     assert (fixture.runtime.now, fixture.runtime.wall_time) == (1.0, 2.0)
 
 
-def test_a_timer_that_fails_does_not_stop_the_others() -> None:
+def test_a_tick_that_fails_does_not_stop_the_other_components() -> None:
     fixture = EngineWithFakes()
     fixture.fakes["membership_protocol"].tick.side_effect = raising
     fixture.engine.handle([Tick()], 1.0, 2.0)
@@ -72,7 +72,7 @@
         lambda fakes: setattr(fakes["reconciler"].tick, "side_effect", raising),
     ],
 )
-def test_store_calls_are_sent_whatever_fails_after_a_batch(
+def test_store_calls_are_sent_even_if_the_processing_of_changes_fails(
     fail: Callable[[dict[str, Any]], None],
 ) -> None:
     fixture = EngineWithFakes()
@@ -82,7 +82,7 @@
     fixture.fakes["client"].flush.assert_called_once()
 
 
-def test_a_changed_job_is_reconciled_and_met_dependencies_are_noted_once_they_are() -> None:
+def test_a_changed_job_is_reconciled_and_the_queue_is_notified_of_met_dependencies() -> None:
     fixture = EngineWithFakes()
     fixture.replica.set_job(Job(spec(id="job-1"), 0.0, 2))
     fixture.replica.set_job(Job(spec(id="job-2", tethers=["job-1"]), 0.0, 3))
