--- a/appledock/adapters/cloud.py
+++ b/appledock/adapters/cloud.py
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 
-Answer = wire.MachineTypes | wire.MachineList | wire.Rented | None
+DecodedAnswer = wire.MachineTypes | wire.MachineList | wire.MachineIds | None
 """what a call that succeeded brings; None: nothing more than that"""
 
 
@@ -38,7 +38,7 @@
     """Connections to the cloud's interface."""
 
     def __init__(self, host: str, port: int) -> None:
-        self.client = Client(host, port, most=4)
+        self.client = Client(host, port, max_connections=4)
 
     async def run(self, call: CloudCall) -> CloudReply:
         """Carry out a call; its outcome says whether it was executed."""
@@ -64,7 +64,7 @@
         return CloudReply(call.call_id, CloudOutcome.UNKNOWN)
 
 
-def _decode(request: CloudRequest, answer: bytes) -> Answer:
+def _decode(request: CloudRequest, answer: bytes) -> DecodedAnswer:
     """Decode the answer; raises DecodeError or UnicodeDecodeError if it is malformed."""
     match request:
         case ListMachineTypes():
@@ -72,7 +72,7 @@
         case ListMachines():
             return msgspec.json.decode(answer, type=wire.MachineList)
         case RentMachines():
-            return msgspec.json.decode(answer, type=wire.Rented)
+            return msgspec.json.decode(answer, type=wire.MachineIds)
         case DeleteMachines():
             return None
         case _:
@@ -111,12 +111,14 @@
     """The call as an HTTP request."""
     match request:
         case ListMachineTypes():
-            return HttpRequest("GET", wire.PATH_TYPES)
+            return HttpRequest("GET", wire.PATH_MACHINE_TYPES)
         case ListMachines():
             return HttpRequest("GET", wire.path_of_machines(request.after, request.limit))
         case RentMachines():
             return HttpRequest("POST", wire.PATH_MACHINES, wire.encode(request.rental))
         case DeleteMachines():
-            return HttpRequest("POST", wire.PATH_DELETE, wire.encode(wire.Rented(request.machines)))
+            return HttpRequest(
+                "POST", wire.PATH_DELETE_MACHINES, wire.encode(wire.MachineIds(request.machines))
+            )
         case _:
             assert_never(request)
--- a/appledock/adapters/users.py
+++ b/appledock/adapters/http_requests.py
@@ -21,7 +21,7 @@
 _SPEC = msgspec.json.Decoder(wire.JobSpec)
 _REPORT = msgspec.json.Decoder(wire.Report)
 _ID = re.compile(r"\Ajob-[0-9]{1,18}\Z")
-ADMIN = "/admin/v1/"
+ADMIN_PATH_PREFIX = "/admin/v1/"
 MALFORMED = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 """what decoding raises; the last one for a thousand brackets in a row, also in a field
 that nobody reads, which was answered 500 and sent again for a minute"""
@@ -35,7 +35,7 @@
         self.status, self.error, self.headers = status, error, headers
 
 
-def command(request_id: int, method: str, path: str, body: bytes) -> Request:
+def parse_command(request_id: int, method: str, path: str, body: bytes) -> Request:
     """The command that a request stands for; raises Refused."""
     if path == wire.PATH_REPORT:
         _only(method, "POST")
@@ -55,7 +55,7 @@
         if not _ID.match(job):
             raise Refused(404, "no such job")
         return CancelJob(request_id, job) if slash else GetJobState(request_id, job)
-    if path.startswith(ADMIN):
+    if path.startswith(ADMIN_PATH_PREFIX):
         payload: Any = None
         if body:
             try:
@@ -63,7 +63,7 @@
             except MALFORMED as error:
                 raise Refused(400, f"not JSON: {error}") from None
         return AdminRequest(
-            request_id, method, tuple(path[len(ADMIN) :].strip("/").split("/")), payload
+            request_id, method, tuple(path[len(ADMIN_PATH_PREFIX) :].strip("/").split("/")), payload
         )
     raise Refused(404, "no such path")
 
--- a/appledock/adapters/store.py
+++ b/appledock/adapters/store.py
@@ -67,8 +67,8 @@
     """One pool of connections for calls, and one for the watch, which waits long for answers."""
 
     def __init__(self, host: str, port: int) -> None:
-        self.calls = Client(host, port, most=12)
-        self.watch = Client(host, port, most=2)
+        self.calls = Client(host, port, max_connections=12)
+        self.watch = Client(host, port, max_connections=2)
 
     async def run(self, call: StoreCall) -> StoreReply:
         """Carry out a call; its outcome says whether it was executed."""
@@ -166,7 +166,7 @@
     """The call as an HTTP request."""
     match store_request:
         case Transaction():
-            return HttpRequest("POST", wire.PATH_TXN, encode_transaction(store_request))
+            return HttpRequest("POST", wire.PATH_TRANSACTION, encode_transaction(store_request))
         case GetKey(key):
             return HttpRequest("GET", wire.path_of_key(key))
         case ListKeys(prefix, after, limit):
@@ -175,10 +175,10 @@
             return HttpRequest("GET", wire.path_of_watch(prefix, after_revision, wait_ms))
         case GrantLease(ttl_ms):
             body = wire.encode(wire.GrantRequest(ttl_ms))
-            return HttpRequest("POST", wire.path_of_grant(), body)
+            return HttpRequest("POST", wire.path_of_lease(), body)
         case RenewLease(lease):
-            return HttpRequest("POST", wire.path_of_touch(lease))
+            return HttpRequest("POST", wire.path_of_lease_renewal(lease))
         case RevokeLease(lease):
-            return HttpRequest("DELETE", wire.path_of_grant(lease))
+            return HttpRequest("DELETE", wire.path_of_lease(lease))
         case _:
             assert_never(store_request)
--- a/appledock/adapters/workers.py
+++ b/appledock/adapters/workers.py
@@ -19,18 +19,18 @@
 class WorkerCalls:
     """One connection to each worker, one call at a time on it.
 
-    At most `most` are kept, those used last.
+    At most `max_clients` are kept, those used last.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_clients: int) -> None:
+        self.max_clients = max_clients
         self.clients: OrderedDict[str, Client] = OrderedDict()
 
     def _client(self, addr: str) -> Client:
         client = self.clients.get(addr)
         if client is None:
-            client = self.clients[addr] = Client(*split_address(addr), most=1)
-            if len(self.clients) > self.most:
+            client = self.clients[addr] = Client(*split_address(addr), max_connections=1)
+            if len(self.clients) > self.max_clients:
                 self.clients.popitem(last=False)[1].close()
         else:
             self.clients.move_to_end(addr)
@@ -41,7 +41,9 @@
         try:
             client = self._client(call.address)
             if call.orders is None:
-                status, body = await client.request("GET", wire.PATH_SHOW, b"", call.timeout_s)
+                status, body = await client.request(
+                    "GET", wire.PATH_WORKER_REPORT, b"", call.timeout_s
+                )
             else:
                 status, body = await client.request(
                     "POST", wire.PATH_ORDERS, wire.encode(call.orders), call.timeout_s
--- a/appledock/app.py
+++ b/appledock/app.py
@@ -16,7 +16,7 @@
 
 from appledock import constants as c
 from appledock import wire
-from appledock.adapters import users
+from appledock.adapters import http_requests
 from appledock.adapters.cloud import Cloud
 from appledock.adapters.cloud import operation as cloud_operation
 from appledock.adapters.store import Store, operation
@@ -45,8 +45,8 @@
 )
 from appledock.core.store_calls import UnknownOutcome, WatchKeys
 from appledock.metrics import Metrics
-from appledock.net.http import Answer, Server
-from appledock.net.peers import PeerLink, PeerServer, frame
+from appledock.net.http import SendResponse, Server
+from appledock.net.peers import IncomingPeerLink, OutgoingPeerLink, encode_netstring
 from appledock.rebalancing.settings import Rebalancing
 from appledock.settings import Settings, split_address
 
@@ -73,7 +73,7 @@
         self.queue: list[Command] = []
         self.batch_scheduled = False
         self.next_batch_at = 0.0
-        self.responders: dict[int, Answer] = {}
+        self.responders: dict[int, SendResponse] = {}
         """request ID -> function that sends the response"""
         self.arrivals: dict[int, tuple[str, float]] = {}
         """request ID -> name of its metric and time of its arrival"""
@@ -83,13 +83,13 @@
         self.store = Store(*split_address(settings.external.state))
         self.cloud = Cloud(*split_address(settings.external.cloud))
         self.workers = WorkerCalls(int(settings.cluster.limits.fd_limit * c.FD_WORKERS_SHARE))
-        max_connections = settings.cluster.limits.fd_limit - c.FD_RESERVE - self.workers.most
+        max_connections = settings.cluster.limits.fd_limit - c.FD_RESERVE - self.workers.max_clients
         self.server = Server(self._handle_request, max_connections)
         self.links = {
-            peer.name: PeerLink(
+            peer.name: OutgoingPeerLink(
                 peer.name,
                 *split_address(peer.address),
-                opened=lambda name: self.push(PeerConnected(name)),
+                on_connected=lambda name: self.push(PeerConnected(name)),
             )
             for peer in settings.peers
         }
@@ -100,7 +100,7 @@
         """Serve until the process is killed."""
         await self.server.start(*split_address(self.settings.listen))
         await self.loop.create_server(
-            lambda: PeerServer(lambda message: self.push(PeerMessageReceived(message))),
+            lambda: IncomingPeerLink(lambda message: self.push(PeerMessageReceived(message))),
             *split_address(self.settings.peer_listen),
             reuse_address=True,
         )
@@ -110,7 +110,7 @@
             "controller listening: name=%s address=%s max_connections=%d",
             self.settings.name,
             self.settings.listen,
-            self.server.limit,
+            self.server.max_connections,
         )
         gc.freeze()
         gc.set_threshold(c.GC_THRESHOLD_OBJECTS)
@@ -152,10 +152,10 @@
                 payloads.clear()
 
     def _handle_request(
-        self, method: str, path: str, _query: str, body: bytes, respond: Answer
+        self, method: str, path: str, _query: str, body: bytes, respond: SendResponse
     ) -> None:
         self.last_request_id += 1
-        if path == users.ADMIN + "metrics" and method == "GET":
+        if path == http_requests.ADMIN_PATH_PREFIX + "metrics" and method == "GET":
             respond(
                 200,
                 wire.encode(
@@ -166,8 +166,8 @@
                         "moves": self.engine.moves.outcomes,
                         "connections": {
                             "open": len(self.server.connections),
-                            "most": self.server.limit,
-                            "refused": self.server.refused,
+                            "most": self.server.max_connections,
+                            "refused": self.server.refused_count,
                         },
                     }
                 ),
@@ -175,12 +175,12 @@
             )
             return
         try:
-            command = users.command(self.last_request_id, method, path, body)
-        except users.Refused as refused:
+            command = http_requests.parse_command(self.last_request_id, method, path, body)
+        except http_requests.Refused as refused:
             respond(refused.status, wire.encode({"error": refused.error}), refused.headers)
             return
         self.responders[self.last_request_id] = respond
-        self.arrivals[self.last_request_id] = (users.metric_name(command), self.loop.time())
+        self.arrivals[self.last_request_id] = (http_requests.metric_name(command), self.loop.time())
         self.push(command)
 
     def _execute(self, effect: Effect) -> None:
@@ -198,7 +198,7 @@
             case WorkerCall():
                 self._spawn(self._run_worker_call(effect))
             case PeerSend():
-                payload = frame(wire.encode(effect.message))
+                payload = encode_netstring(wire.encode(effect.message))
                 for name, payloads in self.peer_payloads.items():
                     if effect.to is None or effect.to == name:
                         payloads.append(payload)
--- a/appledock/console/screen.py
+++ b/appledock/console/screen.py
@@ -159,7 +159,7 @@
     ) -> tuple[int, bytes]:
         client = self.clients.get(address)
         if client is None:
-            client = self.clients[address] = Client(*split_address(address), most=2)
+            client = self.clients[address] = Client(*split_address(address), max_connections=2)
         return await client.request(method, f"/admin/v1/{path}", body, c.CONSOLE_TIMEOUT_S)
 
     # --- display ----------------------------------------------------------
--- a/appledock/core/fleet/cloud.py
+++ b/appledock/core/fleet/cloud.py
@@ -56,7 +56,7 @@
         self._submit(ListMachines(after, constants.MACHINE_LIST_LIMIT), on_result)
 
     def rent(
-        self, request: wire.Rent, on_result: Callable[[wire.Rented | CloudFailure], None]
+        self, request: wire.Rent, on_result: Callable[[wire.MachineIds | CloudFailure], None]
     ) -> None:
         """Request a rental; the cloud executes requests with the same name only once."""
         self._submit(RentMachines(request), on_result)
--- a/appledock/core/fleet/scale_out.py
+++ b/appledock/core/fleet/scale_out.py
@@ -80,7 +80,7 @@
         rental = wire.Rent(request.name, *request.kind, count=request.count)
         self._cloud.rent(rental, lambda result: self._on_result(request, result))
 
-    def _on_result(self, request: ScaleOutRequest, result: wire.Rented | CloudFailure) -> None:
+    def _on_result(self, request: ScaleOutRequest, result: wire.MachineIds | CloudFailure) -> None:
         if not isinstance(result, CloudFailure):
             self.requests.remove(request)
             self._on_rented(request, list(result.machines))
--- a/appledock/core/quota/resources.py
+++ b/appledock/core/quota/resources.py
@@ -7,7 +7,7 @@
 
 from appledock import constants, wire
 from appledock.core.records.job import Job
-from appledock.settings import Team as TeamLimits
+from appledock.settings import TeamLimits
 
 
 @dataclass(frozen=True, slots=True)
--- a/appledock/core/runtime.py
+++ b/appledock/core/runtime.py
@@ -9,8 +9,7 @@
 from appledock import constants
 from appledock.core.commands import CallReply
 from appledock.core.effects import Effect
-from appledock.settings import Settings
-from appledock.settings import Team as TeamLimits
+from appledock.settings import Settings, TeamLimits
 
 
 class Runtime:
--- a/appledock/core/workers/command_pusher.py
+++ b/appledock/core/workers/command_pusher.py
@@ -82,7 +82,7 @@
             return
         term = self.membership.term
         keys = [
-            (command.task, command.attempt) for command in commands if command.op == wire.LAUNCH
+            (command.task, command.attempt) for command in commands if command.action == wire.LAUNCH
         ]
         pushed = PushedLaunches(self.runtime.now, term, keys, launched_before, unconfirmed_before)
         worker.sent_commands.unconfirmed_launches.update((key, term) for key in keys)
--- a/appledock/core/workers/heartbeat_intake.py
+++ b/appledock/core/workers/heartbeat_intake.py
@@ -125,7 +125,7 @@
         is_busy = False
         for key, entry in worker.tasks.items():
             is_running = entry.state == wire.RUNNING
-            is_done = entry.why == wire.DONE
+            is_done = entry.cause == wire.DONE
             if is_running:
                 if key not in was_running:
                     self._log_task_start(worker, entry)
--- a/appledock/core/workers/settlement_evidence.py
+++ b/appledock/core/workers/settlement_evidence.py
@@ -64,8 +64,8 @@
 
 
 def _verdict_of_exited(job: Job, entry: wire.TaskReport) -> AttemptVerdict:
-    if entry.why == wire.DONE and not job.spec.service:
+    if entry.cause == wire.DONE and not job.spec.service:
         return AttemptVerdict.DONE
-    if entry.why in (wire.ERROR, wire.UNKNOWN):
+    if entry.cause in (wire.ERROR, wire.UNKNOWN):
         return AttemptVerdict.FAILED
     return AttemptVerdict.SETTLED
--- a/appledock/net/http.py
+++ b/appledock/net/http.py
@@ -14,8 +14,8 @@
 
 log = logging.getLogger(__name__)
 
-Answer = Callable[[int, bytes, dict[str, str] | None], None]
-Handler = Callable[[str, str, str, bytes, Answer], None]
+SendResponse = Callable[[int, bytes, dict[str, str] | None], None]
+Handler = Callable[[str, str, str, bytes, SendResponse], None]
 """Called with method, path, query, body and the function that answers."""
 
 _REASONS = {status.value: status.phrase for status in HTTPStatus}
@@ -58,8 +58,8 @@
         """Called by asyncio: the connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if len(self.server.connections) >= self.server.limit:
-            self.server.turn_away(self, transport)
+        if len(self.server.connections) >= self.server.max_connections:
+            self.server.refuse(self, transport)
             return
         self.server.connections.add(self)
 
@@ -67,13 +67,13 @@
         """Called by asyncio: the connection is closed."""
         self.transport = None
         self.server.connections.discard(self)
-        self.server.turned_away.discard(self)
+        self.server.refused_connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
         """Called by asyncio with what has come."""
         if self.closing:
             return
-        if self in self.server.turned_away:
+        if self in self.server.refused_connections:
             self._fail(503, "no sockets left", {"Retry-After": str(c.RETRY_AFTER_S)})
             return
         self.touched = self.server.loop.time()
@@ -194,14 +194,14 @@
 class Server:
     """Listens and hands complete requests to one handler."""
 
-    def __init__(self, handler: Handler, limit: int) -> None:
+    def __init__(self, handler: Handler, max_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.handler = handler
-        self.limit = limit
+        self.max_connections = max_connections
         self.connections: set[ServerConnection] = set()
-        self.turned_away: set[ServerConnection] = set()
+        self.refused_connections: set[ServerConnection] = set()
         """connections beyond the limit that still get their refusal"""
-        self.refused = 0
+        self.refused_count = 0
         """connections turned away since the start, for the metrics"""
         self.next_warning = 0.0
         self.listener: asyncio.Server | None = None
@@ -220,21 +220,21 @@
             connection.sweep(now)
         self.timer = self.loop.call_later(c.REQUEST_READ_TIMEOUT_S / 4, self._sweep)
 
-    def turn_away(self, connection: ServerConnection, transport: asyncio.Transport) -> None:
+    def refuse(self, connection: ServerConnection, transport: asyncio.Transport) -> None:
         """Refuse a connection beyond the limit: its first request is told to come again."""
-        self.refused += 1
+        self.refused_count += 1
         now = self.loop.time()
         if now >= self.next_warning:
             self.next_warning = now + c.CONNECTION_LIMIT_WARNING_INTERVAL_S
             log.warning(
                 "no sockets left: %d connections can be served, %d were refused so far",
-                self.limit,
-                self.refused,
+                self.max_connections,
+                self.refused_count,
             )
-        if len(self.turned_away) >= c.REFUSED_CONNECTIONS_MAX:
+        if len(self.refused_connections) >= c.REFUSED_CONNECTIONS_MAX:
             transport.abort()
             return
-        self.turned_away.add(connection)
+        self.refused_connections.add(connection)
         self.loop.call_later(c.REFUSED_CONNECTION_TIMEOUT_S, transport.abort)
 
     def close(self) -> None:
@@ -317,12 +317,12 @@
 class Client:
     """A small pool of connections to one address."""
 
-    def __init__(self, host: str, port: int, most: int = 8) -> None:
+    def __init__(self, host: str, port: int, max_connections: int = 8) -> None:
         self.host, self.port = host, port
         self.loop = asyncio.get_running_loop()
         self.idle: list[ClientConnection] = []
         self.closed = False
-        self.slots = asyncio.Semaphore(most)
+        self.slots = asyncio.Semaphore(max_connections)
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout: float = 5.0
--- a/appledock/net/peers.py
+++ b/appledock/net/peers.py
@@ -18,12 +18,12 @@
     """The bytes are no netstring."""
 
 
-def frame(payload: bytes) -> bytes:
+def encode_netstring(payload: bytes) -> bytes:
     """`payload` as a netstring."""
     return b"%d:%b," % (len(payload), payload)
 
 
-class Deframer:
+class NetstringDecoder:
     """Cuts a stream of bytes into the payloads of its netstrings."""
 
     def __init__(self) -> None:
@@ -57,12 +57,12 @@
         return payloads
 
 
-class PeerServer(asyncio.Protocol):
+class IncomingPeerLink(asyncio.Protocol):
     """Receiving end of a link."""
 
     def __init__(self, deliver: Callable[[dict[str, Any]], None]) -> None:
         self.deliver = deliver
-        self.deframer = Deframer()
+        self.decoder = NetstringDecoder()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -73,7 +73,7 @@
     def data_received(self, data: bytes) -> None:
         """Called by asyncio with what has come."""
         try:
-            for payload in self.deframer.feed(data):
+            for payload in self.decoder.feed(data):
                 self.deliver(_decode(payload))
         except (Malformed, msgspec.DecodeError, UnicodeDecodeError) as error:
             log.warning("malformed message from a peer: %s", error)
@@ -88,12 +88,14 @@
     return message
 
 
-class PeerLink(asyncio.Protocol):
+class OutgoingPeerLink(asyncio.Protocol):
     """Sending end of a link; dials again for ever."""
 
-    def __init__(self, name: str, host: str, port: int, opened: Callable[[str], None]) -> None:
+    def __init__(
+        self, name: str, host: str, port: int, on_connected: Callable[[str], None]
+    ) -> None:
         self.name, self.host, self.port = name, host, port
-        self.opened = opened
+        self.on_connected = on_connected
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
 
@@ -114,7 +116,7 @@
         """Called by asyncio: the connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.opened(self.name)
+        self.on_connected(self.name)
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """Called by asyncio: the connection is closed."""
--- a/appledock/settings.py
+++ b/appledock/settings.py
@@ -27,14 +27,14 @@
     zone: str = msgspec.field(name="location", default="")
 
 
-class External(Struct, frozen=True):
+class ExternalAddresses(Struct, frozen=True):
     """Addresses of the outside systems."""
 
     cloud: Address
     state: Address
 
 
-class Team(Struct, frozen=True):
+class TeamLimits(Struct, frozen=True):
     """A team's guarantees and limits."""
 
     name: Name
@@ -54,7 +54,7 @@
     times: float | None = None
 
 
-class Workers(Struct, frozen=True):
+class WorkerTimes(Struct, frozen=True):
     """Times that workers keep to."""
 
     report_s: Positive
@@ -62,7 +62,7 @@
     cancel_s: Positive
 
 
-class NextState(Struct, frozen=True):
+class AnnouncedStoreLimits(Struct, frozen=True):
     """Limits announced for some later moment; what is missing stays as it is."""
 
     rps: Positive | None = None
@@ -71,7 +71,7 @@
     txn_ops: Annotated[int, Meta(ge=3)] | None = None
 
 
-class State(Struct, frozen=True):
+class StoreLimits(Struct, frozen=True):
     """Limits of the state service.
 
     Announced ones hold from some moment on without notice, so of each two the smaller one is
@@ -82,9 +82,9 @@
     write_rps: Positive
     value_kb: Positive
     txn_ops: Annotated[int, Meta(ge=3)]
-    next: NextState | None = None
+    next: AnnouncedStoreLimits | None = None
 
-    def smaller(self) -> State:
+    def effective(self) -> StoreLimits:
         """The limits to keep to, of the present and the announced ones."""
         if self.next is None:
             return self
@@ -98,14 +98,14 @@
         )
 
 
-class Cloud(Struct, frozen=True):
+class CloudLimits(Struct, frozen=True):
     """Limits of the cloud."""
 
     rps: Positive
     list_lag_s: NonNegative
 
 
-class Limits(Struct, frozen=True):
+class MachineLimits(Struct, frozen=True):
     """What one controller may use of its machine."""
 
     core_share: Positive = 1.0
@@ -117,13 +117,13 @@
     """What is the same for all controllers."""
 
     size: Count
-    teams: list[Team]
-    workers: Workers
-    state: State
-    cloud: Cloud
+    teams: list[TeamLimits]
+    workers: WorkerTimes
+    state: StoreLimits
+    cloud: CloudLimits
     zones: list[str] = []
     objectives: list[Objective] = []
-    limits: Limits = msgspec.field(name="machine_limits", default_factory=Limits)
+    limits: MachineLimits = msgspec.field(name="machine_limits", default_factory=MachineLimits)
     time_bound_ms: NonNegative = 1000.0
 
 
@@ -133,7 +133,7 @@
     name: Name = msgspec.field(name="node_name")
     listen: Address = msgspec.field(name="public_addr")
     peer_listen: Address = msgspec.field(name="back")
-    external: External
+    external: ExternalAddresses
     cluster: Cluster
     peers: list[Peer] = []
     zone: str = msgspec.field(name="location", default="")
@@ -166,7 +166,7 @@
         host, port = split_address(address)
         if not 0 < port < 65536 or any(int(part) > 255 for part in host.split(".")):
             raise SettingsError(f"not an IPv4 address with port: {address}")
-    cluster = msgspec.structs.replace(settings.cluster, state=settings.cluster.state.smaller())
+    cluster = msgspec.structs.replace(settings.cluster, state=settings.cluster.state.effective())
     return msgspec.structs.replace(settings, cluster=cluster)
 
 
--- a/appledock/wire.py
+++ b/appledock/wire.py
@@ -34,11 +34,11 @@
 PATH_REPORT = "/agent/beat"
 PATH_HEALTH = "/healthz"
 PATH_ORDERS = "/orders"
-PATH_SHOW = "/show"
-PATH_TYPES = "/machine_types"
+PATH_WORKER_REPORT = "/show"
+PATH_MACHINE_TYPES = "/machine_types"
 PATH_MACHINES = "/machines"
-PATH_TXN = "/txn"
-PATH_DELETE = "/machines/delete"
+PATH_TRANSACTION = "/txn"
+PATH_DELETE_MACHINES = "/machines/delete"
 
 
 class JobSpec(Struct, frozen=True):
@@ -108,7 +108,7 @@
     task: str = field(name="crate")
     attempt: Unsigned = field(name="try")
     state: str = field(name="status")
-    why: str | None = field(name="cause", default=None)
+    cause: str | None = field(name="cause", default=None)
     saved: bool | None = field(name="stored", default=None)
 
     def split(self) -> tuple[str, int]:
@@ -135,7 +135,7 @@
 class Command(Struct, frozen=True, omit_defaults=True):
     """What a worker shall do with one task."""
 
-    op: str = field(name="verb")
+    action: str = field(name="verb")
     task: str = field(name="crate")
     attempt: int = field(name="try")
     grace_s: float | None = field(name="mooring_s", default=None)
@@ -212,7 +212,7 @@
     count: int
 
 
-class Rented(Struct):
+class MachineIds(Struct):
     """Machines by name: rented, or to be deleted."""
 
     machines: list[str] = field(name="dockhands")
@@ -321,12 +321,12 @@
     return f"/follow?under={prefix}&since={after}&block_ms={wait_ms}"
 
 
-def path_of_touch(lease: int) -> str:
+def path_of_lease_renewal(lease: int) -> str:
     """Path of a lease's renewal."""
     return f"/grants/{lease}/touch"
 
 
-def path_of_grant(lease: int | None = None) -> str:
+def path_of_lease(lease: int | None = None) -> str:
     """Path of the leases, or of one."""
     return "/grants" if lease is None else f"/grants/{lease}"
 
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -143,7 +143,7 @@
         CommandReconciler,
         "commands_for",
         lambda self, worker, pushed: [
-            x for x in COMMANDS(self, worker, pushed) if x.op != wire.HALT
+            x for x in COMMANDS(self, worker, pushed) if x.action != wire.HALT
         ],
     )
 
--- a/tests/loopback/cluster.py
+++ b/tests/loopback/cluster.py
@@ -10,8 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from appledock.net.http import Answer as HttpAnswer
-from appledock.net.http import Client, NoAnswer, NotSent, Server
+from appledock.net.http import Client, NoAnswer, NotSent, SendResponse, Server
 from tests.loopback.controller import ROOT, Controller
 from tests.loopback.relay import Relay
 from tests.standins.deployment import TYPES
@@ -62,7 +61,7 @@
         self.workers[name] = LoopbackWorker(self.world, row, slots)
 
     def _ask(
-        self, name: str, _method: str, path: str, _query: str, body: bytes, answer: HttpAnswer
+        self, name: str, _method: str, path: str, _query: str, body: bytes, answer: SendResponse
     ) -> None:
         worker = self.workers.get(name)
         if worker is None or self.clock.parted(name, "orders"):
@@ -182,7 +181,7 @@
     async def _serve(self, node: str, host: str, target: Callable[..., None]) -> int:
         """A port on which this controller alone reaches an outside system."""
 
-        def handler(method: str, path: str, query: str, body: bytes, answer: HttpAnswer) -> None:
+        def handler(method: str, path: str, query: str, body: bytes, answer: SendResponse) -> None:
             if self.clock.parted(node, host):
                 return  # the caller waits in vain
             url = f"{path}?{query}" if query else path
@@ -217,7 +216,7 @@
         client = self.clients.get((source, node))
         if client is None:
             host, _, port = self.controllers[node].api.partition(":")
-            client = self.clients[source, node] = Client(host, int(port), most=64)
+            client = self.clients[source, node] = Client(host, int(port), max_connections=64)
         try:
             status, reply = await client.request(method, path, body, 5.0)
         except (NotSent, NoAnswer):
--- a/tests/standins/sockets.py
+++ b/tests/standins/sockets.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from appledock.app import App
-from appledock.net.http import Answer, Server
+from appledock.net.http import SendResponse, Server
 from appledock.settings import parse
 from tests.standins.clock import Clock
 from tests.standins.deployment import TYPES
@@ -118,7 +118,7 @@
         await App(settings).run()
 
     async def _serve(self, target: Any) -> int:
-        def handler(method: str, path: str, query: str, body: bytes, answer: Answer) -> None:
+        def handler(method: str, path: str, query: str, body: bytes, answer: SendResponse) -> None:
             url = f"{path}?{query}" if query else path
             target(
                 "solo",
--- a/tests/standins/versions.py
+++ b/tests/standins/versions.py
@@ -480,6 +480,7 @@
         "events": "core.commands",
         "effects": "core.effects",
         "cloud_calls": "core.cloud_calls",
+        "users": "adapters.http_requests",
     }
     EFFECTS: ClassVar[dict[str, EffectKind]] = {
         "Response": EffectKind.REPLY,
@@ -579,6 +580,12 @@
     def peer_message(self, message: dict[str, Any]) -> Any:
         return self.events.PeerMessageReceived(message)
 
+    def user_command(self, request_id: int, method: str, path: str, body: bytes) -> Any:
+        try:
+            return self.users.parse_command(request_id, method, path, body)
+        except self.users.Refused as refused:
+            return RefusedRequest(refused.status, refused.error)
+
     def worker_address(self, call: Any) -> str:
         return str(call.address)
 
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -19,8 +19,8 @@
 from appledock.core.membership.membership import MembershipState
 from appledock.core.records.job import Job
 from appledock.core.store.keys import VIEW_KEY
-from appledock.net.http import Answer, Server
-from appledock.net.peers import frame
+from appledock.net.http import SendResponse, Server
+from appledock.net.peers import encode_netstring
 from appledock.settings import Settings
 from tests.standins import deployment
 from tests.standins.deployment import CANCEL_S
@@ -167,7 +167,7 @@
         effects = e.handle(batch, e.runtime.now + c.TICK_S, 0.0)
         messages = [json.loads(wire.encode(x.message)) for x in effects if isinstance(x, PeerSend)]
         told |= {m["report"]["dockhand"] for m in messages if m["kind"] == "worker"}
-        most = max(most, sum(len(frame(json.dumps(m).encode())) for m in messages))
+        most = max(most, sum(len(encode_netstring(json.dumps(m).encode())) for m in messages))
     return most, len(told)
 
 
@@ -225,7 +225,7 @@
 ) -> None:
     """They were reset without a word, to the worker, the user or the log."""
 
-    def handler(_m: str, _p: str, _q: str, _b: bytes, answer: Answer) -> None:
+    def handler(_m: str, _p: str, _q: str, _b: bytes, answer: SendResponse) -> None:
         answer(200, b"{}", None)
 
     async def ask(port: int) -> tuple[bytes, asyncio.StreamWriter]:
@@ -242,7 +242,7 @@
             refused, writer = await ask(port)
             assert refused.startswith(b"HTTP/1.1 503") and b"Retry-After: 1" in refused
             writer.close()
-            assert server.refused == 1
+            assert server.refused_count == 1
             held[0][1].close()
             await asyncio.sleep(0.05)
             assert (await ask(port))[0].startswith(b"HTTP/1.1 200")
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -332,9 +332,9 @@
     ],
 )
 def test_malformed_needs_are_refused(needs: object) -> None:
-    from appledock.adapters import users
+    from appledock.adapters import http_requests
 
-    with pytest.raises(users.Refused) as refused:
+    with pytest.raises(http_requests.Refused) as refused:
         spec(tethers=needs)
     assert refused.value.status == 400
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,10 +8,10 @@
 import pytest
 
 from appledock import constants as c
-from appledock.net.http import Answer, Client, NoAnswer, NotSent, Server
+from appledock.net.http import Client, NoAnswer, NotSent, SendResponse, Server
 
 
-def handler(method: str, path: str, query: str, body: bytes, answer: Answer) -> None:
+def handler(method: str, path: str, query: str, body: bytes, answer: SendResponse) -> None:
     if path == "/silent":
         return
     if path == "/slow":
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -117,7 +117,7 @@
         CommandReconciler,
         "commands_for",
         lambda self, worker, pushed: [
-            x for x in commands(self, worker, pushed) if x.op != wire.HALT
+            x for x in commands(self, worker, pushed) if x.action != wire.HALT
         ],
     )
     assert "ran_cancelled" not in play(0, seconds=110.0).judge.kinds()
--- a/tests/test_launches.py
+++ b/tests/test_launches.py
@@ -47,7 +47,7 @@
 
 def told(effects: list[Effect]) -> list[str]:
     return [
-        command.op
+        command.action
         for reply in effects
         if isinstance(reply, Response) and isinstance(reply.body, wire.ReportAnswer)
         for command in reply.body.commands
@@ -69,7 +69,7 @@
     assert told(e.handle([HeartbeatReceived(2, report(2))], NOW + 0.1, 0.0)) == [wire.LAUNCH]
     e.workers.request_commands(["vm-1"])  # another record of the machine changes
     (call,) = worker_calls(e.handle([], NOW + 1.5, 0.0))
-    assert [x.op for x in call.orders.commands] == [wire.LAUNCH]  # type: ignore[union-attr]
+    assert [x.action for x in call.orders.commands] == [wire.LAUNCH]  # type: ignore[union-attr]
     e.handle([WorkerReply(call.call_id, outcome)], NOW + 2.5, 0.0)
     job = running(e, 4, stopping=True)
     assert e.workers.verdict(job, job.attempts[0], 0) is None
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -8,7 +8,7 @@
 import pytest
 
 from appledock import wire
-from appledock.adapters import users
+from appledock.adapters import http_requests
 from appledock.core.api.submission_check import MACHINE_TYPES_UNKNOWN, SubmissionCheck
 from appledock.core.commands import CancelJob, GetJobState, StoreReply, SubmitJob, Tick
 from appledock.core.controller import Controller
@@ -61,7 +61,7 @@
 
 def spec(**changes: object) -> wire.JobSpec:
     body = wire.encode({**SPEC, **changes})
-    command = users.command(1, "POST", "/v2/runs", body)
+    command = http_requests.parse_command(1, "POST", "/v2/runs", body)
     assert isinstance(command, SubmitJob)
     return command.spec
 
@@ -87,7 +87,7 @@
     ],
 )
 def test_bad_submissions_are_refused_with_a_reason(change: dict[str, object]) -> None:
-    with pytest.raises(users.Refused) as refused:
+    with pytest.raises(http_requests.Refused) as refused:
         spec(**change)
     assert refused.value.status == 400
     assert refused.value.error
@@ -110,8 +110,8 @@
     ],
 )
 def test_bad_requests(method: str, path: str, body: bytes, status: int) -> None:
-    with pytest.raises(users.Refused) as refused:
-        users.command(1, method, path, body)
+    with pytest.raises(http_requests.Refused) as refused:
+        http_requests.parse_command(1, method, path, body)
     assert refused.value.status == status
 
 
@@ -159,9 +159,9 @@
 
 def test_unknown_fields_are_ignored_and_absent_is_null() -> None:
     body = {k: v for k, v in SPEC.items() if v is not None}
-    assert users.command(1, "POST", "/v2/runs", wire.encode({**body, "new": 1})) == SubmitJob(
-        1, spec()
-    )
+    assert http_requests.parse_command(
+        1, "POST", "/v2/runs", wire.encode({**body, "new": 1})
+    ) == SubmitJob(1, spec())
 
 
 @pytest.mark.parametrize(
@@ -178,8 +178,8 @@
 )
 def test_deeply_nested_bodies_are_malformed(method: str, path: str, body: bytes) -> None:
     """They were answered 500, which users repeat."""
-    with pytest.raises(users.Refused) as refused:
-        users.command(1, method, path, body)
+    with pytest.raises(http_requests.Refused) as refused:
+        http_requests.parse_command(1, method, path, body)
     assert refused.value.status == 400
 
 
--- a/tests/unit/adapters/test_metric_names.py
+++ b/tests/unit/adapters/test_metric_names.py
@@ -7,7 +7,7 @@
 import pytest
 
 from appledock import wire
-from appledock.adapters import cloud, users
+from appledock.adapters import cloud, http_requests
 from appledock.core.cloud_calls import (
     CloudRequest,
     DeleteMachines,
@@ -30,18 +30,18 @@
         ("POST", f"{JOB}/cancel", b"", "cancel"),
         ("POST", wire.PATH_REPORT, wire.encode(report(1)), "reported"),
         ("GET", wire.PATH_HEALTH, b"", "health"),
-        ("GET", f"{users.ADMIN}status", b"", "admin"),
+        ("GET", f"{http_requests.ADMIN_PATH_PREFIX}status", b"", "admin"),
     ],
 )
 def test_each_kind_of_request_keeps_its_name(
     method: str, path: str, body: bytes, name: str
 ) -> None:
-    assert users.metric_name(users.command(1, method, path, body)) == name
+    assert http_requests.metric_name(http_requests.parse_command(1, method, path, body)) == name
 
 
 def test_each_kind_of_request_has_a_name_of_its_own() -> None:
-    assert users.METRIC_NAMES.keys() == set(get_args(Request))
-    assert len(set(users.METRIC_NAMES.values())) == len(users.METRIC_NAMES)
+    assert http_requests.METRIC_NAMES.keys() == set(get_args(Request))
+    assert len(set(http_requests.METRIC_NAMES.values())) == len(http_requests.METRIC_NAMES)
 
 
 def test_each_kind_of_call_to_the_cloud_keeps_its_name() -> None:
