--- a/appledock/net/http.py
+++ b/appledock/net/http.py
@@ -15,15 +15,17 @@
 log = logging.getLogger(__name__)
 
 SendResponse = Callable[[int, bytes, dict[str, str] | None], None]
+"""Sends the response to one request; called with status, body and additional headers."""
 Handler = Callable[[str, str, str, bytes, SendResponse], None]
-"""Called with method, path, query, body and the function that answers."""
+"""Handles a request; called with method, path, query, body and the function that responds."""
 
-_REASONS = {status.value: status.phrase for status in HTTPStatus}
+_REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
-def _head(status: int, length: int, headers: dict[str, str] | None, close: bool) -> bytes:
+def _response_head(status: int, length: int, headers: dict[str, str] | None, close: bool) -> bytes:
+    """Return the status line and headers of a JSON response with a body of `length` bytes."""
     lines = [
-        f"HTTP/1.1 {status} {_REASONS.get(status, 'Unknown')}",
+        f"HTTP/1.1 {status} {_REASON_PHRASES.get(status, 'Unknown')}",
         "Content-Type: application/json",
         f"Content-Length: {length}",
     ]
@@ -34,28 +36,37 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection of a user, worker or probe."""
+    """A connection from a user, an operator, a worker or a health probe.
+
+    Pipelined requests are handled one at a time, in the order in which they arrived.
+    """
 
     def __init__(self, server: Server) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.touched = server.loop.time()
-        self.answering = False
-        self.closing = False
-        self.number = 0
-        self.waiting: list[tuple[str, str, str, bytes, bool]] = []
-        self._reset()
-
-    def _reset(self) -> None:
+        self.last_activity_at = server.loop.time()
+        self.awaiting_response = False
+        """whether the handler has a request that is not answered yet"""
+        self.is_closing = False
+        """whether further input is ignored, because the connection is about to be closed"""
+        self.request_number = 0
+        """number of the last request passed to the handler; responses to earlier ones are
+        dropped"""
+        self.pipelined_requests: list[tuple[str, str, str, bytes, bool]] = []
+        """complete requests that the handler has not received: method, path, query, body and
+        whether the connection is kept open afterwards"""
+        self._reset_message()
+
+    def _reset_message(self) -> None:
         self.url = b""
         self.body = bytearray()
         self.head_size = 0
-        self.receiving = False
+        self.is_receiving = False
 
     # asyncio.Protocol
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio: the connection is open."""
+        """Register the new connection, or refuse it if the server has too many."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if len(self.server.connections) >= self.server.max_connections:
@@ -64,135 +75,148 @@
         self.server.connections.add(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Called by asyncio: the connection is closed."""
+        """Forget the closed connection."""
         self.transport = None
         self.server.connections.discard(self)
         self.server.refused_connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Called by asyncio with what has come."""
-        if self.closing:
+        """Parse received bytes; respond with an error to a malformed request."""
+        if self.is_closing:
             return
         if self in self.server.refused_connections:
-            self._fail(503, "no sockets left", {"Retry-After": str(c.RETRY_AFTER_S)})
+            self._send_error(503, "no sockets left", {"Retry-After": str(c.RETRY_AFTER_S)})
             return
-        self.touched = self.server.loop.time()
+        self.last_activity_at = self.server.loop.time()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._fail(400, "upgrades are not supported")
+            self._send_error(400, "upgrades are not supported")
         except _TooLarge as error:
-            self._fail(error.status, str(error))
+            self._send_error(error.status, str(error))
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
             if isinstance(cause, _TooLarge):
-                self._fail(cause.status, str(cause))
+                self._send_error(cause.status, str(cause))
             else:
-                self._fail(400, "malformed request")
+                self._send_error(400, "malformed request")
         except (httptools.HttpParserError, UnicodeDecodeError):
-            self._fail(400, "malformed HTTP")
+            self._send_error(400, "malformed HTTP")
 
     # httptools callbacks
     def on_message_begin(self) -> None:
-        """Called by the parser: a message begins."""
-        self._reset()
-        self.receiving = True
+        """Prepare for a new request."""
+        self._reset_message()
+        self.is_receiving = True
 
     def on_url(self, url: bytes) -> None:
-        """Called by the parser with a part of the target."""
+        """Append a part of the request target."""
         self.url += url
-        self._grow_head(len(url))
+        self._add_head_size(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser with one header."""
-        self._grow_head(len(name) + len(value))
+        """Check the size of a header and the announced size of the body."""
+        self._add_head_size(len(name) + len(value))
         if name.lower() == b"content-length" and int(value) > c.BODY_MAX_BYTES:
             raise _TooLarge(400, f"body over {c.BODY_MAX_BYTES} bytes")
 
-    def _grow_head(self, size: int) -> None:
+    def _add_head_size(self, size: int) -> None:
         self.head_size += size
         if self.head_size > c.HEADER_MAX_BYTES:
             raise _TooLarge(431, "request head too large")
 
     def on_body(self, body: bytes) -> None:
-        """Called by the parser with a part of the body."""
+        """Append a part of the request body."""
         self.body += body
         if len(self.body) > c.BODY_MAX_BYTES:
             raise _TooLarge(400, f"body over {c.BODY_MAX_BYTES} bytes")
 
     def on_message_complete(self) -> None:
-        """Called by the parser: the message is whole."""
+        """Queue the complete request, and pass it on if no earlier one is pending."""
         method = self.parser.get_method().decode("ascii", "replace")
         path, _, query = self.url.decode("ascii").partition("?")
-        if path.startswith("http://"):  # absolute form
+        if path.startswith("http://"):  # absolute form of the target
             path = "/" + path[7:].partition("/")[2]
         request = (method, unquote(path), query, bytes(self.body), self.parser.should_keep_alive())
-        self._reset()
-        if len(self.waiting) >= 16:
+        self._reset_message()
+        if len(self.pipelined_requests) >= 16:
             raise _TooLarge(400, "too many pipelined requests")
-        self.waiting.append(request)
-        self._next()
+        self.pipelined_requests.append(request)
+        self._handle_next_request()
 
-    def _next(self) -> None:
-        if self.answering or not self.waiting or self.closing:
+    def _handle_next_request(self) -> None:
+        if self.awaiting_response or not self.pipelined_requests or self.is_closing:
             return
-        method, path, query, body, keep = self.waiting.pop(0)
-        self.answering = True
-        self.number += 1
-        number = self.number
-
-        def answer(status: int, payload: bytes, headers: dict[str, str] | None = None) -> None:
-            if number == self.number and self.answering:
-                self._answer(status, payload, headers, keep)
+        method, path, query, body, keep_alive = self.pipelined_requests.pop(0)
+        self.awaiting_response = True
+        self.request_number += 1
+        request_number = self.request_number
+
+        # A handler may respond late or twice: only the first response to the current request is
+        # sent.
+        def send_response(
+            status: int, payload: bytes, headers: dict[str, str] | None = None
+        ) -> None:
+            if request_number == self.request_number and self.awaiting_response:
+                self._send_response(status, payload, headers, keep_alive)
 
         try:
-            self.server.handler(method, path, query, body, answer)
-        except Exception:  # a bug in a handler must not end the process
+            self.server.handler(method, path, query, body, send_response)
+        except Exception:  # a fault in a handler must not end the process
             log.exception("handler failed for %s %s", method, path)
-            answer(500, b'{"error":"internal error"}', None)
+            send_response(500, b'{"error":"internal error"}', None)
 
-    def _answer(
-        self, status: int, payload: bytes, headers: dict[str, str] | None, keep: bool
+    def _send_response(
+        self, status: int, payload: bytes, headers: dict[str, str] | None, keep_alive: bool
     ) -> None:
-        self.answering = False
-        self.touched = self.server.loop.time()
+        self.awaiting_response = False
+        self.last_activity_at = self.server.loop.time()
         if self.transport is None:
             return
-        self.transport.write(_head(status, len(payload), headers, not keep) + payload)
-        if not keep:
-            self.closing = True
+        self.transport.write(
+            _response_head(status, len(payload), headers, not keep_alive) + payload
+        )
+        if not keep_alive:
+            self.is_closing = True
             self.transport.close()
         else:
-            self._next()
+            self._handle_next_request()
 
-    def _fail(self, status: int, reason: str, headers: dict[str, str] | None = None) -> None:
-        self.closing = True
+    def _send_error(self, status: int, reason: str, headers: dict[str, str] | None = None) -> None:
+        self.is_closing = True
         if self.transport is not None:
             payload = b'{"error":"%s"}' % reason.encode()
-            self.transport.write(_head(status, len(payload), headers, True) + payload)
-            # Guards against answers lost to a reset: whoever is still sending a large
-            # body must be read out. The sweep ends it, should it never stop.
+            self.transport.write(_response_head(status, len(payload), headers, True) + payload)
+            # Only the sending direction is closed. Closing the socket while the client still
+            # sends a large body would reset the connection, and the client could lose the
+            # response. Its input is read and ignored until it closes the connection or
+            # `close_if_timed_out` does.
             self.transport.write_eof()
 
-    def sweep(self, now: float) -> None:
-        """Close what is slow or idle: silent peers must not use up our sockets."""
-        if self.transport is None or self.answering:
+    def close_if_timed_out(self, now: float) -> None:
+        """Close the connection if it is idle or if its request arrives too slowly.
+
+        Otherwise silent clients would use up the sockets of this process.
+        """
+        if self.transport is None or self.awaiting_response:
             return
-        quiet = now - self.touched
-        if quiet > (
-            c.REQUEST_READ_TIMEOUT_S if self.receiving else c.IDLE_CONNECTION_TIMEOUT_S
-        ) or (self.closing and quiet > c.REQUEST_READ_TIMEOUT_S):
+        idle_s = now - self.last_activity_at
+        if idle_s > (
+            c.REQUEST_READ_TIMEOUT_S if self.is_receiving else c.IDLE_CONNECTION_TIMEOUT_S
+        ) or (self.is_closing and idle_s > c.REQUEST_READ_TIMEOUT_S):
             self.transport.abort()
 
 
 class _TooLarge(Exception):
+    """A request exceeds a limit; carries the status of the response."""
+
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
 class Server:
-    """Listens and hands complete requests to one handler."""
+    """An HTTP server that passes complete requests to one handler."""
 
     def __init__(self, handler: Handler, max_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
@@ -200,32 +224,38 @@
         self.max_connections = max_connections
         self.connections: set[ServerConnection] = set()
         self.refused_connections: set[ServerConnection] = set()
-        """connections beyond the limit that still get their refusal"""
+        """connections beyond the limit that stay open until they have received a 503 response"""
         self.refused_count = 0
-        """connections turned away since the start, for the metrics"""
-        self.next_warning = 0.0
+        """connections refused since the start, for the metrics"""
+        self.next_warning_at = 0.0
         self.listener: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; the port, which the system chooses if 0 is given."""
+        """Listen and return the port; for port 0 the operating system chooses one."""
         self.listener = await self.loop.create_server(
             lambda: ServerConnection(self), host, port, backlog=512, reuse_address=True
         )
-        self._sweep()
+        self._close_timed_out_connections()
         return int(self.listener.sockets[0].getsockname()[1])
 
-    def _sweep(self) -> None:
+    def _close_timed_out_connections(self) -> None:
         now = self.loop.time()
         for connection in list(self.connections):
-            connection.sweep(now)
-        self.timer = self.loop.call_later(c.REQUEST_READ_TIMEOUT_S / 4, self._sweep)
+            connection.close_if_timed_out(now)
+        self.sweep_timer = self.loop.call_later(
+            c.REQUEST_READ_TIMEOUT_S / 4, self._close_timed_out_connections
+        )
 
     def refuse(self, connection: ServerConnection, transport: asyncio.Transport) -> None:
-        """Refuse a connection beyond the limit: its first request is told to come again."""
+        """Refuse a connection beyond the limit.
+
+        Its first request gets a 503 response with Retry-After. If too many refused connections
+        are open, it is reset at once.
+        """
         self.refused_count += 1
         now = self.loop.time()
-        if now >= self.next_warning:
-            self.next_warning = now + c.CONNECTION_LIMIT_WARNING_INTERVAL_S
+        if now >= self.next_warning_at:
+            self.next_warning_at = now + c.CONNECTION_LIMIT_WARNING_INTERVAL_S
             log.warning(
                 "no sockets left: %d connections can be served, %d were refused so far",
                 self.max_connections,
@@ -238,8 +268,8 @@
         self.loop.call_later(c.REFUSED_CONNECTION_TIMEOUT_S, transport.abort)
 
     def close(self) -> None:
-        """Close the connections."""
-        self.timer.cancel()
+        """Stop listening and close all connections."""
+        self.sweep_timer.cancel()
         if self.listener is not None:
             self.listener.close()
         for connection in list(self.connections):
@@ -248,50 +278,51 @@
 
 
 class NotSent(Exception):
-    """The request never left: it was certainly not executed."""
+    """The request was not sent, so it was certainly not executed."""
 
 
 class NoAnswer(Exception):
-    """The request may have been executed, or may still be."""
+    """No response arrived: the request may have been executed, or may still be."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One persistent connection; one request at a time."""
+    """A persistent client connection that carries one request at a time."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
         self.future: asyncio.Future[tuple[int, bytes]] | None = None
+        """status and body of the response to the pending request"""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio: the connection is open."""
+        """Store the transport of the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Called by asyncio: the connection is closed."""
+        """Fail the pending request, if any."""
         self.transport = None
         if self.future is not None and not self.future.done():
             self.future.set_exception(NoAnswer("connection lost"))
 
     def data_received(self, data: bytes) -> None:
-        """Called by asyncio with what has come."""
+        """Parse received bytes; close the connection if they are malformed."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.close()
 
     def on_message_begin(self) -> None:
-        """Called by the parser: a message begins."""
+        """Prepare for a new response."""
         self.body = bytearray()
 
     def on_body(self, body: bytes) -> None:
-        """Called by the parser with a part of the body."""
+        """Append a part of the response body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Called by the parser: the message is whole."""
+        """Complete the pending request, unless the response is an interim one (1xx)."""
         status = self.parser.get_status_code()
         if status < 200:
             return
@@ -300,13 +331,13 @@
         if self.future is not None and not self.future.done():
             self.future.set_result((status, bytes(self.body)))
 
-    def give_up(self, future: asyncio.Future[tuple[int, bytes]]) -> None:
-        """The request's time is over; the answer may still come."""
+    def time_out(self, future: asyncio.Future[tuple[int, bytes]]) -> None:
+        """Fail the request with a timeout; the server may still execute it."""
         if not future.done():
             future.set_exception(NoAnswer("timed out"))
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the connection and fail the pending request, if any."""
         if self.transport is not None:
             self.transport.abort()
             self.transport = None
@@ -315,7 +346,7 @@
 
 
 class Client:
-    """A small pool of connections to one address."""
+    """An HTTP client with a small pool of connections to one address."""
 
     def __init__(self, host: str, port: int, max_connections: int = 8) -> None:
         self.host, self.port = host, port
@@ -327,7 +358,14 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout: float = 5.0
     ) -> tuple[int, bytes]:
-        """Status and body. Raises NotSent or NoAnswer."""
+        """Send a request and return the status and body of the response.
+
+        `timeout` is in seconds and includes the wait for a free connection.
+
+        Raises:
+            NotSent: If the request was certainly not executed.
+            NoAnswer: If the request may have been executed.
+        """
         deadline = self.loop.time() + timeout
         if self.slots.locked():
             try:
@@ -335,7 +373,8 @@
             except TimeoutError:
                 raise NotSent("all connections busy") from None
         else:
-            await self.slots.acquire()  # at once; a timeout costs a task of its own
+            # A slot is free, so there is no wait; `wait_for` would create a task.
+            await self.slots.acquire()
         try:
             connection = await self._connect(deadline)
             return await self._exchange(connection, method, path, body, deadline)
@@ -347,10 +386,11 @@
             connection = self.idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
                 return connection
-        patience = min(c.CONNECT_TIMEOUT_S, max(0.05, deadline - self.loop.time()))
+        connect_timeout_s = min(c.CONNECT_TIMEOUT_S, max(0.05, deadline - self.loop.time()))
         try:
             _, connection = await asyncio.wait_for(
-                self.loop.create_connection(ClientConnection, self.host, self.port), patience
+                self.loop.create_connection(ClientConnection, self.host, self.port),
+                connect_timeout_s,
             )
         except (OSError, TimeoutError) as error:
             raise NotSent(str(error) or "connect timed out") from None
@@ -366,9 +406,9 @@
         if body or method == "POST":
             head += f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
         connection.transport.write(head.encode() + b"\r\n" + body)
-        # A timer of our own: `wait_for` costs a future and three passes of the loop more.
-        timer = self.loop.call_at(
-            max(deadline, self.loop.time() + 0.01), connection.give_up, connection.future
+        # A plain timer: `wait_for` takes one more future and three more passes of the event loop.
+        timeout_timer = self.loop.call_at(
+            max(deadline, self.loop.time() + 0.01), connection.time_out, connection.future
         )
         try:
             result = await connection.future
@@ -377,7 +417,7 @@
             connection.close()
             raise
         finally:
-            timer.cancel()
+            timeout_timer.cancel()
         connection.future = None
         if connection.transport is not None and len(self.idle) < 8 and not self.closed:
             self.idle.append(connection)
@@ -386,9 +426,9 @@
         return result
 
     def close(self) -> None:
-        """Close the pool; connections in use are closed once they are free.
+        """Close the pool; a connection in use is closed when its request ends.
 
-        A pool put aside during a call would keep its socket for ever.
+        If that connection went back to the closed pool, its socket would stay open for ever.
         """
         self.closed = True
         for connection in self.idle:
--- a/appledock/net/peers.py
+++ b/appledock/net/peers.py
@@ -1,4 +1,8 @@
-"""Links between the controllers: netstrings of JSON, one way per connection."""
+"""Connections between the controllers.
+
+Messages are JSON objects, each framed as a netstring. A connection carries messages in one
+direction only: each controller opens one to each of its peers.
+"""
 
 from __future__ import annotations
 
@@ -15,22 +19,22 @@
 
 
 class Malformed(Exception):
-    """The bytes are no netstring."""
+    """The received bytes are not a netstring with a JSON object."""
 
 
 def encode_netstring(payload: bytes) -> bytes:
-    """`payload` as a netstring."""
+    """Return the payload as a netstring."""
     return b"%d:%b," % (len(payload), payload)
 
 
 class NetstringDecoder:
-    """Cuts a stream of bytes into the payloads of its netstrings."""
+    """Splits a stream of bytes into the payloads of its netstrings."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take in bytes; the payloads that are whole now."""
+        """Add received bytes and return the payloads that are now complete."""
         self.buffer += data
         payloads = []
         start = 0
@@ -58,25 +62,25 @@
 
 
 class IncomingPeerLink(asyncio.Protocol):
-    """Receiving end of a link."""
+    """The receiving end of a connection from a peer."""
 
-    def __init__(self, deliver: Callable[[dict[str, Any]], None]) -> None:
-        self.deliver = deliver
+    def __init__(self, on_message: Callable[[dict[str, Any]], None]) -> None:
+        self.on_message = on_message
         self.decoder = NetstringDecoder()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio: the connection is open."""
+        """Store the transport of the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Called by asyncio with what has come."""
+        """Pass on complete messages; close the connection if one is malformed."""
         try:
             for payload in self.decoder.feed(data):
-                self.deliver(_decode(payload))
+                self.on_message(_decode(payload))
         except (Malformed, msgspec.DecodeError, UnicodeDecodeError) as error:
-            log.warning("malformed message from a peer: %s", error)
+            log.warning("malformed message from a peer: error=%s", error)
             if self.transport is not None:
                 self.transport.abort()
 
@@ -89,7 +93,7 @@
 
 
 class OutgoingPeerLink(asyncio.Protocol):
-    """Sending end of a link; dials again for ever."""
+    """The sending end of a connection to a peer, which is reopened whenever it is lost."""
 
     def __init__(
         self, name: str, host: str, port: int, on_connected: Callable[[str], None]
@@ -100,7 +104,7 @@
         self.transport: asyncio.Transport | None = None
 
     async def run(self) -> None:
-        """Keep the link open, for ever."""
+        """Connect, and reconnect whenever the connection is lost; never returns."""
         while True:
             if self.transport is None:
                 try:
@@ -109,25 +113,26 @@
                         c.CONNECT_TIMEOUT_S,
                     )
                 except (OSError, TimeoutError) as error:
-                    log.debug("link to %s: %s", self.name, error)
+                    log.debug("connection to peer failed: peer=%s error=%s", self.name, error)
             await asyncio.sleep(c.PEER_RECONNECT_DELAY_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio: the connection is open."""
+        """Report the new connection to `on_connected`."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.on_connected(self.name)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Called by asyncio: the connection is closed."""
+        """Forget the closed connection; `run` opens a new one."""
         self.transport = None
 
     def send(self, payload: bytes) -> None:
-        """Write to the peer, if the link is open."""
+        """Send encoded messages to the peer; without a connection they are dropped."""
         if self.transport is None:
             return
         if self.transport.get_write_buffer_size() > c.PEER_BUFFER_MAX_BYTES:
-            # Guards against a hung or cut peer filling our memory.
+            # The peer does not read, because it hangs or is partitioned from this controller:
+            # without this limit its messages would use up the memory of this process.
             self.transport.abort()
             self.transport = None
             return
