--- a/appledock/adapters/__init__.py
+++ b/appledock/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters between the core and the outside systems."""
+"""Adapters between the core and the HTTP interfaces of users, workers, store and cloud."""
--- a/appledock/adapters/cloud.py
+++ b/appledock/adapters/cloud.py
@@ -1,4 +1,4 @@
-"""Cloud: sends calls over HTTP and classifies the answers."""
+"""Cloud adapter: sends calls over HTTP and classifies the answers."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 log = logging.getLogger(__name__)
 
 DecodedAnswer = wire.MachineTypes | wire.MachineList | wire.MachineIds | None
-"""what a call that succeeded brings; None: nothing more than that"""
+"""decoded answer to a call that succeeded; None if it has no content"""
 
 
 class HttpRequest(NamedTuple):
-    """A call as it goes onto the wire."""
+    """An HTTP request of a call."""
 
     method: str
     path: str
@@ -35,13 +35,13 @@
 
 
 class Cloud:
-    """Connections to the cloud's interface."""
+    """A pool of connections to the cloud API."""
 
     def __init__(self, host: str, port: int) -> None:
         self.client = Client(host, port, max_connections=4)
 
     async def run(self, call: CloudCall) -> CloudReply:
-        """Carry out a call; its outcome says whether it was executed."""
+        """Execute a call and return its reply; the outcome says whether the call was executed."""
         try:
             status, answer = await self.client.request(*build_request(call.request), call.timeout_s)
         except NotSent as error:
@@ -54,7 +54,7 @@
 
 
 def classify(call: CloudCall, status: int, answer: bytes) -> CloudReply:
-    """The reply that an answer stands for; a malformed one counts as an unknown outcome."""
+    """Return the reply for an answer; a malformed answer gives an unknown outcome."""
     if status != 200:
         return CloudReply(call.call_id, _failure(call.request, status, answer))
     try:
@@ -65,7 +65,7 @@
 
 
 def _decode(request: CloudRequest, answer: bytes) -> DecodedAnswer:
-    """Decode the answer; raises DecodeError or UnicodeDecodeError if it is malformed."""
+    """Return the decoded answer; raise DecodeError or UnicodeDecodeError if it is malformed."""
     match request:
         case ListMachineTypes():
             return msgspec.json.decode(answer, type=wire.MachineTypes)
@@ -80,7 +80,7 @@
 
 
 def _failure(request: CloudRequest, status: int, answer: bytes) -> CloudOutcome:
-    """The outcome of a call that the cloud could not or would not execute."""
+    """Return the outcome of a call that was answered with a status other than 200."""
     name = operation(request)
     match status:
         case 503 if isinstance(request, RentMachines) and b"no capacity" in answer:
@@ -89,7 +89,9 @@
             log.info("cloud call refused: operation=%s status=%d", name, status)
             return CloudOutcome.REFUSED
         case _:
-            log.error("cloud call failed: operation=%s status=%d: %s", name, status, answer[:200])
+            log.error(
+                "cloud call failed: operation=%s status=%d answer=%s", name, status, answer[:200]
+            )
             return CloudOutcome.INVALID if status == 400 else CloudOutcome.UNKNOWN
 
 
@@ -99,16 +101,16 @@
     RentMachines: "rent",
     DeleteMachines: "delete",
 }
-"""request -> its name in log lines and metrics"""
+"""request type -> name in log lines and metrics"""
 
 
 def operation(request: CloudRequest) -> str:
-    """Short name of a request, for log lines and metrics."""
+    """Return the short name of a request for log lines and metrics."""
     return OPERATIONS[type(request)]
 
 
 def build_request(request: CloudRequest) -> HttpRequest:
-    """The call as an HTTP request."""
+    """Return the HTTP request of a call."""
     match request:
         case ListMachineTypes():
             return HttpRequest("GET", wire.PATH_MACHINE_TYPES)
--- a/appledock/adapters/http_requests.py
+++ b/appledock/adapters/http_requests.py
@@ -1,4 +1,4 @@
-"""HTTP requests of users, workers, probes and operators, as commands."""
+"""Conversion of HTTP requests from users, workers, health probes and operators to commands."""
 
 from __future__ import annotations
 
@@ -18,17 +18,20 @@
     SubmitJob,
 )
 
-_SPEC = msgspec.json.Decoder(wire.JobSpec)
-_REPORT = msgspec.json.Decoder(wire.Report)
-_ID = re.compile(r"\Ajob-[0-9]{1,18}\Z")
+_SPEC_DECODER = msgspec.json.Decoder(wire.JobSpec)
+_REPORT_DECODER = msgspec.json.Decoder(wire.Report)
+_JOB_ID = re.compile(r"\Ajob-[0-9]{1,18}\Z")
 ADMIN_PATH_PREFIX = "/admin/v1/"
-MALFORMED = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
-"""what decoding raises; the last one for a thousand brackets in a row, also in a field
-that nobody reads, which was answered 500 and sent again for a minute"""
+DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+"""Exceptions that decoding raises.
+
+RecursionError occurs with a thousand nested brackets, also in a field that is not read. Without it
+in this tuple such a request is answered with 500, and the client repeats it for a minute.
+"""
 
 
 class Refused(Exception):
-    """Answered without the engine."""
+    """The request is answered with an error and is not passed to the engine."""
 
     def __init__(self, status: int, error: str, headers: dict[str, str] | None = None) -> None:
         super().__init__(error)
@@ -36,23 +39,27 @@
 
 
 def parse_command(request_id: int, method: str, path: str, body: bytes) -> Request:
-    """The command that a request stands for; raises Refused."""
+    """Return the command for a request.
+
+    Raises:
+        Refused: If the request is invalid.
+    """
     if path == wire.PATH_REPORT:
-        _only(method, "POST")
-        return HeartbeatReceived(request_id, _decode(_REPORT, body))
+        _require_method(method, "POST")
+        return HeartbeatReceived(request_id, _decode(_REPORT_DECODER, body))
     if path == wire.PATH_HEALTH:
-        _only(method, "GET")
+        _require_method(method, "GET")
         return HealthRequest(request_id)
     if path == wire.PATH_JOBS:
-        _only(method, "POST")
-        return SubmitJob(request_id, _submission(_decode(_SPEC, body)))
+        _require_method(method, "POST")
+        return SubmitJob(request_id, _normalize_needs(_decode(_SPEC_DECODER, body)))
     if path.startswith(wire.PATH_JOBS + "/"):
-        rest = path[len(wire.PATH_JOBS) + 1 :]
-        job, slash, action = rest.partition("/")
+        job_path = path[len(wire.PATH_JOBS) + 1 :]
+        job, slash, action = job_path.partition("/")
         if slash and action != "cancel":
             raise Refused(404, "no such path")
-        _only(method, "POST" if slash else "GET")
-        if not _ID.match(job):
+        _require_method(method, "POST" if slash else "GET")
+        if not _JOB_ID.match(job):
             raise Refused(404, "no such job")
         return CancelJob(request_id, job) if slash else GetJobState(request_id, job)
     if path.startswith(ADMIN_PATH_PREFIX):
@@ -60,7 +67,7 @@
         if body:
             try:
                 payload = msgspec.json.decode(body)
-            except MALFORMED as error:
+            except DECODE_ERRORS as error:
                 raise Refused(400, f"not JSON: {error}") from None
         return AdminRequest(
             request_id, method, tuple(path[len(ADMIN_PATH_PREFIX) :].strip("/").split("/")), payload
@@ -76,16 +83,23 @@
     HealthRequest: "health",
     AdminRequest: "admin",
 }
-"""request -> its name in the metrics, which operators read: it depends on no name of a class"""
+"""request type -> name in the metrics.
+
+Operators read these names, so they do not change when a class is renamed.
+"""
 
 
 def metric_name(request: Request) -> str:
-    """The request's name in the metrics."""
+    """Return the name of a request in the metrics."""
     return METRIC_NAMES[type(request)]
 
 
-def _submission(spec: wire.JobSpec) -> wire.JobSpec:
-    """What a job needs, each named once; none at all is the same as no list."""
+def _normalize_needs(spec: wire.JobSpec) -> wire.JobSpec:
+    """Return the specification with duplicates removed from `needs`, and None for an empty list.
+
+    Raises:
+        Refused: If the job needs itself.
+    """
     if spec.needs is None:
         return spec
     if spec.id in spec.needs:
@@ -93,13 +107,15 @@
     return msgspec.structs.replace(spec, needs=list(dict.fromkeys(spec.needs)) or None)
 
 
-def _only(method: str, allowed: str) -> None:
+def _require_method(method: str, allowed: str) -> None:
+    """Raise Refused if the path does not support the method."""
     if method != allowed:
         raise Refused(405, f"only {allowed} is allowed here", {"Allow": allowed})
 
 
 def _decode(decoder: msgspec.json.Decoder[Any], body: bytes) -> Any:
+    """Return the decoded body; raise Refused if it is malformed."""
     try:
         return decoder.decode(body)
-    except MALFORMED as error:
+    except DECODE_ERRORS as error:
         raise Refused(400, str(error)) from None
--- a/appledock/adapters/store.py
+++ b/appledock/adapters/store.py
@@ -1,4 +1,4 @@
-"""Key-value store: sends calls over HTTP and classifies the answers."""
+"""Key-value store adapter: sends calls over HTTP and classifies the answers."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class HttpRequest(NamedTuple):
-    """A call as it goes onto the wire."""
+    """An HTTP request of a call."""
 
     method: str
     path: str
@@ -51,7 +51,7 @@
 
 
 def encode_transaction(transaction: Transaction) -> bytes:
-    """A transaction as the protocol writes it."""
+    """Return the transaction encoded for the store's protocol."""
     conditions = [wire.Condition(key, version) for key, version in transaction.conditions.items()]
     return wire.encode(wire.Txn(conditions, [_encode_write(w) for w in transaction.writes]))
 
@@ -64,14 +64,18 @@
 
 
 class Store:
-    """One pool of connections for calls, and one for the watch, which waits long for answers."""
+    """Connections to the key-value store.
+
+    The watch has a pool of its own, since each of its calls waits for changes and would occupy a
+    connection that other calls need.
+    """
 
     def __init__(self, host: str, port: int) -> None:
         self.calls = Client(host, port, max_connections=12)
         self.watch = Client(host, port, max_connections=2)
 
     async def run(self, call: StoreCall) -> StoreReply:
-        """Carry out a call; its outcome says whether it was executed."""
+        """Execute a call and return its reply; the outcome says whether the call was executed."""
         request = build_request(call.request)
         client = self.watch if isinstance(call.request, WatchKeys) else self.calls
         try:
@@ -86,7 +90,7 @@
 
 
 def classify(call: StoreCall, status: int, answer: bytes) -> StoreOutcome:
-    """The outcome that an answer shows; a malformed answer counts as an unknown outcome."""
+    """Return the outcome of a call from its answer; a malformed answer gives an unknown one."""
     name = operation(call.request)
     try:
         return _outcome(call.request, status, answer)
@@ -96,7 +100,7 @@
 
 
 def _outcome(store_request: StoreRequest, status: int, answer: bytes) -> StoreOutcome:
-    """As `classify`; raises DecodeError or UnicodeDecodeError if the answer is malformed."""
+    """Return the outcome; raise DecodeError or UnicodeDecodeError if the answer is malformed."""
     match status:
         case 200:
             answer_type = ANSWER_TYPES.get(type(store_request))
@@ -114,7 +118,7 @@
 
 
 def _failure(name: str, status: int, answer: bytes) -> StoreOutcome:
-    """The outcome of a call that the store could not or would not execute."""
+    """Return the outcome of a call that was answered with an error status."""
     match status:
         case 400 if b"no such lease" in answer:
             return NoSuchLease()
@@ -143,7 +147,7 @@
     WatchKeys: Watched,
     GrantLease: Grant,
 }
-"""request -> type of the answer with status 200; the others are acknowledged without one"""
+"""request type -> type of the answer with status 200; answers to other requests are ignored"""
 
 OPERATIONS: dict[type[StoreRequest], str] = {
     Transaction: "txn",
@@ -154,16 +158,16 @@
     RenewLease: "touch",
     RevokeLease: "revoke",
 }
-"""request -> its name in log lines and metrics"""
+"""request type -> name in log lines and metrics"""
 
 
 def operation(store_request: StoreRequest) -> str:
-    """Short name of a request, for log lines and metrics."""
+    """Return the short name of a request for log lines and metrics."""
     return OPERATIONS[type(store_request)]
 
 
 def build_request(store_request: StoreRequest) -> HttpRequest:
-    """The call as an HTTP request."""
+    """Return the HTTP request of a call."""
     match store_request:
         case Transaction():
             return HttpRequest("POST", wire.PATH_TRANSACTION, encode_transaction(store_request))
--- a/appledock/adapters/workers.py
+++ b/appledock/adapters/workers.py
@@ -1,4 +1,4 @@
-"""Workers: commands and questions sent straight to their addresses."""
+"""Worker adapter: sends commands and requests for reports directly to the workers."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class WorkerCalls:
-    """One connection to each worker, one call at a time on it.
+    """HTTP clients of the workers, with one connection and one call at a time for each worker.
 
-    At most `max_clients` are kept, those used last.
+    At most `max_clients` are kept: the least recently used one is closed.
     """
 
     def __init__(self, max_clients: int) -> None:
@@ -37,7 +37,10 @@
         return client
 
     async def run(self, call: WorkerCall) -> WorkerReply:
-        """Send orders or ask for the report; a report comes with nearly every answer."""
+        """Send commands to a worker, or request its report if the call has none.
+
+        A worker that refuses the commands (409) also answers with its report.
+        """
         try:
             client = self._client(call.address)
             if call.orders is None:
@@ -49,7 +52,12 @@
                     "POST", wire.PATH_ORDERS, wire.encode(call.orders), call.timeout_s
                 )
             if status not in (200, 409):
-                log.error("worker %s answered %d: %s", call.address, status, body[:200])
+                log.error(
+                    "worker call failed: address=%s status=%d answer=%s",
+                    call.address,
+                    status,
+                    body[:200],
+                )
                 return WorkerReply(call.call_id, WorkerOutcome.UNKNOWN)
             report = msgspec.json.decode(body, type=wire.Report)
             return WorkerReply(
@@ -57,10 +65,10 @@
             )
         except (NotSent, ValueError) as error:
             if isinstance(error, msgspec.DecodeError | UnicodeDecodeError):
-                log.error("malformed answer of worker %s: %s", call.address, error)
+                log.error("malformed answer of worker: address=%s error=%s", call.address, error)
                 return WorkerReply(call.call_id, WorkerOutcome.UNKNOWN)
-            log.info("worker %s: %s", call.address, error)
+            log.info("worker call not sent: address=%s error=%s", call.address, error)
             return WorkerReply(call.call_id, WorkerOutcome.NOT_SENT)
         except NoAnswer as error:
-            log.info("worker %s: %s", call.address, error)
+            log.info("worker call unanswered: address=%s error=%s", call.address, error)
             return WorkerReply(call.call_id, WorkerOutcome.UNKNOWN)
--- a/tests/unit/adapters/test_metric_names.py
+++ b/tests/unit/adapters/test_metric_names.py
@@ -1,4 +1,4 @@
-"""Names of requests and calls in the metrics: operators read them, whatever classes are called."""
+"""Operators read the names of requests and calls in the metrics: renaming a class keeps them."""
 
 from __future__ import annotations
 
