--- a/appledock/settings.py
+++ b/appledock/settings.py
@@ -1,4 +1,8 @@
-"""The platform's settings file: read, checked, unknown fields ignored."""
+"""Reads and checks the settings file of the platform.
+
+Unknown fields are ignored. Where a field's name in the file differs from the attribute,
+`msgspec.field(name=...)` gives the name in the file.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +20,11 @@
 
 
 class SettingsError(Exception):
-    """The settings file cannot be used; the text says why in one line."""
+    """The settings file cannot be used; the message gives the reason in one line."""
 
 
 class Peer(Struct, frozen=True):
-    """Another controller."""
+    """Name, address and zone of another controller."""
 
     name: Name = msgspec.field(name="node_name")
     address: Address = msgspec.field(name="endpoint")
@@ -28,14 +32,18 @@
 
 
 class ExternalAddresses(Struct, frozen=True):
-    """Addresses of the outside systems."""
+    """Addresses of the external systems."""
 
     cloud: Address
     state: Address
+    """address of the key-value store"""
 
 
 class TeamLimits(Struct, frozen=True):
-    """A team's guarantees and limits."""
+    """The guaranteed quota and the limits of a team.
+
+    `cpus` and `gpus` are guaranteed; `cpus_max` and `gpus_max` are the limits.
+    """
 
     name: Name
     cpus: NonNegative
@@ -45,25 +53,31 @@
 
 
 class Objective(Struct, frozen=True):
-    """What the platform is judged by."""
+    """A service-level objective of the platform; see `ObjectiveKind` for the kinds."""
 
     kind: str
     job_class: str | None = msgspec.field(name="class", default=None)
+    """job class that the objective applies to; None for every class"""
     within_s: float | None = None
     share: float | None = None
     times: float | None = None
+    """limit as a multiple of the job's own deadline"""
 
 
 class WorkerTimes(Struct, frozen=True):
-    """Times that workers keep to."""
+    """Intervals and timeouts of the workers and their tasks, in seconds."""
 
     report_s: Positive
+    """interval between two heartbeats of a worker"""
     lease_s: Positive
+    """duration of a worker's lease: a worker that its owner does not answer for this long stops its
+    tasks"""
     cancel_s: Positive
+    """time within which the tasks of a cancelled job must have ended"""
 
 
 class AnnouncedStoreLimits(Struct, frozen=True):
-    """Limits announced for some later moment; what is missing stays as it is."""
+    """Limits of the store that are announced for a later time; None for a limit that stays."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -72,20 +86,24 @@
 
 
 class StoreLimits(Struct, frozen=True):
-    """Limits of the state service.
+    """Limits of the key-value store.
 
-    Announced ones hold from some moment on without notice, so of each two the smaller one is
-    kept to from the start (see `parse`).
+    Announced limits come into force at an unknown time, without notice. The smaller one of each
+    present and announced limit is therefore used from the start (see `parse`).
     """
 
     rps: Positive
+    """requests per second"""
     write_rps: Positive
+    """writes per second"""
     value_kb: Positive
+    """largest size of a value, in KiB"""
     txn_ops: Annotated[int, Meta(ge=3)]
+    """largest number of writes in a transaction; it may have four times as many conditions"""
     next: AnnouncedStoreLimits | None = None
 
     def effective(self) -> StoreLimits:
-        """The limits to keep to, of the present and the announced ones."""
+        """Return the limits to observe: the smaller one of each present and announced limit."""
         if self.next is None:
             return self
         return msgspec.structs.replace(
@@ -99,22 +117,25 @@
 
 
 class CloudLimits(Struct, frozen=True):
-    """Limits of the cloud."""
+    """Limits of the cloud API."""
 
     rps: Positive
+    """requests per second"""
     list_lag_s: NonNegative
+    """time (s) by which the list of machines may be out of date"""
 
 
 class MachineLimits(Struct, frozen=True):
-    """What one controller may use of its machine."""
+    """Resources that one controller may use on its machine."""
 
     core_share: Positive = 1.0
     ram_mb: Positive = 1024.0
     fd_limit: Annotated[int, Meta(ge=150)] = 1024
+    """open file descriptors"""
 
 
 class Cluster(Struct, frozen=True):
-    """What is the same for all controllers."""
+    """Settings that are the same for all controllers."""
 
     size: Count
     teams: list[TeamLimits]
@@ -128,11 +149,13 @@
 
 
 class Settings(Struct, frozen=True):
-    """One controller's settings."""
+    """Settings of one controller."""
 
     name: Name = msgspec.field(name="node_name")
     listen: Address = msgspec.field(name="public_addr")
+    """address for users, operators and workers"""
     peer_listen: Address = msgspec.field(name="back")
+    """address for connections from peers"""
     external: ExternalAddresses
     cluster: Cluster
     peers: list[Peer] = []
@@ -140,13 +163,19 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """`10.0.0.1:80` as host and port."""
+    """Return host and port of an address such as `10.0.0.1:80`."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def parse(raw: bytes) -> Settings:
-    """Check the bytes of a settings file."""
+    """Return the settings in the bytes of a settings file.
+
+    The limits of the store are the smaller ones of the present and the announced limits.
+
+    Raises:
+        SettingsError: If the settings are not valid.
+    """
     try:
         settings = msgspec.json.decode(raw, type=Settings)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -171,7 +200,11 @@
 
 
 def load(path: str | Path) -> Settings:
-    """Read and check a settings file."""
+    """Read a settings file and return its settings.
+
+    Raises:
+        SettingsError: If the file cannot be read or its settings are not valid.
+    """
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
--- a/appledock/wire.py
+++ b/appledock/wire.py
@@ -1,6 +1,9 @@
-"""The words of the wire, and nowhere else: structs that rename them to ours.
+"""Messages of the external protocols: users, workers, cloud and key-value store.
 
-| wire | here | | wire | here |
+The protocols have terms of their own, which no other module uses. Each struct maps them to its
+attributes with `field(name=...)`:
+
+| protocol | attribute | | protocol | attribute |
 | --- | --- | --- | --- | --- |
 | berth | job_class | | warrant | token |
 | owner | team | | shift, tally | session, seq |
@@ -22,12 +25,18 @@
 Unsigned = Annotated[int, Meta(ge=0)]
 JobId = Annotated[str, Meta(pattern=r"\Ajob-[0-9]{1,18}\Z")]
 
+# Kinds of jobs.
 ARRAY, SERVICE, GANG = "batch", "daemon", "group"
 RANKS = {"production": 3, "urgent": 2, "standard": 1, "best_effort": 0}
+"""priority -> rank; a higher rank is served first"""
+# States of jobs. RUNNING is also a state of tasks in reports, DONE a cause of their end.
 PENDING, RUNNING, DONE, CANCELLED = "pending", "running", "done", "withdrawn"
+# Other states of tasks in reports; then other causes of their end.
 FETCHING, SAVING, EXITED = "pulling", "saving", "exited"
 STOPPED, ERROR, NO_ROOM, BUSY, UNKNOWN = "stopped", "error", "full", "in_use", "unknown"
+# Actions of commands to workers.
 LAUNCH, HALT, FORGET = "launch", "halt", "forget"
+# States of machines in the cloud's list.
 BOOTING, FAILED = "starting", "failed"
 
 PATH_JOBS = "/v2/runs"
@@ -42,7 +51,7 @@
 
 
 class JobSpec(Struct, frozen=True):
-    """What a user submits."""
+    """The specification of a job, as a user submits it."""
 
     id: JobId
     job_class: Text = field(name="berth")
@@ -69,19 +78,20 @@
     needs: Annotated[list[JobId], Meta(max_length=1000)] | None = field(
         name="tethers", default=None
     )
-    """jobs that have to be done before a task of this one starts"""
+    """jobs that must be done before a task of this job starts"""
 
     @property
     def service(self) -> bool:
-        """Does it run until it is cancelled?"""
+        """Whether the job runs until it is cancelled."""
         return self.kind == SERVICE
 
     @property
     def gang(self) -> bool:
-        """Does it start whole or not at all?
+        """Whether the tasks of the job start together or not at all.
 
-        A service in one zone of which at most half may be in one zone can't be whole, and runs
-        as far as it may.
+        That includes services whose tasks must all be in one zone. A service with both `one_zone`
+        and `spread` is excluded: at most half of its tasks may be in one zone, so it can never run
+        completely, and it runs as many tasks as it may.
         """
         return self.kind == GANG or (
             self.service and self.one_zone and not self.spread and self.tasks > 1
@@ -89,12 +99,12 @@
 
     @property
     def rank(self) -> int:
-        """Its priority as a number: the higher comes first."""
+        """The priority as a number; a job with a higher number is served first."""
         return RANKS[self.priority]
 
 
 class JobState(Struct, omit_defaults=True):
-    """Answer to a poll."""
+    """The state of a job, as a user's poll returns it."""
 
     id: str
     state: str = field(name="status")
@@ -103,7 +113,7 @@
 
 
 class TaskReport(Struct, frozen=True):
-    """One task in a report."""
+    """An attempt of a task, as its worker reports it."""
 
     task: str = field(name="crate")
     attempt: Unsigned = field(name="try")
@@ -112,13 +122,13 @@
     saved: bool | None = field(name="stored", default=None)
 
     def split(self) -> tuple[str, int]:
-        """Job id and task number; a name of another form belongs to no job."""
+        """Return job id and task number; a name of another form gives the number -1."""
         job, _, number = self.task.rpartition("/")
         return job, int(number) if number.isdigit() else -1
 
 
 class Report(Struct, frozen=True):
-    """A worker's report."""
+    """A heartbeat of a worker: its machine and the state of its tasks."""
 
     worker: Text = field(name="dockhand")
     addr: Text
@@ -133,7 +143,7 @@
 
 
 class Command(Struct, frozen=True, omit_defaults=True):
-    """What a worker shall do with one task."""
+    """A command to a worker about one attempt of a task."""
 
     action: str = field(name="verb")
     task: str = field(name="crate")
@@ -142,14 +152,14 @@
 
 
 class ReportAnswer(Struct):
-    """The owner's answer to a report."""
+    """The answer of a worker's owner to a report: fencing token and commands."""
 
     token: int = field(name="warrant")
     commands: list[Command] = field(name="orders")
 
 
 class Orders(Struct):
-    """Commands sent straight to a worker."""
+    """Commands that the owner of a worker sends to it directly."""
 
     token: int = field(name="warrant")
     session: int = field(name="shift")
@@ -157,13 +167,13 @@
 
 
 class Redirect(Struct, omit_defaults=True):
-    """Where a worker shall report instead."""
+    """An answer that sends a worker to another controller."""
 
     report_to: str | None = field(name="harbormaster", default=None)
 
 
 class MachineType(Struct, frozen=True):
-    """What the cloud offers."""
+    """A machine type that the cloud offers."""
 
     name: Text
     cpus: Amount = field(name="cores")
@@ -178,13 +188,13 @@
 
 
 class MachineTypes(Struct):
-    """All that the cloud offers."""
+    """All machine types that the cloud offers."""
 
     types: list[MachineType] = field(name="hulls")
 
 
 class Machine(Struct, frozen=True):
-    """One row of the machine list."""
+    """A machine in the cloud's list of rented machines."""
 
     id: Text
     type: str = field(name="hull")
@@ -196,14 +206,14 @@
 
 
 class MachineList(Struct):
-    """One page of the machine list."""
+    """One page of the cloud's list of rented machines."""
 
     machines: list[Machine] = field(name="dockhands")
     more: bool = field(name="has_next", default=False)
 
 
 class Rent(Struct):
-    """A rental request."""
+    """A request to rent machines of one type in one zone."""
 
     request: str = field(name="charter")
     type: str = field(name="hull")
@@ -213,13 +223,13 @@
 
 
 class MachineIds(Struct):
-    """Machines by name: rented, or to be deleted."""
+    """Ids of machines: the rented ones in an answer, those to delete in a request."""
 
     machines: list[str] = field(name="dockhands")
 
 
 class Row(Struct, frozen=True):
-    """One key of the state service."""
+    """A key in the store, with its value, version and lease."""
 
     key: str
     value: Any = field(name="data")
@@ -228,7 +238,7 @@
 
 
 class Rows(Struct):
-    """One page of keys."""
+    """One page of a list of keys."""
 
     items: list[Row] = field(name="rows")
     revision: int = field(name="ledger")
@@ -236,7 +246,7 @@
 
 
 class Event(Struct, frozen=True):
-    """One change that the watch shows."""
+    """A change that a watch returns; either `put` or `delete` is the changed key."""
 
     version: int = field(name="stamp")
     put: str | None = field(name="set", default=None)
@@ -245,21 +255,21 @@
 
 
 class Watched(Struct):
-    """What the watch shows."""
+    """The changes that a watch returns, up to a revision."""
 
     revision: int = field(name="ledger")
     events: list[Event] = field(name="events", default=[])
 
 
 class Condition(Struct, frozen=True):
-    """The version that a key must have; 0: it must not exist."""
+    """The version that a key must have for a transaction; 0 if the key must not exist."""
 
     key: str
     version: int = field(name="stamp")
 
 
 class Write(Struct, frozen=True, omit_defaults=True):
-    """One write of a transaction."""
+    """One write of a transaction; either `put` or `delete` is its key."""
 
     put: str | UnsetType = field(name="set", default=UNSET)
     value: Any = field(name="data", default=UNSET)
@@ -268,71 +278,71 @@
 
 
 class Txn(Struct):
-    """A conditional transaction."""
+    """A transaction whose writes are executed only if all conditions hold."""
 
     conditions: list[Condition] = field(name="if")
     writes: list[Write] = field(name="writes")
 
 
 class Committed(Struct):
-    """A transaction was executed."""
+    """The answer to a transaction that was executed."""
 
     revision: int = field(name="ledger")
 
 
 class Conflict(Struct):
-    """A transaction was not executed: keys whose condition failed."""
+    """The answer to a transaction that was not executed: the keys whose conditions failed."""
 
     failed: list[str]
     revision: int = field(name="ledger", default=0)
 
 
 class Missing(Struct):
-    """There is no such key."""
+    """The answer to a read of a key that does not exist."""
 
     revision: int = field(name="ledger", default=0)
 
 
 class GrantRequest(Struct):
-    """A lease asked for."""
+    """A request for a lease with this time to live."""
 
     ttl_ms: int = field(name="life_ms")
 
 
 class Grant(Struct):
-    """A lease given."""
+    """The answer to a request for a lease: the id of the lease."""
 
     lease: int = field(name="permit")
 
 
 def path_of_key(key: str) -> str:
-    """Path of one key."""
+    """Return the path of a key."""
     return f"/keys/{key}"
 
 
 def path_of_list(prefix: str, after: str | None, limit: int) -> str:
-    """Path of a page of keys."""
+    """Return the path of a page of keys, starting after the key `after`."""
     since = f"&since={after}" if after else ""
     return f"/keys?under={prefix}{since}&limit={limit}"
 
 
 def path_of_watch(prefix: str, after: int, wait_ms: int) -> str:
-    """Path of the watch."""
+    """Return the path of a watch for changes after the revision `after`."""
     return f"/follow?under={prefix}&since={after}&block_ms={wait_ms}"
 
 
 def path_of_lease_renewal(lease: int) -> str:
-    """Path of a lease's renewal."""
+    """Return the path of the renewal of a lease."""
     return f"/grants/{lease}/touch"
 
 
 def path_of_lease(lease: int | None = None) -> str:
-    """Path of the leases, or of one."""
+    """Return the path of a lease, or of all leases if none is given."""
     return "/grants" if lease is None else f"/grants/{lease}"
 
 
 def path_of_machines(after: str | None, limit: int) -> str:
-    """Path of a page of the machine list."""
+    """Return the path of a page of the machine list, starting after the machine `after`."""
     since = f"since={after}&" if after else ""
     return f"{PATH_MACHINES}?{since}limit={limit}"
 
