--- a/tests/guards.py
+++ b/tests/guards.py
@@ -1,4 +1,8 @@
-"""Guards of the scheduler taken out one by one, so that a judge can be seen to notice."""
+"""Patches that each disable one safeguard of the scheduler.
+
+Tests apply a patch and assert that the checks of the simulation (`tests/standins/judge.py`) report
+the rule that the safeguard protects. This shows that the checks can fail.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +31,7 @@
 from appledock.core.workers.table import WorkerTable
 
 Patch = pytest.MonkeyPatch
-VERDICT, COMMANDS, SUBMIT, ALLOCATED = (
+ORIGINAL_VERDICT, ORIGINAL_COMMANDS_FOR, ORIGINAL_SUBMIT, ORIGINAL_ALLOCATED = (
     Workers.verdict,
     CommandReconciler.commands_for,
     StoreClient.submit,
@@ -35,7 +39,12 @@
 )
 
 
-def silence_settles(patch: Patch, after_s: float = 6.0) -> None:
+def disable_wait_for_lease_expiry(patch: Patch, after_s: float = 6.0) -> None:
+    """Settle attempts `after_s` after the last heartbeat of their worker.
+
+    The worker's lease need not have expired, so the tasks may still run.
+    """
+
     def verdict(self: Workers, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
         worker = self.table.get(attempt.machine)
         if (
@@ -43,13 +52,16 @@
             and self.runtime.now - worker.reachability.last_heartbeat_at > after_s
         ):
             return AttemptVerdict.SETTLED
-        return VERDICT(self, job, attempt, task)
+        return ORIGINAL_VERDICT(self, job, attempt, task)
 
     patch.setattr(Workers, "verdict", verdict)
 
 
-def absence_settles(patch: Patch) -> None:
-    """Without a higher term on the worker."""
+def disable_term_check_of_missing_tasks(patch: Patch) -> None:
+    """Settle attempts that the worker does not report, whatever term it has accepted.
+
+    A launch in flight can still start such a task: only a worker with a higher term rejects it.
+    """
 
     def verdict(self: Workers, job: Job, attempt: Attempt, task: int) -> AttemptVerdict | None:
         worker = self.table.get(attempt.machine)
@@ -59,23 +71,27 @@
             and (f"{job.id}/{task}", attempt.attempt_number) not in worker.tasks
         ):
             return AttemptVerdict.SETTLED
-        return VERDICT(self, job, attempt, task)
+        return ORIGINAL_VERDICT(self, job, attempt, task)
 
     patch.setattr(Workers, "verdict", verdict)
 
 
-def any_end_is_done(patch: Patch) -> None:
+def disable_exit_result_check(patch: Patch) -> None:
+    """Treat every attempt that has ended as completed, with whatever result it ended."""
     patch.setattr(
         Workers,
         "verdict",
         lambda self, job, attempt, task: (
-            AttemptVerdict.DONE if VERDICT(self, job, attempt, task) else None
+            AttemptVerdict.DONE if ORIGINAL_VERDICT(self, job, attempt, task) else None
         ),
     )
 
 
-def nobody_answered_before(patch: Patch) -> None:
-    """A controller without memory takes workers for unheard of by anybody."""
+def disable_assumed_lease_of_new_workers(patch: Patch) -> None:
+    """Create rows of new workers without a lease that another controller may have renewed.
+
+    A controller that has just started then does not wait until such a lease has expired.
+    """
 
     def get_or_create(self: WorkerTable, name: str) -> Worker:
         return self.rows.setdefault(name, Worker(name))
@@ -83,31 +99,35 @@
     patch.setattr(WorkerTable, "get_or_create", get_or_create)
 
 
-def old_shares_hold(patch: Patch) -> None:
-    """Shares of a team's limit are kept from one view to the next."""
+def disable_term_check_of_allocations(patch: Patch) -> None:
+    """Let a team's allocation record of an earlier view grant quota under the current view."""
 
     def allocated(self: QuotaAllocation, team: str) -> dict[str, Resources]:
         record, view = self._replica.allocation_of(team), self._replica.view
         assert view is not None
-        kept, record.term = record.term, view.term
+        original_term, record.term = record.term, view.term
         try:
-            return ALLOCATED(self, team)
+            return ORIGINAL_ALLOCATED(self, team)
         finally:
-            record.term = kept
+            record.term = original_term
 
     patch.setattr(QuotaAllocation, "allocated", allocated)
 
 
-def no_charges(patch: Patch) -> None:
+def disable_quota_reservations(patch: Patch) -> None:
+    """Let jobs hold no part of their team's limit."""
     for module in (usage, allocation):
         patch.setattr(module, "reservation_of", lambda job: NO_RESOURCES)
 
 
-def zones_unseen(patch: Patch) -> None:
+def disable_task_counts_by_zone(patch: Patch) -> None:
+    """Place tasks as if their job had no tasks in any zone yet."""
     patch.setattr(MachineZones, "tasks_by_zone", lambda self, job: {})
 
 
-def no_job_version(patch: Patch) -> None:
+def disable_job_version_conditions(patch: Patch) -> None:
+    """Remove the condition on the version of an existing job record from all transactions."""
+
     def submit(self: StoreClient, request: StoreRequest, *rest: Any) -> Any:
         if isinstance(request, Transaction):
             request.conditions = {
@@ -115,43 +135,57 @@
                 for key, version in request.conditions.items()
                 if not (key.startswith(JOBS_PREFIX) and version)
             }
-        return SUBMIT(self, request, *rest)
+        return ORIGINAL_SUBMIT(self, request, *rest)
 
     patch.setattr(StoreClient, "submit", submit)
 
 
-def all_is_accepted(patch: Patch) -> None:
+def disable_submission_check(patch: Patch) -> None:
+    """Accept every submission that can be decoded."""
     patch.setattr(SubmissionCheck, "refusal", lambda self, spec: None)
 
 
-def no_word_of_mouth(patch: Patch) -> None:
-    """Nor deletions: what is left is time, since leases end in `cancel_s`."""
+def disable_cancellation_fallbacks(patch: Patch) -> None:
+    """Disable all three fallbacks that end cancelled tasks if the machine's owner cannot.
+
+    Cancellations are not sent to peers, other controllers halt no tasks, and no machines are
+    deleted. Tasks of an unreachable machine still end within `cancel_s`, as the leases expire.
+    """
     patch.setattr(CancellationDissemination, "broadcast", lambda *_: None)
     patch.setattr(CancelledTaskHalter, "halt", lambda *_: None)
     patch.setattr(CancelledTaskMachineDeleter, "delete", lambda *_: None)
 
 
-def nothing_but_long_leases(patch: Patch) -> None:
-    no_word_of_mouth(patch)
+def disable_lease_limit_and_cancellation_fallbacks(patch: Patch) -> None:
+    """Disable the fallbacks, and lengthen the controllers' lease beyond what `cancel_s` allows.
+
+    The leases of controller and worker together then end after the deadline of a cancellation.
+    """
+    disable_cancellation_fallbacks(patch)
     patch.setattr(c, "CANCEL_RESERVE_S", -14.0)
     patch.setattr(c, "CONTROLLER_LEASE_S", 30.0)
 
 
-def no_halts(patch: Patch) -> None:
-    no_word_of_mouth(patch)
+def disable_halts_and_cancellation_fallbacks(patch: Patch) -> None:
+    """Disable the fallbacks, and drop the halts from the commands of the machine's owner."""
+    disable_cancellation_fallbacks(patch)
     patch.setattr(
         CommandReconciler,
         "commands_for",
         lambda self, worker, pushed: [
-            x for x in COMMANDS(self, worker, pushed) if x.op != wire.HALT
+            command
+            for command in ORIGINAL_COMMANDS_FOR(self, worker, pushed)
+            if command.op != wire.HALT
         ],
     )
 
 
-def answers_without_proof(patch: Patch) -> None:
+def disable_poll_confirmation(patch: Patch) -> None:
+    """Answer status polls from the replica without a linearizable read."""
+
     def confirm(self: StatusPolls) -> None:
         polls, self._polls = self._polls, []
-        for request in polls:
-            self.answer(request, is_absence_confirmed=True)
+        for poll in polls:
+            self.answer(poll, is_absence_confirmed=True)
 
     patch.setattr(StatusPolls, "confirm", confirm)
--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -17,6 +17,26 @@
 ROOT = Path(__file__).parents[1]
 
 RENAMED = {
+    # judge
+    "test_silence_taken_for_settlement": ("test_settlement_without_lease_expiry_is_detected"),
+    "test_missing_taken_for_settlement_without_a_higher_term": (
+        "test_settlement_of_missing_tasks_without_a_higher_term_is_detected"
+    ),
+    "test_steps_without_the_job_version": (
+        "test_writes_without_the_job_version_condition_are_detected"
+    ),
+    "test_a_fenced_controller_that_still_writes_and_answers": (
+        "test_a_fenced_controller_that_still_writes_and_answers_is_detected"
+    ),
+    "test_steps_that_do_not_charge_the_team": ("test_steps_that_reserve_no_quota_are_detected"),
+    "test_machines_taken_whatever_the_job_allows": (
+        "test_placement_on_machines_that_the_job_does_not_allow_is_detected"
+    ),
+    "test_answers_without_proof": ("test_poll_answers_without_confirmation_are_detected"),
+    "test_cancelled_jobs_that_are_never_halted": (
+        "test_cancelled_jobs_that_are_never_halted_are_detected"
+    ),
+    "test_done_before_all_tasks_are": ("test_a_job_that_is_done_before_all_its_tasks_is_detected"),
     "test_a_batch_job_goes_to_the_peer_with_most_free_slots_if_it_has_enough": (
         "test_an_array_goes_to_the_peer_with_most_free_slots_if_it_has_enough"
     ),
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,50 +14,50 @@
 
 from appledock import wire
 from tests.guards import (
-    absence_settles,
-    all_is_accepted,
-    answers_without_proof,
-    any_end_is_done,
-    no_charges,
-    no_halts,
-    no_job_version,
-    no_word_of_mouth,
-    nobody_answered_before,
-    nothing_but_long_leases,
-    old_shares_hold,
-    silence_settles,
-    zones_unseen,
+    disable_assumed_lease_of_new_workers,
+    disable_cancellation_fallbacks,
+    disable_exit_result_check,
+    disable_halts_and_cancellation_fallbacks,
+    disable_job_version_conditions,
+    disable_lease_limit_and_cancellation_fallbacks,
+    disable_poll_confirmation,
+    disable_quota_reservations,
+    disable_submission_check,
+    disable_task_counts_by_zone,
+    disable_term_check_of_allocations,
+    disable_term_check_of_missing_tasks,
+    disable_wait_for_lease_expiry,
 )
 from tests.standins.meetings import GAPS, MEETINGS, play, starts_after_cancel, verdict
 from tests.standins.versions import present
 
 Patch = pytest.MonkeyPatch
 GUARDS: dict[str, tuple[Callable[[Patch], None], str]] = {
-    "zone_cut": (silence_settles, "ran_twice"),
-    "limit_and_leader": (old_shares_hold, "quota"),
-    "leader_ends_unreached": (silence_settles, "ran_twice"),
-    "slow_then_out": (nothing_but_long_leases, "ran_cancelled"),
-    "late_writes": (no_job_version, "went_back"),
-    "zone_bound": (zones_unseen, "wrong_place"),
-    "ten_leaders": (old_shares_hold, "quota"),
-    "far_apart": (any_end_is_done, "not_done"),
-    "late_reports": (silence_settles, "ran_twice"),
-    "gap_at_once": (nothing_but_long_leases, "ran_cancelled"),
-    "hand_over": (nobody_answered_before, "ran_twice"),
-    "held_commands": (absence_settles, "ran_twice"),
-    "held_report": (absence_settles, "ran_twice"),
-    "mute": (no_halts, "ran_cancelled"),
-    "at_the_end": (no_job_version, "went_back"),
-    "more_than_room": (no_charges, "quota"),
-    "all_away": (all_is_accepted, "bad_accepted"),
-    "close_looks": (answers_without_proof, "went_back"),
-    "new_machines": (absence_settles, "ran_twice"),
-    "lost_answers": (answers_without_proof, "forgotten"),
-    "changing_hands": (no_halts, "ran_cancelled"),
-    "next_report": (silence_settles, "ran_twice"),
-    "all_at_limit": (no_charges, "quota"),
-    "late_commands": (absence_settles, "ran_twice"),
-    "job_stream": (no_job_version, "went_back"),
+    "zone_cut": (disable_wait_for_lease_expiry, "ran_twice"),
+    "limit_and_leader": (disable_term_check_of_allocations, "quota"),
+    "leader_ends_unreached": (disable_wait_for_lease_expiry, "ran_twice"),
+    "slow_then_out": (disable_lease_limit_and_cancellation_fallbacks, "ran_cancelled"),
+    "late_writes": (disable_job_version_conditions, "went_back"),
+    "zone_bound": (disable_task_counts_by_zone, "wrong_place"),
+    "ten_leaders": (disable_term_check_of_allocations, "quota"),
+    "far_apart": (disable_exit_result_check, "not_done"),
+    "late_reports": (disable_wait_for_lease_expiry, "ran_twice"),
+    "gap_at_once": (disable_lease_limit_and_cancellation_fallbacks, "ran_cancelled"),
+    "hand_over": (disable_assumed_lease_of_new_workers, "ran_twice"),
+    "held_commands": (disable_term_check_of_missing_tasks, "ran_twice"),
+    "held_report": (disable_term_check_of_missing_tasks, "ran_twice"),
+    "mute": (disable_halts_and_cancellation_fallbacks, "ran_cancelled"),
+    "at_the_end": (disable_job_version_conditions, "went_back"),
+    "more_than_room": (disable_quota_reservations, "quota"),
+    "all_away": (disable_submission_check, "bad_accepted"),
+    "close_looks": (disable_poll_confirmation, "went_back"),
+    "new_machines": (disable_term_check_of_missing_tasks, "ran_twice"),
+    "lost_answers": (disable_poll_confirmation, "forgotten"),
+    "changing_hands": (disable_halts_and_cancellation_fallbacks, "ran_cancelled"),
+    "next_report": (disable_wait_for_lease_expiry, "ran_twice"),
+    "all_at_limit": (disable_quota_reservations, "quota"),
+    "late_commands": (disable_term_check_of_missing_tasks, "ran_twice"),
+    "job_stream": (disable_job_version_conditions, "went_back"),
 }
 """meeting -> a guard, and the rule that breaks without it. Not where several guards each
 suffice: `apart_leader` (leases, terms and word of mouth)."""
@@ -154,10 +154,10 @@
 
 
 def test_the_judge_notices_a_gap_that_no_guard_closes(monkeypatch: Patch) -> None:
-    no_word_of_mouth(monkeypatch)
+    disable_cancellation_fallbacks(monkeypatch)
     world, _ = play(1, "gap")
     assert max(world.judge.cancel_took.values()) > 12.0
-    nothing_but_long_leases(monkeypatch)
+    disable_lease_limit_and_cancellation_fallbacks(monkeypatch)
     world, _ = play(1, "gap", until="ran_cancelled")
     assert "ran_cancelled" in world.judge.kinds()
 
@@ -177,6 +177,6 @@
 
 
 def test_starts_after_a_confirmed_cancellation_are_noticed(monkeypatch: Patch) -> None:
-    no_job_version(monkeypatch)
+    disable_job_version_conditions(monkeypatch)
     worlds = (play(seed, "close_looks")[0] for seed in range(5, 5 + DAYS))
     assert any(len(starts_after_cancel(world)) > 10 for world in worlds)
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -20,7 +20,7 @@
 from appledock.core.scheduling.placement import PlacedTasks
 from appledock.core.store.keys import JOBS_PREFIX
 from appledock.rebalancing.settings import Rebalancing
-from tests.guards import silence_settles
+from tests.guards import disable_wait_for_lease_expiry
 from tests.standins import machines
 from tests.standins.spreading import (
     CORES,
@@ -258,7 +258,7 @@
 
 # --- guards taken out --------------------------------------------------------
 def test_without_waiting_for_settlement_a_moved_task_runs_twice(monkeypatch: Patch) -> None:
-    silence_settles(monkeypatch, 2.0)
+    disable_wait_for_lease_expiry(monkeypatch, 2.0)
     world, struck = play(1, cut_source)
     assert struck and "ran_twice" in world.judge.kinds()
 
