--- a/tests/guards.py
+++ b/tests/guards.py
@@ -175,7 +175,7 @@
         lambda self, worker, pushed: [
             command
             for command in ORIGINAL_COMMANDS_FOR(self, worker, pushed)
-            if command.op != wire.HALT
+            if command.action != wire.HALT
         ],
     )
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -132,7 +132,7 @@
         lambda self, worker, pushed: [
             command
             for command in original_commands_for(self, worker, pushed)
-            if command.op != wire.HALT
+            if command.action != wire.HALT
         ],
     )
     assert "ran_cancelled" not in play(0, seconds=110.0).judge.kinds()
