--- a/tests/equivalence/__init__.py
+++ b/tests/equivalence/__init__.py
@@ -1,1 +1,1 @@
-"""Equivalence test: the present code against the baseline commit, effect by effect."""
+"""Equivalence test: compares each effect of the present code with the baseline commit's."""
--- a/tests/equivalence/__main__.py
+++ b/tests/equivalence/__main__.py
@@ -11,13 +11,19 @@
 
 
 def main() -> int:
-    """Compare the chosen scenarios and print what came out."""
+    """Compare the chosen scenarios, print the results and return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m tests.equivalence", description=__doc__)
     parser.add_argument("--scenarios", help="names, separated by commas; default: all")
-    parser.add_argument("--seeds", help="separated by commas; default: each scenario's own")
-    parser.add_argument("--jobs", type=int, default=3, help="scenarios at a time")
-    parser.add_argument("--quick", action="store_true", help="a small set of scenarios")
-    parser.add_argument("--list", action="store_true", help="print the scenarios")
+    parser.add_argument(
+        "--seeds", help="numbers, separated by commas; default: each scenario's own"
+    )
+    parser.add_argument(
+        "--jobs", type=int, default=3, help="number of scenarios run at the same time"
+    )
+    parser.add_argument("--quick", action="store_true", help="run a small set of scenarios")
+    parser.add_argument(
+        "--list", action="store_true", help="print the names of the scenarios and exit"
+    )
     parser.add_argument(
         "--version", default="present", help="folder with a copy of the package to compare"
     )
@@ -37,12 +43,12 @@
     pairs = [(scenario.name, seed) for scenario in chosen for seed in seeds or [scenario.seed]]
     started = time.monotonic()
     different = 0
-    effects = 0
+    total_effects = 0
     for result in compare_all(pairs, arguments.jobs, arguments.version):
-        verdict = "equal" if result.equal else "FAILED" if result.failure else "DIFFERENT"
+        outcome = "equal" if result.equal else "FAILED" if result.failure else "DIFFERENT"
         print(
             f"{result.scenario:38} seed {result.seed:<4} {result.effects:6} effects "
-            f"{result.digest:12} {result.seconds:5.1f} s  {verdict}",
+            f"{result.digest:12} {result.seconds:5.1f} s  {outcome}",
             flush=True,
         )
         if result.difference is not None:
@@ -50,9 +56,9 @@
         if result.failure:
             print(result.failure, flush=True)
         different += not result.equal
-        effects += result.effects
+        total_effects += result.effects
     print(
-        f"{len(pairs)} scenarios, {effects} effects, {different} different, "
+        f"{len(pairs)} scenarios, {total_effects} effects, {different} different, "
         f"{time.monotonic() - started:.1f} s"
     )
     return 1 if different else 0
--- a/tests/equivalence/compare.py
+++ b/tests/equivalence/compare.py
@@ -1,4 +1,4 @@
-"""Runs scenarios on two versions and compares their effects line by line."""
+"""Runs scenarios on two versions of the code and compares the recorded effects line by line."""
 
 from __future__ import annotations
 
@@ -18,83 +18,92 @@
 
 CACHE = ROOT / "target" / "equivalence"
 CONTEXT_LINES = 3
-"""lines shown before and after the first difference"""
-SHOWN_CHARACTERS = 300
-"""of a line, at most, from a little before the first character that differs"""
+"""number of lines shown before and after the first difference"""
+MAX_EXCERPT_CHARACTERS = 300
+"""longest part of a line that is shown; it includes the first character that differs"""
 
 
 @dataclass(frozen=True)
 class Difference:
     """The first place at which two recordings differ."""
 
-    number: int
-    """of the line, from 1"""
-    common: list[str]
-    """the last lines before it"""
+    line_number: int
+    """number of the line, counted from 1"""
+    preceding: list[str]
+    """the last lines before the difference, which are the same in both recordings"""
     expected: list[str]
-    """the baseline's lines from there on"""
+    """the baseline's lines, starting at the difference"""
     actual: list[str]
-    """the other version's lines from there on"""
+    """the other version's lines, starting at the difference"""
 
     def text(self) -> str:
-        """The place and the context of both sides, for people."""
+        """Return a readable description of the difference with the lines around it."""
         expected = self.expected[0] if self.expected else "(end)"
         actual = self.actual[0] if self.actual else "(end)"
-        column = sum(1 for _ in itertools.takewhile(same, zip(expected, actual, strict=False)))
-        place = " ".join((self.expected or self.actual)[0].split(" ", 3)[:3])
-        lines = [f"  first difference: effect {self.number}, character {column + 1}: {place}"]
-        lines += [f"      {shown(line)}" for line in self.common]
+        column = sum(1 for _ in itertools.takewhile(are_equal, zip(expected, actual, strict=False)))
+        header = " ".join((self.expected or self.actual)[0].split(" ", 3)[:3])
+        lines = [f"  first difference: effect {self.line_number}, character {column + 1}: {header}"]
+        lines += [f"      {excerpt(line)}" for line in self.preceding]
         for sign, side in (("-", self.expected), ("+", self.actual)):
             lines += [
-                f"    {sign} {shown(line, column if place == 0 else 0)}"
-                for place, line in enumerate(side or ["(end)"])
+                f"    {sign} {excerpt(line, column if index == 0 else 0)}"
+                for index, line in enumerate(side or ["(end)"])
             ]
         return "\n".join(lines)
 
 
 @dataclass(frozen=True)
 class Result:
-    """What the comparison of one scenario with one seed gave."""
+    """Result of the comparison of one scenario with one seed."""
 
     scenario: str
     seed: int
     effects: int
+    """number of effects that the version under comparison recorded"""
     digest: str
+    """start of the SHA-256 digest of that recording"""
     seconds: float
-    """taken by the run of the version that is compared"""
+    """duration of the run of the version under comparison, s"""
     difference: Difference | None = None
     failure: str = ""
-    """why one of the two could not be run to its end"""
+    """error output of a failed run, or that it recorded no effects; else empty"""
 
     @property
     def equal(self) -> bool:
+        """Whether both versions ran to the end with the same effects."""
         return self.difference is None and not self.failure
 
 
-def same(characters: tuple[str, str]) -> bool:
-    """Are the two the same character?"""
+def are_equal(characters: tuple[str, str]) -> bool:
+    """Return whether the two characters are equal."""
     return characters[0] == characters[1]
 
 
-def shown(line: str, column: int = 0) -> str:
-    """A part of the line that has the column in it."""
-    if len(line) <= SHOWN_CHARACTERS:
+def excerpt(line: str, column: int = 0) -> str:
+    """Return a part of the line that includes the column; all of a short line."""
+    if len(line) <= MAX_EXCERPT_CHARACTERS:
         return line
-    start = max(0, column - SHOWN_CHARACTERS // 2)
+    start = max(0, column - MAX_EXCERPT_CHARACTERS // 2)
     prefix = line[:60] + " ... " if start > 60 else ""
     start = start if prefix else 0
-    end = start + SHOWN_CHARACTERS
+    end = start + MAX_EXCERPT_CHARACTERS
     return prefix + line[start:end] + (" ..." if end < len(line) else "")
 
 
 def first_difference(expected: Path, actual: Path) -> Difference | None:
-    """Where the two recordings differ first; None if they are the same."""
-    common: deque[str] = deque(maxlen=CONTEXT_LINES)
-    left, right = _lines(expected), _lines(actual)
-    for number, (ours, theirs) in enumerate(itertools.zip_longest(left, right), 1):
-        if ours != theirs:
-            return Difference(number, list(common), _from(ours, left), _from(theirs, right))
-        common.append(ours or "")
+    """Return the first difference of the two recordings; None if they are equal."""
+    preceding: deque[str] = deque(maxlen=CONTEXT_LINES)
+    expected_rest, actual_rest = _lines(expected), _lines(actual)
+    pairs = itertools.zip_longest(expected_rest, actual_rest)
+    for line_number, (expected_line, actual_line) in enumerate(pairs, 1):
+        if expected_line != actual_line:
+            return Difference(
+                line_number,
+                list(preceding),
+                _with_following(expected_line, expected_rest),
+                _with_following(actual_line, actual_rest),
+            )
+        preceding.append(expected_line or "")
     return None
 
 
@@ -104,16 +113,17 @@
             yield line.rstrip("\n")
 
 
-def _from(line: str | None, rest: Iterator[str]) -> list[str]:
+def _with_following(line: str | None, rest: Iterator[str]) -> list[str]:
     return [] if line is None else [line, *itertools.islice(rest, CONTEXT_LINES)]
 
 
 def harness_digest() -> str:
-    """Of all that a baseline recording depends on, besides the baseline's own code."""
+    """Return a digest of what a baseline recording depends on besides the baseline's code."""
     digest = hashlib.sha256(sys.version.encode())
     files = [*(ROOT / "tests" / "standins").glob("*.py")]
     files += [
-        ROOT / "tests" / "equivalence" / f"{n}.py" for n in ("recorder", "scenarios", "worker")
+        ROOT / "tests" / "equivalence" / f"{module}.py"
+        for module in ("recorder", "scenarios", "worker")
     ]
     files.append(ROOT / "deploy" / "service.toml")
     for path in sorted(files):
@@ -122,7 +132,7 @@
 
 
 def record(scenario: str, seed: int, version: str, output: Path) -> str:
-    """Run the scenario in a process of its own; the text of its failure, if it failed."""
+    """Run the scenario in a separate process; return its error output, empty on success."""
     output.parent.mkdir(parents=True, exist_ok=True)
     run = subprocess.run(
         [
@@ -144,18 +154,21 @@
 
 
 def baseline_recording(scenario: str, seed: int) -> Path:
-    """Where the baseline's effects are kept."""
+    """Return the path at which the baseline's effects are cached."""
     return CACHE / f"{BASELINE}-{harness_digest()}" / f"{scenario}-{seed}.txt"
 
 
 def compare(scenario: str, seed: int, version: str = "present") -> Result:
-    """Run both versions, the baseline only if its recording is not there yet."""
+    """Compare the scenario's effects on the version with the baseline's.
+
+    The baseline is run only if its recording is not cached yet.
+    """
     expected = baseline_recording(scenario, seed)
     if not expected.exists():
-        fresh = expected.with_suffix(f".{os.getpid()}")
-        if failure := record(scenario, seed, "baseline", fresh):
+        temporary = expected.with_suffix(f".{os.getpid()}")
+        if failure := record(scenario, seed, "baseline", temporary):
             return Result(scenario, seed, 0, "", 0.0, failure=failure)
-        fresh.replace(expected)
+        temporary.replace(expected)
     actual = CACHE / "last" / f"{scenario}-{seed}.{os.getpid()}.txt"
     actual.unlink(missing_ok=True)
     started = time.monotonic()
@@ -172,17 +185,17 @@
         failure or ("" if content else f"{version}: no effects were recorded"),
     )
     if result.equal:
-        actual.unlink()  # those that differ are kept, to be looked at
+        actual.unlink()  # a recording that differs is kept for inspection
     return result
 
 
 def compare_all(
     pairs: list[tuple[str, int]], jobs: int, version: str = "present"
 ) -> Iterator[Result]:
-    """Compare scenarios, so many at a time, in the order given."""
+    """Compare scenarios, `jobs` at the same time; yield the results in the order of the pairs."""
 
-    def one(pair: tuple[str, int]) -> Result:
+    def compare_pair(pair: tuple[str, int]) -> Result:
         return compare(pair[0], pair[1], version)
 
     with ThreadPoolExecutor(jobs) as pool:
-        yield from pool.map(one, pairs)
+        yield from pool.map(compare_pair, pairs)
--- a/tests/equivalence/scenarios.py
+++ b/tests/equivalence/scenarios.py
@@ -28,14 +28,15 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A simulated day; `run` builds its cluster on the version under test and plays it."""
+    """A simulated run of a cluster of the version under test, determined by its seed."""
 
     name: str
     run: Callable[[int], object]
+    """builds the cluster for a seed and simulates it"""
     quick: bool = False
-    """does it belong to the quick set?"""
+    """whether the scenario belongs to the quick set"""
     seed: int = 1
-    """the one that is played unless others are asked for"""
+    """seed that is used unless others are requested"""
 
 
 SCENARIOS: dict[str, Scenario] = {}
@@ -46,51 +47,53 @@
 
 
 # --- faults ------------------------------------------------------------------
-def _faulty_day(
+def _run_with_faults(
     *kinds: str, seconds: float = 110.0, late_orders: float = 0.0
 ) -> Callable[[int], object]:
+    """Return a run in which these kinds of faults are injected."""
     return lambda seed: faults.play(seed, *kinds, seconds=seconds, late_orders=late_orders)
 
 
-_add("calm", _faulty_day(seconds=90.0), quick=True)
-_add("crashes", _faulty_day("crash", "crash_all", "die"), quick=True, seed=3)
-_add("cuts", _faulty_day("cut", "peers", "alone", "refuse"), quick=True, seed=4)
-_add("outages", _faulty_day("outage", "shut_out", "isolate", "cloud"), quick=True, seed=6)
-_add("hangs", _faulty_day("hang", "freeze", "no_workers", "late", "copies"), seed=5)
-_add("deaf", _faulty_day("deaf", "copies", "repeats", late_orders=0.1), quick=True, seed=21)
+_add("calm", _run_with_faults(seconds=90.0), quick=True)
+_add("crashes", _run_with_faults("crash", "crash_all", "die"), quick=True, seed=3)
+_add("cuts", _run_with_faults("cut", "peers", "alone", "refuse"), quick=True, seed=4)
+_add("outages", _run_with_faults("outage", "shut_out", "isolate", "cloud"), quick=True, seed=6)
+_add("hangs", _run_with_faults("hang", "freeze", "no_workers", "late", "copies"), seed=5)
+_add("deaf", _run_with_faults("deaf", "copies", "repeats", late_orders=0.1), quick=True, seed=21)
 _add(
     "all-faults",
-    _faulty_day(
+    _run_with_faults(
         *("deaf", "copies", "alone", "refuse", "cut", "hang", "outage", "die", "crash", "late")
     ),
     seed=26,
 )
 
 
-# --- chains ------------------------------------------------------------------
+# --- jobs that depend on other jobs --------------------------------------------
 _add("chains", partial(chains.day, until=50.0), quick=True)
 _add("chains-crashes", lambda seed: chains.day(seed, "crash", "late_writes", until=50.0), seed=2)
 _add("chains-outages", lambda seed: chains.day(seed, "outage", "shut_out", "crash_all"), seed=3)
 
 
-# --- troubles that meet --------------------------------------------------------
-def _meeting(
+# --- coinciding faults ---------------------------------------------------------
+def _run_meetings(
     *names: str, upgrade: bool = False, pipelines: bool = False
 ) -> Callable[[int], object]:
+    """Return a run in which these combinations of faults occur."""
     return lambda seed: meetings.play(seed, *names, upgrade=upgrade, chains=pipelines)
 
 
 for _name in (*meetings.MEETINGS, *meetings.GAPS):
-    _add("meeting-" + _name.replace("_", "-"), _meeting(_name))
-_add("upgrade-meeting", _meeting("leader_ends_unreached", upgrade=True, pipelines=True))
+    _add("meeting-" + _name.replace("_", "-"), _run_meetings(_name))
+_add("upgrade-meeting", _run_meetings("leader_ends_unreached", upgrade=True, pipelines=True))
 
 
 # --- upgrades ------------------------------------------------------------------
-for _trouble in rollout.TROUBLES:
+for _fault in rollout.TROUBLES:
     _add(
-        "rollout-" + _trouble.__name__.replace("_", "-"),
-        partial(rollout.play, trouble=_trouble),
-        quick=_trouble is rollout.everything_together,
+        "rollout-" + _fault.__name__.replace("_", "-"),
+        partial(rollout.play, trouble=_fault),
+        quick=_fault is rollout.everything_together,
     )
 _add(
     "rollout-from-served",
@@ -102,31 +105,35 @@
 )
 
 
-def peers_of_production(seed: int) -> None:
-    """One controller of the version under test among two that stay in production's version:
-    the format of records stays the old one."""
+def incomplete_upgrade(seed: int) -> None:
+    """Replace two of three controllers of production's version by the version under test.
+
+    The record format remains the old one, because the third controller keeps its version.
+    """
     world = World(seed, code=production())
     clock, rng = world.clock, world.clock.rng
     for number in range(14):
         spec = world.spec(number)
         clock.at(0.5 + rng.random() * 50, partial(world.submit, spec, 5 + rng.random() * 60))
-    for time, name in ((12.0, "n0"), (45.0, "n1")):
-        clock.at(time, partial(rollout.replace, world, name))
+    for time_s, name in ((12.0, "n0"), (45.0, "n1")):
+        clock.at(time_s, partial(rollout.replace, world, name))
     clock.at(30.0, partial(_crash_leader, world))
     clock.run(80.0)
 
 
-_add("upgrade-halted", peers_of_production)
+_add("upgrade-halted", incomplete_upgrade)
 
 
 # --- kinds of work ---------------------------------------------------------------
-def _crash_leader(world: World, seconds: float = 4.0) -> None:
-    world.nodes[world.leader()].crash(seconds)
+def _crash_leader(world: World, down_s: float = 4.0) -> None:
+    world.nodes[world.leader()].crash(down_s)
 
 
 def kinds_of_work(seed: int) -> None:
-    """Gangs, zones, deadlines and classes on few machines: work of higher priority stops
-    other work, teams reach their limits, and jobs are called off."""
+    """Run gangs, services and arrays with zone constraints and deadlines on few machines.
+
+    Jobs of higher priority preempt others, teams reach their limits, and jobs are cancelled.
+    """
     world = World(seed, capacity=8)
     clock, rng, submit = world.clock, world.clock.rng, meetings_common.submit
     clock.run(6.0)
@@ -135,8 +142,8 @@
             world, owner=owner, crates=10, run_s=25.0, rank="best_effort", stow_s=4.0, lash_s=1.0
         )
         submit(world, owner=owner, crates=3, run_s=15.0, shape="group", rank="standard")
-    for place in range(16):
-        kinds: list[dict[str, Any]] = [
+    for number in range(16):
+        specs: list[dict[str, Any]] = [
             {"shape": "daemon", "crates": 2, "cores": 2.0},
             {"shape": "group", "crates": 3, "cores": 2.0, "run_s": 8.0},
             {"crates": 6, "rank": "urgent", "run_s": 6.0, "sail_s": 30.0},
@@ -146,11 +153,11 @@
             {"shape": "daemon", "crates": 2, "scatter": True, "quay": None},
             {"crates": 12, "cores": 0.5, "run_s": 5.0, "hulls": ["h4", "x9"]},
         ]
-        cancel = 10 + rng.random() * 15 if place % 3 == 0 else None
+        cancel = 10 + rng.random() * 15 if number % 3 == 0 else None
         owner = rng.choice(["red", "blue"])
         clock.at(
-            12.0 + 2.5 * place,
-            partial(_submit, world, cancel, {**kinds[place % 8], "owner": owner}),
+            12.0 + 2.5 * number,
+            partial(_submit, world, cancel, {**specs[number % 8], "owner": owner}),
         )
     clock.at(30.0, partial(world.odd_requests, 20.0, 0.7))
     clock.at(40.0, partial(_kill_machines, world, 2))
@@ -169,41 +176,46 @@
 
 
 def preemption(seed: int) -> None:
-    """Everything is full with arrays when services and urgent arrays come."""
+    """Submit services and urgent arrays while arrays of low priority occupy all machines."""
     world = World(seed, capacity=5)
     clock = world.clock
-    for place in range(6):
+    for number in range(6):
         changes = {
             "crates": 8,
             "run_s": 60.0,
             "rank": "best_effort",
-            "owner": "red" if place % 2 else "blue",
-            "stow_s": 5.0 if place % 3 else 0.0,
-            "lash_s": 1.0 if place % 3 else 0.0,
+            "owner": "red" if number % 2 else "blue",
+            "stow_s": 5.0 if number % 3 else 0.0,
+            "lash_s": 1.0 if number % 3 else 0.0,
         }
-        clock.at(2.0 + place, partial(_submit, world, None, changes))
-    for place in range(6):
+        clock.at(2.0 + number, partial(_submit, world, None, changes))
+    for number in range(6):
         service: dict[str, Any] = {"shape": "daemon", "crates": 2, "cores": 2.0}
         urgent: dict[str, Any] = {"rank": "urgent", "crates": 3, "run_s": 8.0, "sail_s": 20.0}
-        clock.at(25.0 + 4 * place, partial(_submit, world, 30.0, service if place % 2 else urgent))
+        clock.at(
+            25.0 + 4 * number, partial(_submit, world, 30.0, service if number % 2 else urgent)
+        )
     clock.at(40.0, partial(_crash_leader, world, 0.3))
     clock.run(85.0)
 
 
 def spot_machines(seed: int) -> None:
-    """The cloud takes machines back, with and without notice, and its prices differ."""
+    """Let the cloud reclaim spot machines with and without notice; then it fails for 8 s.
+
+    Spot machines and on-demand machines have different prices.
+    """
     world = World(seed, capacity=14)
     clock, rng = world.clock, world.clock.rng
     meetings_common.work(world, 60.0)
 
-    def take() -> None:
-        spot = sorted(n for n, worker in world.cloud.workers.items() if worker.row["standby"])
+    def reclaim_half() -> None:
+        spot = sorted(name for name, worker in world.cloud.workers.items() if worker.row["standby"])
         for name in rng.sample(spot, len(spot) // 2):
             world.cloud.workers[name].be_taken(rng.choice([0.0, 5.0, 12.0]))
             clock.after(12.5, partial(world.cloud.take, name))
 
-    for time in (25.0, 42.0):
-        clock.at(time, take)
+    for time_s in (25.0, 42.0):
+        clock.at(time_s, reclaim_half)
     clock.at(50.0, lambda: setattr(world.cloud, "out_until", 58.0))
     clock.run(90.0)
 
@@ -219,11 +231,11 @@
 
 
 def objectives(seed: int) -> None:
-    """The platform names objectives, and more is submitted than fits."""
+    """Configure objectives, of which one kind is unknown, and submit more jobs than fit."""
     with patch.object(deployment, "OBJECTIVES", OBJECTIVES):
         world = World(seed, capacity=5)
         rng = world.clock.rng
-        for place in range(24):
+        for number in range(24):
             changes = {
                 "crates": rng.randint(1, 6),
                 "run_s": 3 + 9 * rng.random(),
@@ -231,37 +243,39 @@
                 "rank": rng.choice(["standard", "best_effort", "urgent"]),
                 "sail_s": rng.choice([15.0, 40.0, None]),
             }
-            world.clock.at(2.0 + 1.5 * place, partial(_submit, world, None, changes))
+            world.clock.at(2.0 + 1.5 * number, partial(_submit, world, None, changes))
         world.clock.at(25.0, partial(_crash_leader, world))
         world.clock.run(85.0)
 
 
 def large_records(seed: int) -> None:
-    """Descriptions and records come near the largest value, which becomes smaller."""
+    """Submit jobs whose records come near the store's value size limit, then lower the limit."""
     world = World(seed, capacity=12, announced=deployment.NEXT)
     rng = world.clock.rng
-    for place in range(14):
+    for number in range(14):
         changes = {
-            "hulls": ["h4", *(f"type-{number:04d}" for number in range(rng.choice([5, 60, 400])))],
+            "hulls": ["h4", *(f"type-{index:04d}" for index in range(rng.choice([5, 60, 400])))],
             "crates": rng.choice([2, 12, 24]),
             "cores": 0.5,
             "run_s": 6.0 + 10 * rng.random(),
-            "scatter": place % 3 == 0,
+            "scatter": number % 3 == 0,
         }
-        cancel = 12.0 if place % 4 == 1 else None
-        world.clock.at(3.0 + 3.0 * place, partial(_submit, world, cancel, changes))
-    wide = {"crates": 200, "cores": 0.25, "run_s": 4.0, "runs": {n: 1 + n % 9 for n in range(200)}}
+        cancel = 12.0 if number % 4 == 1 else None
+        world.clock.at(3.0 + 3.0 * number, partial(_submit, world, cancel, changes))
+    runs = {task: 1 + task % 9 for task in range(200)}
+    wide = {"crates": 200, "cores": 0.25, "run_s": 4.0, "runs": runs}
     world.clock.at(6.0, partial(_submit, world, None, wide))
     world.clock.at(30.0, partial(world.state.lower, **deployment.NEXT))
     world.clock.at(45.0, partial(_crash_leader, world))
-    for number, needs in enumerate((3, 40, 200)):
-        needing = {"tethers": [f"job-{place:06d}" for place in range(1, 1 + needs)], "run_s": 2.0}
-        world.clock.at(50.0 + number, partial(_submit, world, None, needing))
+    for number, count in enumerate((3, 40, 200)):
+        prerequisites = [f"job-{index:06d}" for index in range(1, 1 + count)]
+        dependent = {"tethers": prerequisites, "run_s": 2.0}
+        world.clock.at(50.0 + number, partial(_submit, world, None, dependent))
     world.clock.run(100.0)
 
 
 def changing_catalogue(seed: int) -> None:
-    """The cloud's offer changes: prices, zones, sizes, and a type that comes and goes."""
+    """Change prices, zones and sizes of machine types, and add and remove a type."""
     with patch.object(deployment, "TYPES", [dict(kind) for kind in deployment.TYPES]):
         world = World(seed, capacity=14)
         kind = world.cloud.types[0]
@@ -274,8 +288,8 @@
             partial(world.cloud.types.remove, big),
             partial(kind.update, quays=["a", "b"], memory_gb=24),
         ]
-        for place, change in enumerate(changes):
-            world.clock.at(12.0 + 14.0 * place, change)
+        for number, change in enumerate(changes):
+            world.clock.at(12.0 + 14.0 * number, change)
         world.clock.at(31.0, partial(_crash_leader, world))
         world.clock.run(95.0)
 
@@ -289,8 +303,8 @@
 
 
 # --- short arrays --------------------------------------------------------------
-def short_arrays_day(*names: str) -> Callable[[int], object]:
-    """Wide arrays of short tasks in the deployment made for them."""
+def _run_short_arrays(*names: str) -> Callable[[int], object]:
+    """Return a run of wide arrays of short tasks, with these faults, in a deployment of its own."""
 
     def run(seed: int) -> None:
         with ExitStack() as stack:
@@ -301,7 +315,7 @@
     return run
 
 
-for _place, _names in enumerate(
+for _seed, _names in enumerate(
     [
         ("wave", "all_crash"),
         ("sick_machines", "burst", "cloud_out"),
@@ -311,13 +325,16 @@
     ],
     2,
 ):
-    _add("short-arrays-" + _names[0].replace("_", "-"), short_arrays_day(*_names), seed=_place)
+    _add("short-arrays-" + _names[0].replace("_", "-"), _run_short_arrays(*_names), seed=_seed)
 
 
 # --- operators -----------------------------------------------------------------
 def administration(seed: int) -> None:
-    """Operators read everything and change settings, machines and log levels, well and
-    badly, at all controllers, also while the state service or a controller is away."""
+    """Send valid and invalid requests of operators to all controllers.
+
+    They read everything and change settings, machines and log levels, also during an outage of the
+    store and while the leader is down.
+    """
     world = _with_policies(seed)
     clock, rng = world.clock, world.clock.rng
     clock.at(30.0, lambda: chains.pipeline(world, 1, 1, 6.0))
@@ -325,8 +342,8 @@
         clock.at(6.0 + 0.5 * step, partial(_operate, world, ADMIN_READS[step % len(ADMIN_READS)]))
     for step in range(60):
         clock.at(9.0 + step, partial(_operate, world, rng.choice(ADMIN_CHANGES)))
-    for time, action in ((20.0, "cordon"), (33.0, "uncordon"), (40.0, "drain"), (52.0, "cordon")):
-        clock.at(time, partial(_operate_machine, world, action))
+    for time_s, action in ((20.0, "cordon"), (33.0, "uncordon"), (40.0, "drain"), (52.0, "cordon")):
+        clock.at(time_s, partial(_operate_machine, world, action))
     clock.at(48.0, lambda: world.state.outage(5.0))
     clock.at(58.0, partial(_crash_leader, world))
     clock.run(85.0)
@@ -348,7 +365,7 @@
     ("GET", "machines/x", None),
     ("POST", "status", None),
 ]
-"""method, path and body of what operators ask"""
+"""method, path and body of requests of operators that change nothing"""
 ADMIN_CHANGES: list[tuple[str, str, Any]] = [
     ("PATCH", "settings", {"settings": {"step_tasks": 3, "sample": 5}}),
     ("PATCH", "settings", {"settings": {"step_tasks": None, "idle_return_s": 15}}),
@@ -370,6 +387,7 @@
     ("POST", "capacity/apply", {"request": "q", "shares": {"nobody": {"all": 0.25}}}),
     ("POST", "capacity/withdraw", {"request": "none"}),
 ]
+"""method, path and body of requests of operators that change something or are refused"""
 
 
 def _operate(world: World, request: tuple[str, str, Any]) -> None:
@@ -383,12 +401,12 @@
 def _operate_machine(world: World, action: str) -> None:
     machines = sorted(world.cloud.workers)
     for name in world.clock.rng.sample(machines, min(3, len(machines))):
-        for _ in range(2):  # at some controller that is not its owner, too
+        for _ in range(2):  # twice, so that controllers that do not own the machine are asked too
             _operate(world, ("POST", f"machines/{name}/{action}", None))
 
 
 def _with_policies(seed: int) -> World:
-    """Rebalancing and capacity shares at once, with work of both partitions."""
+    """Build a cluster with rebalancing and capacity shares, and with jobs of both partitions."""
     world = World(
         seed,
         capacity=0,
@@ -410,12 +428,12 @@
 
 
 # --- capacity shares -------------------------------------------------------------
-def shares_change(seed: int, controllers: bool, *faults_: str, **change: Any) -> None:
-    """Shares of two partitions change under load, and are changed back or withdrawn."""
+def shares_change(seed: int, controllers: bool, *injected_faults: str, **change: Any) -> None:
+    """Change the shares of two partitions under load, then withdraw and repeat changes."""
     world = sharing.busy(seed, controllers=controllers)
     clock = world.clock
     clock.at(40.0, partial(world.insist, 0.25, "r1"))
-    for fault in faults_:
+    for fault in injected_faults:
         clock.at(41.0, partial(faults.strike, world, fault))
     clock.at(46.0, partial(world.change, "n0", "propose", request="p1", shares=_shares(0.6)))
     clock.at(50.0, partial(world.apply, "n1", 0.75, "r2", **change))
@@ -429,7 +447,7 @@
 
 
 def lending(seed: int) -> None:
-    """Idle machines are lent, and given back by drains and by stops of what saves."""
+    """Lend idle machines, and return them by drains and by stopping tasks with checkpoints."""
     world = sharing.lending(seed, run_s=60.0, saves=bool(seed % 2))
     world.array(2, "red", run_s=20.0, tasks=6, memory_gb=15.0)
     world.clock.at(55.0, partial(_crash_leader, world))
@@ -437,14 +455,17 @@
 
 
 def share_requests(seed: int) -> None:
-    """Operators ask for changes of shares at all controllers: at once, again, with versions
-    and deadlines, wrong ones, and while the state service gives no answer."""
+    """Request changes of shares at all controllers.
+
+    Some requests are concurrent, repeated, invalid, or have a version or a deadline; some are made
+    while answers of the store are lost or the store is down.
+    """
     world = sharing.started(seed)
     clock = world.clock
     for number in range(6):
         world.job(number, "red", tasks=1, memory_gb=9.0)
     world.array(30, "red", run_s=60.0, tasks=6, saves=True)
-    wrong: list[dict[str, Any]] = [
+    invalid_bodies: list[dict[str, Any]] = [
         {},
         {"shares": {"sealing": 1}},
         {"request": "", "shares": {"sealing": {"all": 0.5}}},
@@ -456,8 +477,8 @@
         {"request": "r", "shares": {}, "deadline_s": -1},
         {"request": "r", "shares": {}, "deadline_s": "soon"},
     ]
-    for place, body in enumerate(wrong):
-        clock.at(19.0 + 0.2 * place, partial(world.change, "n0", "apply", **body))
+    for number, body in enumerate(invalid_bodies):
+        clock.at(19.0 + 0.2 * number, partial(world.change, "n0", "apply", **body))
     clock.at(22.0, partial(world.change, "n1", "withdraw", request="nothing"))
     clock.at(22.5, partial(world.change, "n1", "propose", request="p", shares=_shares(0.25)))
     clock.at(24.0, partial(world.apply, "n0", 0.25, "first", version=0, deadline_s=5.0))
@@ -474,8 +495,8 @@
     clock.run(90.0)
 
 
-def replicas_change_machines(seed: int) -> None:
-    """Replicas have to leave machines that change hands, for others that are nearly full."""
+def moved_replicas(seed: int) -> None:
+    """Move replicas from machines that change partitions to machines that are nearly full."""
     world = sharing.started(seed)
     for number in range(6):
         world.job(number, "red", tasks=1, cores=2.0, memory_gb=8.5)
@@ -490,7 +511,7 @@
 
 
 _add("share-requests", share_requests, seed=8)
-_add("shares-replicas", replicas_change_machines, seed=18)
+_add("shares-replicas", moved_replicas, seed=18)
 _add("shares", partial(shares_change, controllers=False), quick=True)
 _add("shares-controllers", partial(shares_change, controllers=True), seed=2)
 _add("shares-crash", lambda seed: shares_change(seed, True, "crash", "cut"), seed=3)
@@ -500,15 +521,17 @@
 
 
 # --- rebalancing -----------------------------------------------------------------
-def rebalancing(seed: int, *kinds: str, **rules: Any) -> None:
-    """Machines join a few full ones, and running tasks are moved to them; later arrays and
-    services come and go, which moves tasks again."""
+def rebalancing(seed: int, *injected_faults: str, **rules: Any) -> None:
+    """Add machines to a few full ones, so that running tasks are moved to them.
+
+    Later, arrays and services start and end, after which tasks are moved again.
+    """
     world = spreading.crowded(seed, spreading.rules(**rules), arrays=3)
     clock, rng = world.clock, world.clock.rng
     clock.at(45.0, partial(_crash_leader, world, 3.0))
-    for fault in kinds:
-        for time in (28.0, 34.0, 50.0):
-            clock.at(time, partial(faults.strike, world, fault))
+    for fault in injected_faults:
+        for time_s in (28.0, 34.0, 50.0):
+            clock.at(time_s, partial(faults.strike, world, fault))
     for number in range(20, 28):
         spec = spreading.saving_array(world, number, 3, run_s=10.0 + 15.0 * rng.random())
         if number % 2:
@@ -517,7 +540,7 @@
     clock.run(100.0)
 
 
-DATA = [
+DATA_SETS = [
     DataSet("near-a", zones=["a"], classes=["arr"]),
     DataSet("near-some", machines=["vm-000001", "vm-000005"], teams=["red"]),
     DataSet("near-type", types=["h4", "x9"], classes=["svc"]),
@@ -527,30 +550,30 @@
 _add("rebalancing-crashes", lambda seed: rebalancing(seed, "crash", "outage", "deaf"), seed=3)
 _add(
     "rebalancing-data",
-    partial(rebalancing, locality=2.0, image=0.5, speed=0.5, packing=0.2, datasets=DATA),
+    partial(rebalancing, locality=2.0, image=0.5, speed=0.5, packing=0.2, datasets=DATA_SETS),
     seed=4,
 )
 
 
-# --- moves with troubles in the very middle of one -------------------------------
-def troubled_moves(seed: int, *troubles: str) -> None:
-    """Each trouble strikes while the owner of a job carries a move out."""
+# --- faults during a move ------------------------------------------------------
+def moves_with_faults(seed: int, *injected_faults: str) -> None:
+    """Inject each fault while the owner of a job carries out a move."""
     world = spreading.crowded(seed, spreading.rules(moves={"cooldown_s": 5.0}), arrays=4)
-    left = list(troubles)
+    remaining = list(injected_faults)
 
-    def look(not_before: float) -> None:
+    def inject_during_move(not_before: float) -> None:
         moves = [
             node.runs.move(order)
             for node in world.nodes.values()
             if node.up
             for order in node.runs.moves_under_way(node.engine)
         ]
-        if moves and left and world.clock.now >= not_before:
-            _strike_move(world, left.pop(0), moves[0])
+        if moves and remaining and world.clock.now >= not_before:
+            _inject_move_fault(world, remaining.pop(0), moves[0])
             not_before = world.clock.now + 8.0
-        world.clock.after(0.05, partial(look, not_before))
+        world.clock.after(0.05, partial(inject_during_move, not_before))
 
-    world.clock.at(26.0, partial(look, 26.0))
+    world.clock.at(26.0, partial(inject_during_move, 26.0))
     for number in range(20, 32):
         spec = spreading.saving_array(world, number, 2, run_s=12.0)
         world.clock.at(30.0 + 3 * (number - 20), partial(world.submit, spec))
@@ -560,13 +583,13 @@
     world.clock.run(105.0)
 
 
-def _play_moves(troubles: tuple[str, ...], seed: int) -> None:
-    troubled_moves(seed, *troubles)
+def _run_moves(injected_faults: tuple[str, ...], seed: int) -> None:
+    moves_with_faults(seed, *injected_faults)
 
 
-def _strike_move(world: World, trouble: str, move: MoveUnderWay) -> None:
+def _inject_move_fault(world: World, fault: str, move: MoveUnderWay) -> None:
     clock, names = world.clock, set(world.names)
-    match trouble:
+    match fault:
         case "cut_source":
             clock.cut({move.source}, names, 12.0, False)
         case "hold_source":
@@ -600,10 +623,10 @@
             world.state.late_writes = 0.4
             clock.after(5.0, lambda: setattr(world.state, "late_writes", 0.0))
         case _:
-            raise ValueError(trouble)
+            raise ValueError(fault)
 
 
-for _place, _troubles in enumerate(
+for _seed, _faults in enumerate(
     [
         ("cancel", "destination_dies", "late_report", "leader_ends", "hold_source"),
         ("destination_cordoned", "outage", "cut_source", "all_end", "late_writes"),
@@ -611,4 +634,4 @@
     ],
     1,
 ):
-    _add(f"moves-{_troubles[0].replace('_', '-')}", partial(_play_moves, _troubles), seed=_place)
+    _add(f"moves-{_faults[0].replace('_', '-')}", partial(_run_moves, _faults), seed=_seed)
--- a/tests/equivalence/worker.py
+++ b/tests/equivalence/worker.py
@@ -1,7 +1,8 @@
-"""One run of one scenario on one version, in a process of its own.
+"""Runs one scenario on one version of the code and records its effects.
 
 Usage: python -m tests.equivalence.worker SCENARIO SEED VERSION OUTPUT, where VERSION is
-`baseline`, `present`, or a folder with a copy of the package.
+`baseline`, `present`, or a folder with a copy of the package. Each run has a process of its own, so
+that no state is shared between versions.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 import sys
 from pathlib import Path
 
-from tests.equivalence.recorder import recorded
+from tests.equivalence.recorder import record_effects
 from tests.equivalence.scenarios import SCENARIOS
 from tests.standins import versions
 
 
-def chosen(version: str) -> versions.Code:
-    """The version of that name, or the copy in that folder."""
+def load_version(version: str) -> versions.Code:
+    """Return the code of the version with that name, or of the copy in that folder."""
     if version == "baseline":
         return versions.baseline()
     if version == "present":
@@ -26,19 +27,19 @@
 
 
 def run(scenario: str, seed: int, version: str, output: Path) -> None:
-    """Play the scenario and write its effects to the file, which appears when it is over."""
+    """Play the scenario and write its effects to `output`, which appears once the run has ended."""
     logging.getLogger("appledock").propagate = False
-    code = chosen(version)
+    code = load_version(version)
     versions.put_under_test(code)
-    partial = output.with_name(f"{output.name}.{os.getpid()}")
+    temporary = output.with_name(f"{output.name}.{os.getpid()}")
     try:
-        with partial.open("w") as lines, recorded(lines) as recorder:
+        with temporary.open("w") as file, record_effects(file) as recorder:
             SCENARIOS[scenario].run(seed)
             if code not in recorder.versions:
                 raise RuntimeError(f"no controller ran {code}")
     finally:
-        # Also what was recorded before a failure shows where the effects differ first.
-        partial.replace(output)
+        # After a failure too: the effects up to there may show the first difference.
+        temporary.replace(output)
 
 
 if __name__ == "__main__":
--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -17,6 +17,19 @@
 ROOT = Path(__file__).parents[1]
 
 RENAMED = {
+    # equivalence
+    "test_effects_are_those_of_the_baseline": ("test_the_effects_equal_those_of_the_baseline"),
+    "test_a_changed_constant_is_found": ("test_a_changed_constant_is_detected"),
+    "test_a_swapped_order_is_found_at_its_place": (
+        "test_swapped_effects_are_detected_at_their_position"
+    ),
+    "test_a_lost_effect_is_found_at_its_place": (
+        "test_a_missing_effect_is_detected_at_its_position"
+    ),
+    "test_the_command_prints_the_place_with_both_sides_and_fails": (
+        "test_the_command_prints_the_position_with_both_versions_and_fails"
+    ),
+    "test_an_error_of_the_code_is_told": ("test_an_error_of_the_code_is_reported"),
     # judge
     "test_silence_taken_for_settlement": ("test_settlement_without_lease_expiry_is_detected"),
     "test_missing_taken_for_settlement_without_a_higher_term": (
