--- a/tests/inventory.py
+++ b/tests/inventory.py
@@ -1,9 +1,9 @@
-"""Compares the tests of two commits: which are missing, and which assert less.
+"""Compares the tests of two commits, and lists those that are missing or have fewer assertions.
 
     python -m tests.inventory 56285b0 HEAD
 
-Not run in CI. A renamed test shows as one that is missing and one that is new; `RENAMED`
-names such pairs. The exit status is 1 if a test is missing or has fewer assertions.
+Not run in CI. A renamed test counts as missing unless `RENAMED` maps its old name to its new one.
+The exit status is 1 if a test is missing or has fewer assertions or parametrizing decorators.
 """
 
 from __future__ import annotations
@@ -225,7 +225,7 @@
         "test_operators_can_pause_moves_or_only_count_them_while_loads_are_still_smoothed"
     ),
 }
-"""name of a test -> its later name"""
+"""old name of a test -> its new name"""
 
 
 @dataclass(frozen=True)
@@ -234,21 +234,22 @@
 
     path: str
     assertions: int
+    """number of assert statements"""
     parameters: int
-    """decorators that parametrize it"""
+    """number of decorators that parametrize the function"""
 
 
 def tests_of(commit: str) -> dict[str, TestFunction]:
-    """The test functions of a commit by name."""
-    found: dict[str, TestFunction] = {}
+    """Return the test functions of a commit by name."""
+    tests: dict[str, TestFunction] = {}
     for path in _git("ls-tree", "-r", "--name-only", commit, "tests").splitlines():
         if not path.endswith(".py"):
             continue
         for node in ast.walk(ast.parse(_git("show", f"{commit}:{path}"))):
             is_function = isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
             if is_function and node.name.startswith("test_"):
-                found[node.name] = _describe(path, node)
-    return found
+                tests[node.name] = _describe(path, node)
+    return tests
 
 
 def _describe(path: str, node: ast.FunctionDef | ast.AsyncFunctionDef) -> TestFunction:
@@ -264,7 +265,7 @@
 
 
 def main(before_commit: str, after_commit: str) -> int:
-    """Print what differs; 1 if something is missing or weaker."""
+    """Print missing and weaker tests and the totals; return 1 if there is one, else 0."""
     before, after = tests_of(before_commit), tests_of(after_commit)
     weaker = 0
     for name, old in sorted(before.items()):
