--- a/appledock/app.py
+++ b/appledock/app.py
@@ -73,10 +73,11 @@
         self.queue: list[Command] = []
         self.batch_scheduled = False
         self.next_batch_at = 0.0
+        """earliest time of the next batch, on the steady clock"""
         self.responders: dict[int, Answer] = {}
         """request ID -> function that sends the response"""
         self.arrivals: dict[int, tuple[str, float]] = {}
-        """request ID -> name of its metric and time of its arrival"""
+        """request ID -> name of its latency metric, and its arrival on the steady clock"""
         self.metrics = Metrics()
         self.last_request_id = 0
         self.tasks: set[asyncio.Task[None]] = set()
--- a/appledock/cli.py
+++ b/appledock/cli.py
@@ -219,7 +219,7 @@
 @API_OPTION
 @JSON_OPTION
 def teams(api: str, as_json: bool) -> None:
-    """Show the resources that teams hold, and their guarantees and limits."""
+    """Show the resources that each team holds, with its guarantees and limits."""
     reply = send_request(api, "GET", "teams")
     print_reply(
         reply,
@@ -260,7 +260,7 @@
 
 
 def fetch_rebalancing_state(api: str) -> Any:
-    """Return load and moves as a controller knows them; exit if rebalancing is off there."""
+    """Return a controller's view of loads and moves; exit if rebalancing is off there."""
     reply = send_request(api, "GET", "rebalancing")
     if not reply["enabled"]:
         fail("rebalancing is off: the controller was started without --rebalancing", EXIT_FAILED)
