--- a/appledock/capacity/lending.py
+++ b/appledock/capacity/lending.py
@@ -15,8 +15,8 @@
     once.
 
     Args:
-        agreed: By partition, the number of machines that the agreed fractions give it.
-        needed: By partition, the number of machines that it could use now.
+        agreed: Partition -> number of machines that the agreed fractions give the partition.
+        needed: Partition -> number of machines that the partition could use now.
         lenders: Partitions that may lend machines.
     """
     result = dict(agreed)
--- a/appledock/capacity/settings.py
+++ b/appledock/capacity/settings.py
@@ -77,7 +77,7 @@
     give_back_s: Seconds = 30.0
     """Time after which tasks with checkpoints are stopped on machines that their lender needs."""
     moves_in_flight: Annotated[int, Meta(ge=0, le=1000)] = 2
-    """Maximum number of moves under way of replicas from machines that are being handed over."""
+    """Number of moves under way at which no more replicas are moved off machines being drained."""
 
     def partition_of(self, spec: wire.JobSpec) -> str | None:
         """Return the partition of a job by its class, else by its team, else `rest`.
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -30,7 +30,7 @@
         """Moves that this controller has requested and that have not ended."""
 
     def request(self, proposal: Proposal, /) -> None:
-        """Request a move from the controller that owns the destination machine's worker."""
+        """Ask the controller that owns the destination machine's worker to start a move."""
 
     def is_cooling_down(self, job_id: str, /) -> bool:
         """Return whether the job has a move under way or is in the cooldown after a move."""
--- a/appledock/core/capacity/machine_usage.py
+++ b/appledock/core/capacity/machine_usage.py
@@ -1,4 +1,4 @@
-"""Use of the machines of a pool: owner, unsettled tasks and estimated time to drain them."""
+"""Use of a pool's machines: owning partition, unsettled tasks, estimated time to drain."""
 
 from __future__ import annotations
 
--- a/appledock/core/capacity/ownership.py
+++ b/appledock/core/capacity/ownership.py
@@ -183,9 +183,10 @@
         return lend_surplus(agreed, needed, tracker.update(self._runtime.now, agreed, needed))
 
     def _needed_machines(self, pool: Pool, uses: list[MachineUse]) -> dict[str, int]:
-        """Return, by partition, how many machines it could use now.
+        """Return, by partition, how many machines the partition could use now.
 
-        These are the machines with its tasks, and as many empty machines as its queued tasks fill.
+        These are the machines with tasks of the partition, and as many empty machines as its queued
+        tasks fill.
         """
         machine_types = self._machine_types_of(uses)
         queued: dict[str, float] = {}
--- a/appledock/core/capacity/partition_map.py
+++ b/appledock/core/capacity/partition_map.py
@@ -80,7 +80,7 @@
     def is_in_force(self) -> bool:
         """Return whether partitions are in force.
 
-        All controllers then respect partitions, and steps placed without doing so fail.
+        All controllers then respect partitions, and steps placed without regard to them fail.
         """
         view = self._replica.view
         return (
@@ -140,6 +140,6 @@
         return agreed.fractions if agreed is not None else self.settings.configured_fractions()
 
     def target_machines(self, pool: str, machines: int) -> dict[str, int]:
-        """Return, by partition, how many of the pool's machines the agreed fractions give it."""
+        """Return how many of the pool's machines the agreed fractions give each partition."""
         fractions = self.agreed_fractions()
         return apportion(machines, {name: fractions[name].get(pool, 0.0) for name in fractions})
--- a/appledock/core/rebalancing/move_planning.py
+++ b/appledock/core/rebalancing/move_planning.py
@@ -55,6 +55,7 @@
         self._moves = moves
         self._mean_loads = mean_loads
         self.blocked: dict[str, BlockedMachine] = {}
+        """Machine -> why no task could be moved off it; not a source until its `retry_at`."""
         self._next_pass_at = 0.0
         self._review_offset = 0
         """Index of the first machine to review in the next pass, modulo the number of machines."""
--- a/appledock/core/records/capacity.py
+++ b/appledock/core/records/capacity.py
@@ -1,4 +1,4 @@
-"""Stored records of capacity partitions: the agreed fractions and the owner of each machine."""
+"""Stored records of capacity partitions: agreed fractions, and the partition of each machine."""
 
 from __future__ import annotations
 
@@ -61,18 +61,18 @@
         self.buckets: dict[int, OwnershipBucket] = {}
         """Number of a bucket -> its ownership record."""
         self.changed_machines: set[str] = set()
-        """Machines whose owner has changed; the engine empties the set."""
+        """Machines whose ownership has changed; the engine empties the set."""
 
     def bucket(self, number: int) -> OwnershipBucket:
         """Return an ownership record, which is empty if it was never written."""
         return self.buckets.get(number) or OwnershipBucket()
 
     def ownership_of(self, machine: str) -> Ownership | None:
-        """Return the owner of a machine, or None if the machine was never assigned."""
+        """Return which partition owns a machine, or None if the machine was never assigned."""
         return self.bucket(bucket_of(machine)).owners.get(machine)
 
     def owned_machines(self) -> Iterator[tuple[str, Ownership]]:
-        """Iterate over all machines in the ownership records, with their owners."""
+        """Iterate over all machines in the ownership records, with their ownership."""
         for bucket in self.buckets.values():
             yield from bucket.owners.items()
 
--- a/appledock/rebalancing/planner.py
+++ b/appledock/rebalancing/planner.py
@@ -110,8 +110,9 @@
     ) -> Plan:
         """Plan up to `max_moves` moves and apply them to the loads of the given machines.
 
-        Moves are planned off overloaded machines, except those named in `skip`, and off the
-        machines in `review`, whose tasks may move closer to their data at any load.
+        Moves are planned off overloaded machines, except those named in `skip`, off which no task
+        could be moved recently, and off the machines in `review`, whose tasks may move closer to
+        their data at any load.
         """
         plan = Plan()
         if len(machines) < 2 or means.machines == 0:
--- a/appledock/rebalancing/settings.py
+++ b/appledock/rebalancing/settings.py
@@ -83,7 +83,7 @@
 
 
 class Rebalancing(Struct, frozen=True, forbid_unknown_fields=True):
-    """Contents of the rebalancing settings file."""
+    """Settings of rebalancing."""
 
     bound: Ratio = 1.5
     """Limit of the ratio of a team's load on one machine to its mean load.
@@ -108,7 +108,11 @@
 
 
 def parse(raw: bytes, cluster: Cluster) -> Rebalancing:
-    """Parse the contents of a settings file, and check them against the platform's settings."""
+    """Parse the content of a file, and check it against the types and the platform's settings.
+
+    Raises:
+        RebalancingError: The content is invalid.
+    """
     try:
         rebalancing = msgspec.convert(tomllib.loads(raw.decode()), Rebalancing)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError, UnicodeDecodeError) as error:
@@ -119,7 +123,11 @@
 
 
 def load(path: str | Path, cluster: Cluster) -> Rebalancing:
-    """Read and check a settings file."""
+    """Read and check a file.
+
+    Raises:
+        RebalancingError: The file cannot be read, or its content is invalid.
+    """
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
@@ -135,25 +143,29 @@
     for index, weights in enumerate(rebalancing.classes):
         _check_known(f"$.classes[{index}].name", "class", [weights.name], classes)
     for index, data in enumerate(rebalancing.datasets):
-        where = f"$.datasets[{index}]"
-        _check_known(f"{where}.classes", "class", data.classes, classes)
-        _check_known(f"{where}.teams", "team", data.teams, teams)
-        _check_known(f"{where}.zones", "zone", data.zones, zones)
+        field_path = f"$.datasets[{index}]"
+        _check_known(f"{field_path}.classes", "class", data.classes, classes)
+        _check_known(f"{field_path}.teams", "team", data.teams, teams)
+        _check_known(f"{field_path}.zones", "zone", data.zones, zones)
     _check_unique("$.classes", [row.name for row in rebalancing.classes])
     _check_unique("$.datasets", [row.name for row in rebalancing.datasets])
 
 
-def _check_known(where: str, kind: str, names: Iterable[str], known: set[str]) -> None:
+def _check_known(field_path: str, kind: str, names: Iterable[str], known: set[str]) -> None:
+    """Check that all names are known; `field_path` is the path of the field in the file."""
     for name in names:
         if name not in known:
             listed = ", ".join(sorted(known)) or "none"
-            raise RebalancingError(f"unknown {kind} {name!r}; known are {listed} - at `{where}`")
+            raise RebalancingError(
+                f"unknown {kind} {name!r}; known are {listed} - at `{field_path}`"
+            )
 
 
-def _check_unique(where: str, names: list[str]) -> None:
+def _check_unique(field_path: str, names: list[str]) -> None:
+    """Check that no name is repeated."""
     for name, count in Counter(names).items():
         if count > 1:
-            raise RebalancingError(f"{name!r} is named {count} times - at `{where}`")
+            raise RebalancingError(f"{name!r} is named {count} times - at `{field_path}`")
 
 
 def _check_values(rebalancing: Rebalancing) -> None:
@@ -161,11 +173,11 @@
         if not weights.has_positive_weight():
             raise RebalancingError(f"all weights are 0 - at `$.classes[{index}]`")
     for index, data in enumerate(rebalancing.datasets):
-        where = f"$.datasets[{index}]"
+        field_path = f"$.datasets[{index}]"
         if not (data.machines or data.types or data.zones):
-            raise RebalancingError(f"machines, types or zones are needed - at `{where}`")
+            raise RebalancingError(f"machines, types or zones are needed - at `{field_path}`")
         if not (data.classes or data.teams):
-            raise RebalancingError(f"classes or teams that read it are needed - at `{where}`")
+            raise RebalancingError(f"classes or teams that read it are needed - at `{field_path}`")
     if rebalancing.moves.trigger > rebalancing.bound:
         raise RebalancingError(
             "larger than `$.bound`: it would be passed first - at `$.moves.trigger`"
--- a/appledock/rebalancing/snapshot.py
+++ b/appledock/rebalancing/snapshot.py
@@ -156,7 +156,7 @@
     tasks: list[RunningTask] = field(default_factory=list)
     """Tasks on the machine; filled in only if the machine is considered as a source."""
     is_failing: bool = False
-    """Whether tasks of different jobs have failed on the machine."""
+    """Whether tasks of any job have failed on the machine."""
     admission: Admission | None = None
     """Which jobs the machine admits; None if any."""
 
