--- a/appledock/core/api/console_feed.py
+++ b/appledock/core/api/console_feed.py
@@ -150,7 +150,7 @@
         }
 
     def _read_placeable_workers(self) -> dict[str, Row]:
-        """Return the workers on which steps may be placed, the most loaded first."""
+        """Return the workers on which tasks may be placed, the most loaded first."""
         machines = self._capacity_index.machines.values()
         by_load = sorted(machines, key=lambda capacity: (-_load(capacity), capacity.name))
         return {f"worker/{capacity.name}": self._read_placeable(capacity) for capacity in by_load}
@@ -166,7 +166,7 @@
         )
 
     def _read_other_workers(self) -> dict[str, Row]:
-        """Return the workers that have reported but on which no steps may be placed."""
+        """Return the workers that have reported but on which no tasks may be placed."""
         names = self._workers.table.keys() - self._capacity_index.machines.keys()
         workers = [self._workers.table[name] for name in sorted(names)]
         return {
--- a/appledock/core/api/initial_owner.py
+++ b/appledock/core/api/initial_owner.py
@@ -1,4 +1,4 @@
-"""Choice of the first owner of a new job, where it is not the owner that the view derives."""
+"""Choice of the initial owner of a new job, where it is not the owner that the view derives."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class InitialOwnerPolicy:
-    """Chooses the first owner of a new job.
+    """Chooses the initial owner of a new job.
 
     The choice is part of the job's record from its creation on, so it needs no write of its own.
     """
--- a/appledock/core/api/job_cancellation.py
+++ b/appledock/core/api/job_cancellation.py
@@ -86,7 +86,7 @@
             self._requests.refuse(request_id, NO_SUCH_JOB)
         elif job_id in self._replica.final_states or self._replica.is_cancelled(job_id):
             # The job has ended, or was cancelled earlier by a request or with a prerequisite.
-            # Neither can change any more.
+            # Neither is ever undone.
             self._requests.answer(request_id, 200, state)
         else:
             self._commit(request_id, self._replica.jobs[job_id])
--- a/appledock/core/api/status_polls.py
+++ b/appledock/core/api/status_polls.py
@@ -112,8 +112,8 @@
     def confirm(self) -> None:
         """Compare the cached versions of the jobs of waiting polls in one transaction."""
         self._next_confirm_at = self._runtime.now + constants.POLL_CONFIRMATION_WINDOW_S
-        batch, conditions = self._take_batch()
-        if not batch:
+        polls, conditions = self._take_polls()
+        if not polls:
             return
         self._is_confirming = True
 
@@ -121,25 +121,25 @@
             self._is_confirming = False
             match outcome:
                 case Committed():
-                    self._on_compared(batch, conditions, set(), outcome.revision)
+                    self._on_compared(polls, conditions, set(), outcome.revision)
                 case Conflict():
-                    self._on_compared(batch, conditions, set(outcome.failed), outcome.revision)
+                    self._on_compared(polls, conditions, set(outcome.failed), outcome.revision)
                 case _:
-                    for poll in batch:
+                    for poll in polls:
                         self._requests.refuse(poll.request_id, STORE_UNAVAILABLE)
 
         self._client.submit(
             Transaction(conditions), Priority.USER, on_outcome, constants.REQUEST_TIMEOUT_S
         )
 
-    def _take_batch(self) -> tuple[list[StatusPoll], dict[str, int]]:
+    def _take_polls(self) -> tuple[list[StatusPoll], dict[str, int]]:
         """Remove and return as many waiting polls as one transaction holds, with its conditions.
 
         Polls of jobs that have ended are answered at once, and polls that have been answered or
         refused are dropped.
         """
         conditions: dict[str, int] = {}
-        batch: list[StatusPoll] = []
+        taken: list[StatusPoll] = []
         remaining: list[StatusPoll] = []
         state_settings = self._runtime.settings.cluster.state
         max_conditions = min(constants.POLL_CONFIRMATION_CONDITIONS_MAX, 4 * state_settings.txn_ops)
@@ -157,22 +157,22 @@
             conditions[JOBS_PREFIX + job_id] = job.version if job else 0
             if job is None:
                 conditions[FINAL_PREFIX + job_id] = 0
-            batch.append(poll)
+            taken.append(poll)
         self._polls = remaining
-        return batch, conditions
+        return taken, conditions
 
     def _on_compared(
         self,
-        batch: list[StatusPoll],
+        polls: list[StatusPoll],
         conditions: dict[str, int],
         failed: set[str],
         revision: int,
     ) -> None:
-        """Answer a batch after its cached versions were compared with those at the revision.
+        """Answer polls after their cached versions were compared with those at the revision.
 
         The cached versions of the `failed` keys are out of date.
         """
-        for poll in batch:
+        for poll in polls:
             job_id = poll.job_id
             if JOBS_PREFIX + job_id in failed or FINAL_PREFIX + job_id in failed:
                 self.read_and_answer(poll)
--- a/appledock/core/api/submission.py
+++ b/appledock/core/api/submission.py
@@ -66,7 +66,7 @@
         self._record_reader = record_reader
         self._polls = polls
         self._check = check
-        self._choose_first_owner = choose_initial_owner
+        self._choose_initial_owner = choose_initial_owner
 
     def submit(self, request_id: int, spec: wire.JobSpec) -> None:
         """Create the job, or answer with its state if it was accepted before."""
@@ -131,7 +131,7 @@
     def _create(self, request_id: int, spec: wire.JobSpec) -> None:
         """Write the job's record on condition that the job neither exists nor has ended."""
         job = Job(spec, self._runtime.wall_time)
-        job.handoff_target = self._choose_first_owner(job)
+        job.handoff_target = self._choose_initial_owner(job)
         creation = Transaction(
             {JOBS_PREFIX + spec.id: 0, FINAL_PREFIX + spec.id: 0},
             [Put(JOBS_PREFIX + spec.id, self._codec.encode(job))],
--- a/appledock/core/cloud_calls.py
+++ b/appledock/core/cloud_calls.py
@@ -55,4 +55,4 @@
     INVALID = "invalid"
     """The cloud rejected the request: it was not executed, and a retry would be rejected again."""
     UNKNOWN = "unknown"
-    """No usable answer arrived: the call may have been executed, or may still be."""
+    """No usable answer arrived: the call may have been executed, or may be executed later."""
--- a/appledock/core/commands.py
+++ b/appledock/core/commands.py
@@ -80,7 +80,7 @@
     """The worker refused the call, because it knows a newer fencing token or agent epoch."""
     NOT_SENT = "not_sent"
     UNKNOWN = "unknown"
-    """No usable answer arrived: the commands may have been executed, or may still be."""
+    """No usable answer arrived: the commands may have been executed, or may be executed later."""
 
 
 @dataclass(slots=True)
--- a/appledock/core/effects.py
+++ b/appledock/core/effects.py
@@ -1,8 +1,8 @@
 """Effects: all outputs of the core, with one type for each kind of output.
 
-The core performs no I/O. It returns effects, and the adapters carry them out in that order;
-`Effect` is the closed union of all types. Each call is answered by a reply with the same `call_id`,
-even if the call failed.
+The core performs no I/O. It returns a list of effects, which the adapters carry out in the order
+of the list; `Effect` is the closed union of all types. Each call is answered by a reply with the
+same `call_id`, even if the call failed.
 """
 
 from __future__ import annotations
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -134,8 +134,8 @@
             except Exception:
                 log.exception("command failed: kind=%s", type(command).__name__)
                 self._answer_failed_request(command)
-        # Each step has its own exception handler: if the first fails, the flush still sends the
-        # store calls, so that leases are renewed and users get answers.
+        # Each follow-up has its own exception handler: if the processing of changes fails, the
+        # flush still sends the store calls, so that leases are renewed and users get answers.
         for follow_up in (self._process_changes, self._client.flush):
             try:
                 follow_up()
@@ -234,8 +234,8 @@
     def _process_changes(self) -> None:
         """Process the changes that the batch made to the replica, then reconcile the jobs.
 
-        If a step raises, the steps after it are skipped; their changes remain recorded for the
-        next batch.
+        If one of the calls raises, the calls after it are skipped; the changes that they would
+        have processed remain recorded for the next batch.
         """
         changes = self._replica.changes
         if changes.view:
--- a/appledock/core/messages.py
+++ b/appledock/core/messages.py
@@ -98,7 +98,7 @@
 class MachineCordonChanged(Struct, frozen=True, tag_field="kind", tag="cordon"):
     """Notification that a machine was cordoned or uncordoned.
 
-    No step is placed on a cordoned machine.
+    No step places tasks on a cordoned machine.
     """
 
     worker: str
--- a/appledock/core/records/team_allocation.py
+++ b/appledock/core/records/team_allocation.py
@@ -7,7 +7,7 @@
 
 
 class ResourceShare(NamedTuple):
-    """Limit on what all jobs of a team that one controller owns may hold together."""
+    """Limit on the resources that a team's jobs with the same owner may hold together."""
 
     cpus: float
     gpus: float
--- a/appledock/core/records/versioned.py
+++ b/appledock/core/records/versioned.py
@@ -14,4 +14,4 @@
 
     value: ValueT
     version: int = 0
-    """Version of the key, for a compare-and-swap; 0 if the key was never read or is deleted."""
+    """Version of the key, for a compare-and-swap; 0 if the key was never read or was deleted."""
--- a/appledock/core/store/client.py
+++ b/appledock/core/store/client.py
@@ -127,7 +127,7 @@
         """Queue a write again that the store refused because of the rate limit.
 
         Returns:
-            Whether the call was queued again. It is not if it has expired.
+            Whether the call was queued again; an expired call is not.
         """
         if outcome != NotExecuted(NotExecutedReason.RATE_LIMITED) or not call.writes:
             return False
--- a/appledock/core/store/rate_limiter.py
+++ b/appledock/core/store/rate_limiter.py
@@ -16,8 +16,8 @@
 class Priority(IntEnum):
     """Priority of a queued call, from the highest to the lowest.
 
-    Calls down to `USER` are served strictly by priority. Lower priorities are only served later by
-    the delays in `PRIORITY_DELAY_S`.
+    Calls of `USER` and higher priorities are served strictly by priority. Calls of lower priorities
+    are served in the order of their queueing time plus the delay in `PRIORITY_DELAY_S`.
     """
 
     LEASE = 0
@@ -27,11 +27,12 @@
     USER = 2
     """Calls that a user's request waits for."""
     URGENT = 3
-    """Steps of services, preemption, and final states of jobs that other jobs depend on."""
+    """Steps of services, preemption, increases of a quota allocation that a step needs, and final
+    states of jobs that other jobs depend on."""
     FINAL = 4
     """Final states of other jobs."""
     STEP = 5
-    """Steps of arrays, and changes of machine ownership."""
+    """Steps of arrays and gangs, releases of unused quota, and changes of machine ownership."""
     PROGRESS = 6
     """Lists of completed tasks of jobs that have not ended, and the machine catalogue."""
 
--- a/appledock/core/store/replica.py
+++ b/appledock/core/store/replica.py
@@ -174,7 +174,7 @@
 
     # --- updates by reads, watch and commits ------------------------------
     def put(self, key: str, value: Any, version: int) -> None:
-        """Store a record unless it is not newer; a malformed record is logged and ignored."""
+        """Store a record if it is newer than the known one; log and ignore a malformed record."""
         handler, name = self._handler_of(key)
         if handler is None or version <= self._newest_version(key, handler, name):
             return
--- a/appledock/core/store/replica_changes.py
+++ b/appledock/core/store/replica_changes.py
@@ -7,10 +7,10 @@
 
 @dataclass(slots=True)
 class ReplicaChanges:
-    """Changes recorded by the replica, which the engine clears after processing them.
+    """Changes recorded by the replica, which the engine clears as it processes them.
 
-    The engine clears the fields one by one. If the processing of one field fails, the other fields
-    are kept for the next batch.
+    The engine processes and clears the fields one by one. If the processing of one field fails, the
+    fields that are not cleared yet are kept for the next batch.
     """
 
     view: bool = False
--- a/appledock/core/store_calls.py
+++ b/appledock/core/store_calls.py
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownOutcome:
-    """No usable answer arrived: the call may have been executed, or may still be."""
+    """No usable answer arrived: the call may have been executed, or may be executed later."""
 
 
 StoreOutcome = (
