--- a/appledock/core/capacity/admission.py
+++ b/appledock/core/capacity/admission.py
@@ -19,7 +19,8 @@
     is_for_replicas_only: bool = False
     """Whether free capacity of the machine is reserved for replicas of services.
 
-    These are replicas that have to leave machines that are being handed over.
+    The reservation is made for replicas that have to leave machines that are being handed over;
+    other replicas of the partition are admitted too.
     """
 
     def admits(self, spec: wire.JobSpec) -> bool:
--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -68,7 +68,7 @@
         self._moves = moves
         self._partitions = partitions
         self._return_started_at: dict[str, float] = {}
-        """Machine that is being returned to its lender -> when this controller first saw that."""
+        """Machine being returned to its lender -> when this controller first saw the return."""
 
     def drain_own_jobs(self) -> None:
         """Stop tasks of own jobs if that is due, and reserve machines for replicas of services."""
--- a/appledock/core/engine.py
+++ b/appledock/core/engine.py
@@ -55,8 +55,9 @@
 class Engine:
     """Dispatches each command of a batch, then processes the changes that the batch made.
 
-    The components neither call each other's `tick` methods nor clear the change sets of the
-    replica: this class alone determines what happens in a batch, and in which order.
+    The components do not clear the change sets of the replica, and do not call each other's `tick`
+    methods, except that the membership protocol's is also called after each full listing of the
+    store. Apart from that, this class alone determines what happens in a batch, and in which order.
     """
 
     def __init__(  # noqa: PLR0913 -- the engine dispatches to every component
--- a/appledock/core/rebalancing/snapshots.py
+++ b/appledock/core/rebalancing/snapshots.py
@@ -43,9 +43,10 @@
     def update_smoothed(self, time_constant_s: float) -> None:
         """Update the exponential averages of the loads.
 
-        The average of a new machine starts at the highest known average. This prevents
-        oscillation when machines join and leave in waves: a new machine that the planner filled
-        at once would become a source seconds later, and lose the tasks just moved to it.
+        The average of a new machine starts from the highest known average, or from the machine's
+        load if that is higher. This prevents oscillation when machines join and leave in waves: a
+        new machine that the planner filled at once would become a source seconds later, and lose
+        the tasks just moved to it.
         """
         now = self._runtime.now
         weight = 1 - math.exp(-(now - self._smoothed_updated_at) / time_constant_s)
--- a/appledock/core/runtime.py
+++ b/appledock/core/runtime.py
@@ -1,4 +1,4 @@
-"""State shared by all parts of a controller: settings, clock, random source, pending effects."""
+"""State that all components of a controller share: settings, clock, randomness, pending effects."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class Runtime:
     """Clock, random source, settings and pending effects of one controller.
 
-    Only the engine sets the clock and takes the effects; all other parts read the clock and emit
-    effects.
+    Only the engine sets the clock and takes the effects; all other components read the clock and
+    emit effects.
     """
 
     def __init__(self, settings: Settings, incarnation: str, rng: random.Random) -> None:
--- a/tests/unit/capacity/test_drains.py
+++ b/tests/unit/capacity/test_drains.py
@@ -23,7 +23,7 @@
 class DrainerFixture:
     """A drainer, and a machine being handed over with one task of an own job on it."""
 
-    def __init__(self, checkpoint_s: float = 5.0, stop_at: float | None = None) -> None:
+    def __init__(self, checkpoint_s: float = 5.0, stop_wall_time: float | None = None) -> None:
         self.runtime = Runtime(settings("n0", ["n0", "n1", "n2"]), "x", random.Random(1))
         self.runtime.now, self.runtime.wall_time = 100.0, 1000.0
         replica = Replica()
@@ -31,7 +31,7 @@
         attempt = Attempt(MACHINE, 1, 1, 3, False, {0})
         self.job = Job(spec(stow_s=checkpoint_s), 0.0, 5, 1, attempts=[attempt])
         replica.set_job(self.job)
-        replica.capacity.agreed_fractions = AgreedFractions(1, "r1", {}, {}, stop_at)
+        replica.capacity.agreed_fractions = AgreedFractions(1, "r1", {}, {}, stop_wall_time)
         ownership = Ownership("rest", is_being_handed_over=True, is_lent=True)
         replica.capacity.buckets[0] = OwnershipBucket(1, {MACHINE: ownership})
         self.stopped: list[tuple[str, str, set[int]]] = []
@@ -56,7 +56,7 @@
 
 
 def test_tasks_with_checkpoints_are_stopped_once_the_deadline_of_the_change_has_passed() -> None:
-    fixture = DrainerFixture(stop_at=1010.0)
+    fixture = DrainerFixture(stop_wall_time=1010.0)
     fixture.drainer.drain_own_jobs()
     assert fixture.stopped == []
     fixture.runtime.wall_time = 1010.0
@@ -65,7 +65,7 @@
 
 
 def test_without_deadline_or_checkpoints_no_task_is_stopped() -> None:
-    for fixture in (DrainerFixture(), DrainerFixture(checkpoint_s=0.0, stop_at=10.0)):
+    for fixture in (DrainerFixture(), DrainerFixture(checkpoint_s=0.0, stop_wall_time=10.0)):
         fixture.drainer.drain_own_jobs()
         assert fixture.stopped == []
 
