--- a/appledock/core/capacity/drains.py
+++ b/appledock/core/capacity/drains.py
@@ -30,7 +30,7 @@
         """Moves that this controller has requested and that have not ended."""
 
     def request(self, proposal: Proposal, /) -> None:
-        """Request a move from the controller that owns the destination machine's worker."""
+        """Ask the controller that owns the destination machine's worker to start a move."""
 
     def is_cooling_down(self, job_id: str, /) -> bool:
         """Return whether the job has a move under way or is in the cooldown after a move."""
@@ -68,7 +68,7 @@
         self._moves = moves
         self._partitions = partitions
         self._return_started_at: dict[str, float] = {}
-        """Machine that is being returned to its lender -> when this controller first saw that."""
+        """Machine being returned to its lender -> when this controller first saw the return."""
 
     def drain_own_jobs(self) -> None:
         """Stop tasks of own jobs if that is due, and reserve machines for replicas of services."""
