--- a/tests/test_equivalence.py
+++ b/tests/test_equivalence.py
@@ -52,7 +52,8 @@
     )
     assert type(decoded) is baseline_code.wire.MachineList is not present().wire.MachineList
     fields = msgspec.structs.fields(baseline_code.wire.MachineTypes)
-    assert fields[0].type == list[baseline_code.wire.MachineType]
+    machine_type = baseline_code.wire.MachineType
+    assert fields[0].type == list[machine_type]
 
 
 # --- planted differences -------------------------------------------------------
