--- a/appledock/adapters/http_requests.py
+++ b/appledock/adapters/http_requests.py
@@ -25,8 +25,9 @@
 DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 """Exceptions that decoding raises.
 
-RecursionError occurs with a thousand nested brackets, also in a field that is not read. Without it
-in this tuple such a request is answered with 500, and the client repeats it for a minute.
+RecursionError occurs with a thousand nested brackets, also in a field that is not read. If
+RecursionError were not caught, such a request would be answered with 500, and the client would
+repeat it for a minute.
 """
 
 
--- a/appledock/core/capacity/partitions.py
+++ b/appledock/core/capacity/partitions.py
@@ -5,7 +5,7 @@
 from appledock.core.capacity.drains import MachineDrainer
 from appledock.core.capacity.ownership import OwnershipAssigner
 from appledock.core.capacity.partition_map import PartitionMap
-from appledock.core.capacity.preferred_owners import PreferredOwnerHandOff, PreferredOwners
+from appledock.core.capacity.preferred_owners import PreferredOwnerHandoff, PreferredOwners
 from appledock.core.membership.membership import Membership
 from appledock.core.membership.view_requests import ViewChangeRequests
 from appledock.core.runtime import Runtime
@@ -25,7 +25,7 @@
         view_requests: ViewChangeRequests,
         partitions: PartitionMap,
         preferred_owners: PreferredOwners,
-        handoff: PreferredOwnerHandOff,
+        handoff: PreferredOwnerHandoff,
         assigner: OwnershipAssigner,
         drainer: MachineDrainer,
     ) -> None:
--- a/appledock/core/capacity/preferred_owners.py
+++ b/appledock/core/capacity/preferred_owners.py
@@ -92,7 +92,7 @@
         """Return whether the job has a move under way or is in the cooldown after a move."""
 
 
-class PreferredOwnerHandOff:
+class PreferredOwnerHandoff:
     """Hands off jobs of this controller to their preferred owners."""
 
     def __init__(
--- a/appledock/core/controller.py
+++ b/appledock/core/controller.py
@@ -28,7 +28,7 @@
 from appledock.core.capacity.ownership import OwnershipAssigner
 from appledock.core.capacity.partition_map import PartitionMap
 from appledock.core.capacity.partitions import PartitionManager
-from appledock.core.capacity.preferred_owners import PreferredOwnerHandOff, PreferredOwners
+from appledock.core.capacity.preferred_owners import PreferredOwnerHandoff, PreferredOwners
 from appledock.core.capacity.summary import PartitionSummary
 from appledock.core.commands import Command
 from appledock.core.effects import Effect
@@ -493,7 +493,7 @@
             view_requests=self.view_requests,
             partitions=self.partitions,
             preferred_owners=self.preferred_owners,
-            handoff=PreferredOwnerHandOff(
+            handoff=PreferredOwnerHandoff(
                 runtime=self.runtime,
                 replica=self.replica,
                 preferred_owners=self.preferred_owners,
--- a/appledock/net/http.py
+++ b/appledock/net/http.py
@@ -189,8 +189,8 @@
             self.transport.write(_response_head(status, len(payload), headers, True) + payload)
             # Only the sending direction is closed. Closing the socket while the client still
             # sends a large body would reset the connection, and the client could lose the
-            # response. Its input is read and ignored until it closes the connection or
-            # `close_if_timed_out` does.
+            # response. Its input is read and ignored until it closes the connection, or until
+            # `close_if_timed_out` or, for a refused connection, the timer of `refuse` does.
             self.transport.write_eof()
 
     def close_if_timed_out(self, now: float) -> None:
@@ -224,7 +224,7 @@
         self.max_connections = max_connections
         self.connections: set[ServerConnection] = set()
         self.refused_connections: set[ServerConnection] = set()
-        """connections beyond the limit that stay open until they have received a 503 response"""
+        """open connections beyond the limit; their first request gets a 503 response"""
         self.refused_count = 0
         """connections refused since the start, for the metrics"""
         self.next_warning_at = 0.0
@@ -250,7 +250,7 @@
         """Refuse a connection beyond the limit.
 
         Its first request gets a 503 response with Retry-After. If too many refused connections
-        are open, it is reset at once.
+        are still open, the new connection is reset at once instead.
         """
         self.refused_count += 1
         now = self.loop.time()
--- a/appledock/settings.py
+++ b/appledock/settings.py
@@ -70,8 +70,8 @@
     report_s: Positive
     """interval between two heartbeats of a worker"""
     lease_s: Positive
-    """duration of a worker's lease: a worker that its owner does not answer for this long stops its
-    tasks"""
+    """duration of a worker's lease: a worker that gets no answer from its owner for this long stops
+    its tasks"""
     cancel_s: Positive
     """time within which the tasks of a cancelled job must have ended"""
 
