--- a/appledock/net/http.py
+++ b/appledock/net/http.py
@@ -322,7 +322,11 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Complete the pending request, unless the response is an interim one (1xx)."""
+        """Complete the pending request, unless the response is an interim one (1xx).
+
+        A response with `Connection: close` fails the pending request with NoAnswer, since
+        `close` is called first.
+        """
         status = self.parser.get_status_code()
         if status < 200:
             return
--- a/appledock/net/peers.py
+++ b/appledock/net/peers.py
@@ -131,8 +131,9 @@
         if self.transport is None:
             return
         if self.transport.get_write_buffer_size() > c.PEER_BUFFER_MAX_BYTES:
-            # The peer does not read, because it hangs or is partitioned from this controller:
-            # without this limit its messages would use up the memory of this process.
+            # The peer does not read, because it hangs or is partitioned from this controller.
+            # Without this limit, the messages that wait to be sent to it would use up the memory
+            # of this process.
             self.transport.abort()
             self.transport = None
             return
--- a/appledock/wire.py
+++ b/appledock/wire.py
@@ -122,7 +122,10 @@
     saved: bool | None = field(name="stored", default=None)
 
     def split(self) -> tuple[str, int]:
-        """Return job id and task number; a name of another form gives the number -1."""
+        """Return job id and task number.
+
+        A name without a number at the end gives the number -1, which belongs to no task.
+        """
         job, _, number = self.task.rpartition("/")
         return job, int(number) if number.isdigit() else -1
 
